--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/cluster/LoadReporter.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/cluster/LoadReporter.java
@@ -7,7 +7,7 @@
 import org.troutpier.daemon.organisation.OrganisationUse;
 import org.troutpier.daemon.role.RoleController;
 import org.troutpier.daemon.route.CurrentConfiguration;
-import org.troutpier.daemon.serving.PlaceAllocator;
+import org.troutpier.daemon.serving.ReservationAllocator;
 import org.troutpier.daemon.serving.TrafficLoop;
 import org.troutpier.daemon.serving.UpstreamLoads;
 import org.troutpier.daemon.serving.UpstreamRates;
@@ -28,7 +28,7 @@
     private final UpstreamLoads mLoads;
 
     /** Who waits for places. */
-    private final PlaceAllocator mPlaces;
+    private final ReservationAllocator mPlaces;
 
     /** What was asked lately. */
     private final DemandMeter mDemand;
@@ -74,7 +74,7 @@
     public LoadReporter(
             TrafficLoop loop,
             UpstreamLoads loads,
-            PlaceAllocator places,
+            ReservationAllocator places,
             DemandMeter demand,
             OrganisationUse organisations,
             UpstreamRates rates,
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/CrashGuard.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/CrashGuard.java
@@ -119,7 +119,7 @@
      * @param content what the request asks for
      * @return whether it is in quarantine
      */
-    boolean withholds(RequestContent content) {
+    boolean withholds(LazyFingerprint content) {
         boolean withheld = known(content) && mQuarantine.holds(content.fingerprint());
         if (withheld) {
             mWithheld.inc();
@@ -134,7 +134,7 @@
      * @param content what the request asks for
      * @return whether it may be
      */
-    private boolean known(RequestContent content) {
+    private boolean known(LazyFingerprint content) {
         return !mQuarantine.isEmpty() && mQuarantine.mayKnow(content.outline());
     }
 
@@ -143,7 +143,7 @@
      *
      * @param content what the request asks for
      */
-    void ranWhole(RequestContent content) {
+    void ranWhole(LazyFingerprint content) {
         if (known(content)) {
             mQuarantine.ranWhole(content.fingerprint());
         }
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/DecodePlace.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/DecodePlace.java
@@ -41,7 +41,7 @@
     private long mSearchBegan;
 
     /** Looks for a place, or null. */
-    private PlaceAllocator.Search mSearch;
+    private ReservationAllocator.Search mSearch;
 
     /** The engine that was found, or null. */
     private UpstreamEntry mEngine;
@@ -92,14 +92,14 @@
             Standing standing,
             long events,
             Supplier<List<UpstreamEntry>> engines,
-            PlaceAllocator.Listener listener) {
+            ReservationAllocator.Listener listener) {
         mSearchBegan = mContext.loop().millis();
         mNeededTokens = mPromptTokens + events * mTraits.eventTokens();
         mContext.metrics().waitsForPlace(true);
         mSearch =
                 mContext.places()
                         .find(
-                                new PlaceAllocator.Wanted(
+                                new ReservationAllocator.Wanted(
                                         mAsker,
                                         mNeededTokens,
                                         Math.max(mMostTokens, mNeededTokens),
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/PlannedStop.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/GracefulShutdown.java
@@ -13,7 +13,7 @@
  * is closed; ending the process while connections are open would lose one that comes at that
  * moment. Thread safe; {@link #run()} blocks the thread that calls it.
  */
-public final class PlannedStop {
+public final class GracefulShutdown {
 
     /**
      * How long callers may still come, milliseconds: the platform asks for readiness every second
@@ -28,7 +28,7 @@
     private static final long LOOK_MILLIS = 50;
 
     /** Logs the stop. */
-    private static final Logger LOGGER = LogManager.getLogger(PlannedStop.class);
+    private static final Logger LOGGER = LogManager.getLogger(GracefulShutdown.class);
 
     /** Whether this router takes new work. */
     private final Readiness mReadiness;
@@ -46,7 +46,7 @@
      * @param server where callers come in
      * @param graceMillis how long the process may take to end, milliseconds
      */
-    public PlannedStop(Readiness readiness, HttpServer server, long graceMillis) {
+    public GracefulShutdown(Readiness readiness, HttpServer server, long graceMillis) {
         mReadiness = readiness;
         mServer = server;
         mGraceMillis = graceMillis;
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/RequestContent.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/LazyFingerprint.java
@@ -6,7 +6,7 @@
  * What a request asks for, named when that is needed and once. Confined to the traffic loop.
  * Invariant: the body is hashed only if the whole name is asked for.
  */
-final class RequestContent {
+final class LazyFingerprint {
 
     /** The request. */
     private final ServingRequest mRequest;
@@ -22,7 +22,7 @@
      *
      * @param request the request
      */
-    RequestContent(ServingRequest request) {
+    LazyFingerprint(ServingRequest request) {
         mRequest = request;
     }
 
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/PromptShape.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/PromptMetadata.java
@@ -11,7 +11,7 @@
  * @param outputTokens the most tokens that may come out
  * @param parts the prompt's parts in order; the last belongs to the request or its session
  */
-public record PromptShape(String model, int promptTokens, int outputTokens, List<Part> parts) {
+public record PromptMetadata(String model, int promptTokens, int outputTokens, List<Part> parts) {
 
     /**
      * A part of a prompt, which other prompts may share. Immutable and thread safe.
@@ -22,7 +22,7 @@
     public record Part(String id, int tokens) {}
 
     /** Checks the fields and copies the parts. */
-    public PromptShape {
+    public PromptMetadata {
         Check.range("promptTokens", promptTokens, 0, Integer.MAX_VALUE);
         Check.range("outputTokens", outputTokens, 0, Integer.MAX_VALUE);
         parts = List.copyOf(parts);
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/ReturningRequests.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/RecentRefusals.java
@@ -8,7 +8,7 @@
  * request's own, so that one that comes back as told is recognised. Confined to the traffic loop.
  * Invariant: bounded in number and age.
  */
-public final class ReturningRequests {
+public final class RecentRefusals {
 
     /** How long a refusal is remembered, milliseconds: longer than callers are sent away for. */
     private static final long REMEMBERED_MILLIS = 7000;
@@ -37,7 +37,7 @@
      * @param prompt the request's prompt
      * @param now the monotonic clock, milliseconds
      */
-    void refused(PromptShape prompt, long now) {
+    void refused(PromptMetadata prompt, long now) {
         String key = prompt.ownPart();
         if (!key.isEmpty()) {
             remember(key, now);
@@ -62,7 +62,7 @@
      * @param now the monotonic clock, milliseconds
      * @return whether it comes back
      */
-    boolean comesBack(PromptShape prompt, long now) {
+    boolean comesBack(PromptMetadata prompt, long now) {
         return mRefused.contains(prompt.ownPart(), now);
     }
 }
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/RequestExecution.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/RequestExecution.java
@@ -59,7 +59,7 @@
     private boolean mOver;
 
     /** Names what is asked for. */
-    private final RequestContent mContent;
+    private final LazyFingerprint mContent;
 
     /** Whether it was sent to be run. */
     private boolean mSent;
@@ -90,7 +90,7 @@
             CallerChannel caller) {
         mContext = context;
         mRequest = request;
-        mContent = new RequestContent(request);
+        mContent = new LazyFingerprint(request);
         mRoute = route;
         mService = service;
         mCaller = caller;
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/PlaceAllocator.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/ReservationAllocator.java
@@ -25,7 +25,7 @@
  * Confined to the traffic loop. Invariant: each search ends once: granted, refused or stopped; a
  * place that is granted after the search was stopped is given back.
  */
-public final class PlaceAllocator {
+public final class ReservationAllocator {
 
     /**
      * How long an engine that refused is not asked again by this router, milliseconds: with a few
@@ -83,7 +83,7 @@
      * @param view has engines chosen by what the other routers have under way now
      * @param random spreads repeated questions
      */
-    public PlaceAllocator(
+    public ReservationAllocator(
             TrafficLoop loop,
             UpstreamPort port,
             UpstreamLoads loads,
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/ServingRequest.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/ServingRequest.java
@@ -33,7 +33,7 @@
         byte[] body,
         long deadlineMillis,
         OptionalLong lastEvent,
-        Optional<PromptShape> prompt,
+        Optional<PromptMetadata> prompt,
         Optional<KeyHash> key,
         Requester requester) {
 
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/StreamExecution.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/StreamExecution.java
@@ -247,7 +247,7 @@
      * @return tokens
      */
     private long tokens() {
-        return mRequest.prompt().map(PromptShape::mostTokens).orElse(0L);
+        return mRequest.prompt().map(PromptMetadata::mostTokens).orElse(0L);
     }
 
     /**
@@ -256,7 +256,7 @@
      * @return tokens
      */
     private long promptTokens() {
-        return mRequest.prompt().map(PromptShape::promptTokens).orElse(0);
+        return mRequest.prompt().map(PromptMetadata::promptTokens).orElse(0);
     }
 
     /**
@@ -447,7 +447,7 @@
     }
 
     /** Receives a place. Confined to the traffic loop. */
-    private final class PlaceFound implements PlaceAllocator.Listener {
+    private final class PlaceFound implements ReservationAllocator.Listener {
 
         /** {@inheritDoc} */
         @Override
@@ -468,7 +468,7 @@
     }
 
     /** Receives a place at the engine that has the prompt. Confined to the traffic loop. */
-    private final class KeptFound implements PlaceAllocator.Listener {
+    private final class KeptFound implements ReservationAllocator.Listener {
 
         /** How the run ended whose prompt it has. */
         private final AttemptEnd mEnd;
--- a/troutpier-daemon/src/test/java/org/troutpier/daemon/serving/CrashGuardTest.java
+++ b/troutpier-daemon/src/test/java/org/troutpier/daemon/serving/CrashGuardTest.java
@@ -29,7 +29,7 @@
     private static final RequestFingerprint ONE = RequestFingerprint.of("h", "/1", new byte[0]);
     private static final RequestFingerprint TWO = RequestFingerprint.of("h", "/2", new byte[0]);
 
-    private final UpstreamEntry mUpstream = Entries.decode("a");
+    private final UpstreamEntry mUpstream = TestUpstreams.decode("a");
     private ManualTime mTime;
     private UpstreamDirectory mDirectory;
     private Quarantine mQuarantine;
@@ -142,18 +142,18 @@
 
     @Test
     public void anUpstreamThatIsBackAlreadyUnderItsIdHasEnded() {
-        UpstreamEntry first = Entries.startedAt(mUpstream, 1);
+        UpstreamEntry first = TestUpstreams.startedAt(mUpstream, 1);
         mDirectory.replaceAll(List.of(first));
         mGuard.lost(first, ONE, mJudged::add);
-        mDirectory.replaceAll(List.of(Entries.startedAt(mUpstream, 2)));
+        mDirectory.replaceAll(List.of(TestUpstreams.startedAt(mUpstream, 2)));
         answer(UpstreamPort.Listening.YES);
         mTime.pass(CrashGuard.JUDGED_MILLIS);
         assertEquals(mJudged, List.of(true));
         assertEquals(held(ONE), 1);
     }
 
-    private static RequestContent content(String target, byte[] body) {
-        return new RequestContent(
+    private static LazyFingerprint content(String target, byte[] body) {
+        return new LazyFingerprint(
                 new ServingRequest(
                         new RequestId("abc"),
                         "POST",
--- a/troutpier-daemon/src/test/java/org/troutpier/daemon/serving/ExecutionTest.java
+++ b/troutpier-daemon/src/test/java/org/troutpier/daemon/serving/ExecutionTest.java
@@ -76,7 +76,7 @@
                     }
                 };
         Random random = new Random(1);
-        UpstreamLoads loads = new UpstreamLoads(mTime.loop(), random, Entries.HALL, peers);
+        UpstreamLoads loads = new UpstreamLoads(mTime.loop(), random, TestUpstreams.HALL, peers);
         MetricRegistry metrics = new MetricRegistry();
         UpstreamRates rates =
                 new UpstreamRates(mTime.loop(), mTime::millis, random, peers, () -> 1, metrics);
@@ -92,7 +92,8 @@
                         loads,
                         admission,
                         new ExtraCallBudget(0, 0, 10_000),
-                        new PlaceAllocator(mTime.loop(), port, loads, admission, view, random),
+                        new ReservationAllocator(
+                                mTime.loop(), port, loads, admission, view, random),
                         new OrganisationUse(
                                 UseSettings.DEFAULT,
                                 mTime::millis,
@@ -100,7 +101,7 @@
                                 peers,
                                 () -> 1,
                                 metrics),
-                        new ReturningRequests(),
+                        new RecentRefusals(),
                         new CrashGuard(mTime.loop(), port, mDirectory, mQuarantine, metrics),
                         new ReturnPacer(random),
                         new GrowthMargin(),
@@ -133,8 +134,8 @@
     }
 
     private ServingRequest request() {
-        PromptShape prompt =
-                new PromptShape("m", 1000, 500, List.of(new PromptShape.Part("own", 1000)));
+        PromptMetadata prompt =
+                new PromptMetadata("m", 1000, 500, List.of(new PromptMetadata.Part("own", 1000)));
         return new ServingRequest(
                 new RequestId("abc"),
                 "POST",
@@ -190,8 +191,9 @@
 
     @Test
     public void aPromptThatWasReadIsUsedElsewhereWhenItsEngineCannotBeReached() {
-        UpstreamEntry prefill = Entries.prefill("p");
-        mDirectory.replaceAll(List.of(prefill, Entries.decode("a"), Entries.decode("b")));
+        UpstreamEntry prefill = TestUpstreams.prefill("p");
+        mDirectory.replaceAll(
+                List.of(prefill, TestUpstreams.decode("a"), TestUpstreams.decode("b")));
         stream();
         UpstreamPort.StoredPrompt prompt = new UpstreamPort.StoredPrompt(prefill, "handle");
         mPort.mPrefills.get(0).onResult(prompt);
@@ -211,7 +213,10 @@
         }
         mContext.demand().publish(mTime.millis());
         mDirectory.replaceAll(
-                List.of(Entries.prefill("p"), Entries.prefill("q"), Entries.decode("a")));
+                List.of(
+                        TestUpstreams.prefill("p"),
+                        TestUpstreams.prefill("q"),
+                        TestUpstreams.decode("a")));
         stream();
         assertEquals(mPort.mPrefills.size(), 1);
         mTime.pass(ServingSettings.LEAST_PREFILL_MILLIS - 1);
@@ -223,7 +228,10 @@
     @Test
     public void aPromptWhoseReadingWasLostIsReadByTheDecodeEngineWhenNoExtraCallIsLeft() {
         mDirectory.replaceAll(
-                List.of(Entries.prefill("p"), Entries.prefill("q"), Entries.decode("a")));
+                List.of(
+                        TestUpstreams.prefill("p"),
+                        TestUpstreams.prefill("q"),
+                        TestUpstreams.decode("a")));
         stream();
         mPort.mPrefills.get(0).onFailure(AttemptEnd.lost("reset"));
         assertEquals(mPort.mPrefills.size(), 1);
@@ -234,8 +242,8 @@
 
     @Test
     public void aPromptThatIsNotUsedIsFreed() {
-        UpstreamEntry prefill = Entries.prefill("p");
-        mDirectory.replaceAll(List.of(prefill, Entries.decode("a")));
+        UpstreamEntry prefill = TestUpstreams.prefill("p");
+        mDirectory.replaceAll(List.of(prefill, TestUpstreams.decode("a")));
         stream();
         UpstreamPort.StoredPrompt prompt = new UpstreamPort.StoredPrompt(prefill, "handle");
         mPort.mPrefills.get(0).onResult(prompt);
@@ -249,8 +257,9 @@
     @Test
     public void anEngineThatWasReplacedIsNoAttemptAndItsPromptIsUsedElsewhere() {
         mContext.budget().limit(0, 1);
-        UpstreamEntry prefill = Entries.prefill("p");
-        mDirectory.replaceAll(List.of(prefill, Entries.decode("a"), Entries.decode("b")));
+        UpstreamEntry prefill = TestUpstreams.prefill("p");
+        mDirectory.replaceAll(
+                List.of(prefill, TestUpstreams.decode("a"), TestUpstreams.decode("b")));
         stream();
         UpstreamPort.StoredPrompt prompt = new UpstreamPort.StoredPrompt(prefill, "handle");
         mPort.mPrefills.get(0).onResult(prompt);
@@ -265,7 +274,7 @@
 
     @Test
     public void theNextCallAfterAReplacedEngineIsExtra() {
-        mDirectory.replaceAll(List.of(Entries.decode("a"), Entries.decode("b")));
+        mDirectory.replaceAll(List.of(TestUpstreams.decode("a"), TestUpstreams.decode("b")));
         stream();
         mPort.mRuns.get(0).mListener.onHead(head(UpstreamPort.Verdict.OTHER_UPSTREAM));
         mPort.mRuns.get(0).mListener.onEnd();
@@ -275,7 +284,7 @@
 
     @Test
     public void aRunThatMayHaveBegunIsNeverSentElsewhere() {
-        mDirectory.replaceAll(List.of(Entries.decode("a"), Entries.decode("b")));
+        mDirectory.replaceAll(List.of(TestUpstreams.decode("a"), TestUpstreams.decode("b")));
         stream();
         mPort.mRuns.get(0).mListener.onFailure(AttemptEnd.lost("reset"));
         assertEquals(mPort.mRuns.size(), 1);
@@ -285,8 +294,9 @@
     @Test
     public void aRunWhoseAnswerWasLostGoesOnWhereItsPromptIs() {
         mContext.budget().limit(0, 10);
-        UpstreamEntry prefill = Entries.prefill("p");
-        mDirectory.replaceAll(List.of(prefill, Entries.decode("a"), Entries.decode("b")));
+        UpstreamEntry prefill = TestUpstreams.prefill("p");
+        mDirectory.replaceAll(
+                List.of(prefill, TestUpstreams.decode("a"), TestUpstreams.decode("b")));
         stream(Route.Kind.RESUMABLE_STREAM);
         mPort.mPrefills.get(0).onResult(new UpstreamPort.StoredPrompt(prefill, "handle"));
         UpstreamPort.RunListener run = mPort.mRuns.get(0).mListener;
@@ -303,7 +313,7 @@
     @Test
     public void aStreamThatGoesOnNeedsRoomForWhatWasMadeToo() {
         mContext.budget().limit(0, 10);
-        mDirectory.replaceAll(List.of(Entries.decode("a"), Entries.decode("b")));
+        mDirectory.replaceAll(List.of(TestUpstreams.decode("a"), TestUpstreams.decode("b")));
         stream(Route.Kind.RESUMABLE_STREAM);
         UpstreamPort.RunListener run = mPort.mRuns.get(0).mListener;
         run.onHead(head(UpstreamPort.Verdict.SUCCESS));
@@ -320,8 +330,9 @@
     @Test
     public void aPromptThatASilentEngineMayNeverHaveFetchedIsReadElsewhere() {
         mContext.budget().limit(0, 10);
-        UpstreamEntry prefill = Entries.prefill("p");
-        mDirectory.replaceAll(List.of(prefill, Entries.decode("a"), Entries.decode("b")));
+        UpstreamEntry prefill = TestUpstreams.prefill("p");
+        mDirectory.replaceAll(
+                List.of(prefill, TestUpstreams.decode("a"), TestUpstreams.decode("b")));
         stream(Route.Kind.RESUMABLE_STREAM, 2);
         mPort.mPrefills.get(0).onResult(new UpstreamPort.StoredPrompt(prefill, "handle"));
         mTime.pass(ServingSettings.STREAM_SILENCE_MILLIS + 1);
@@ -335,7 +346,7 @@
     @Test
     public void anEngineThatLosesEveryAnswerIsLeft() {
         mContext.budget().limit(0, 10);
-        mDirectory.replaceAll(List.of(Entries.decode("a"), Entries.decode("b")));
+        mDirectory.replaceAll(List.of(TestUpstreams.decode("a"), TestUpstreams.decode("b")));
         stream(Route.Kind.RESUMABLE_STREAM);
         for (int run = 0; run <= KeptPrompt.MOST_REPEATS; run++) {
             mPort.mRuns.get(run).mListener.onFailure(AttemptEnd.lost("reset"));
@@ -347,7 +358,7 @@
 
     @Test
     public void aLostRunIsNotRepeatedWithoutAnExtraCall() {
-        mDirectory.replaceAll(List.of(Entries.decode("a"), Entries.decode("b")));
+        mDirectory.replaceAll(List.of(TestUpstreams.decode("a"), TestUpstreams.decode("b")));
         stream(Route.Kind.RESUMABLE_STREAM);
         mPort.mRuns.get(0).mListener.onFailure(AttemptEnd.lost("reset"));
         assertEquals(mPort.mRuns.size(), 1);
@@ -357,9 +368,9 @@
     @Test
     public void aLostRunEndsTruthfullyWhereItsEngineIsGone() {
         mContext.budget().limit(0, 10);
-        mDirectory.replaceAll(List.of(Entries.decode("a")));
+        mDirectory.replaceAll(List.of(TestUpstreams.decode("a")));
         stream(Route.Kind.RESUMABLE_STREAM);
-        mPort.mFull.add(Entries.decode("a").incarnation());
+        mPort.mFull.add(TestUpstreams.decode("a").incarnation());
         mPort.mRuns.get(0).mListener.onFailure(AttemptEnd.lost("reset"));
         assertEquals(mPort.mRuns.size(), 1);
         assertEquals(mCaller.mRefusal, ResultCode.OUTCOME_UNKNOWN);
@@ -368,7 +379,8 @@
 
     @Test
     public void anUpstreamThatCannotBeReachedIsNoAttempt() {
-        mDirectory.replaceAll(List.of(Entries.plain("a", "hall-a"), Entries.plain("b", "hall-a")));
+        mDirectory.replaceAll(
+                List.of(TestUpstreams.plain("a", "hall-a"), TestUpstreams.plain("b", "hall-a")));
         plain();
         mPort.mRuns.get(0).mListener.onFailure(AttemptEnd.unreached("refused"));
         assertEquals(mPort.mRuns.size(), 2);
@@ -381,7 +393,8 @@
 
     @Test
     public void aRefusalWithProofIsAnAttemptAndToldAsNotRun() {
-        mDirectory.replaceAll(List.of(Entries.plain("a", "hall-a"), Entries.plain("b", "hall-a")));
+        mDirectory.replaceAll(
+                List.of(TestUpstreams.plain("a", "hall-a"), TestUpstreams.plain("b", "hall-a")));
         plain();
         mPort.mRuns.get(0).mListener.onHead(head(UpstreamPort.Verdict.NOT_STARTED));
         mPort.mRuns.get(0).mListener.onEnd();
@@ -391,7 +404,7 @@
 
     @Test
     public void aCallerThatLeavesEndsTheRunAndFreesTheMemory() {
-        mDirectory.replaceAll(List.of(Entries.decode("a")));
+        mDirectory.replaceAll(List.of(TestUpstreams.decode("a")));
         stream();
         assertEquals(mContext.loads().uses().size(), 1);
         mCaller.leave();
@@ -401,7 +414,7 @@
 
     @Test
     public void aCallerThatLeavesBeforeTheLoadOfOthersIsKnownReachesNobody() {
-        mDirectory.replaceAll(List.of(Entries.decode("a"), Entries.plain("b", "hall")));
+        mDirectory.replaceAll(List.of(TestUpstreams.decode("a"), TestUpstreams.plain("b", "hall")));
         mHeld = new ArrayList<>();
         stream();
         mCaller.leave();
@@ -415,7 +428,7 @@
 
     @Test
     public void aRequestWhoseDeadlinePassesBeforeTheLoadOfOthersIsKnownIsRefusedAsNotRun() {
-        mDirectory.replaceAll(List.of(Entries.plain("b", "hall")));
+        mDirectory.replaceAll(List.of(TestUpstreams.plain("b", "hall")));
         mHeld = new ArrayList<>();
         plain();
         mTime.pass(10_000);
@@ -426,7 +439,7 @@
 
     @Test
     public void aStreamThatEndsInsideAnEventIsCut() {
-        mDirectory.replaceAll(List.of(Entries.decode("a")));
+        mDirectory.replaceAll(List.of(TestUpstreams.decode("a")));
         stream();
         UpstreamPort.RunListener run = mPort.mRuns.get(0).mListener;
         run.onHead(head(UpstreamPort.Verdict.SUCCESS));
@@ -446,18 +459,19 @@
     }
 
     private void restart(UpstreamEntry upstream) {
-        UpstreamEntry later = Entries.startedAt(upstream, upstream.incarnation().startMillis() + 1);
+        UpstreamEntry later =
+                TestUpstreams.startedAt(upstream, upstream.incarnation().startMillis() + 1);
         mDirectory.change(later.id(), Optional.of(later));
     }
 
     private static UpstreamEntry started(UpstreamEntry upstream) {
-        return Entries.startedAt(upstream, 1_771_580_250_000L);
+        return TestUpstreams.startedAt(upstream, 1_771_580_250_000L);
     }
 
     @Test
     public void aOnceOnlyRequestOfAnEarlierStartEndsTruthfullyAtOnce() {
-        UpstreamEntry upstream = started(Entries.plain("a", "hall-a"));
-        mDirectory.replaceAll(List.of(upstream, Entries.plain("b", "hall-a")));
+        UpstreamEntry upstream = started(TestUpstreams.plain("a", "hall-a"));
+        mDirectory.replaceAll(List.of(upstream, TestUpstreams.plain("b", "hall-a")));
         mDirectory.change(new UpstreamId("b"), Optional.empty());
         plain();
         restart(upstream);
@@ -471,11 +485,11 @@
     @Test
     public void aRepeatableRequestOfAnEarlierStartGoesOnElsewhereAtOnce() {
         mContext.budget().limit(0, 10);
-        UpstreamEntry upstream = started(Entries.plain("a", "hall-a"));
+        UpstreamEntry upstream = started(TestUpstreams.plain("a", "hall-a"));
         mDirectory.replaceAll(List.of(upstream));
         new PlainExecution(mContext, request(), route(Route.Kind.REPEATABLE, 2), "service", mCaller)
                 .begin();
-        mDirectory.change(new UpstreamId("b"), Optional.of(Entries.plain("b", "hall-a")));
+        mDirectory.change(new UpstreamId("b"), Optional.of(TestUpstreams.plain("b", "hall-a")));
         restart(upstream);
         assertEquals(mPort.mRuns.size(), 2);
         assertNull(mCaller.mRefusal);
@@ -484,15 +498,15 @@
     @Test
     public void aStreamOfAnEarlierStartGoesOnElsewhereAndReadsItsPromptAnew() {
         mContext.budget().limit(0, 10);
-        UpstreamEntry prefill = Entries.prefill("p");
-        UpstreamEntry engine = started(Entries.decode("a"));
+        UpstreamEntry prefill = TestUpstreams.prefill("p");
+        UpstreamEntry engine = started(TestUpstreams.decode("a"));
         mDirectory.replaceAll(List.of(prefill, engine));
         stream(Route.Kind.RESUMABLE_STREAM, 2);
         mPort.mPrefills.get(0).onResult(new UpstreamPort.StoredPrompt(prefill, "handle"));
         UpstreamPort.RunListener run = mPort.mRuns.get(0).mListener;
         run.onHead(head(UpstreamPort.Verdict.SUCCESS));
         run.onPart("id: 1\ndata: a\n\n".getBytes(StandardCharsets.UTF_8));
-        mDirectory.change(new UpstreamId("b"), Optional.of(Entries.decode("b")));
+        mDirectory.change(new UpstreamId("b"), Optional.of(TestUpstreams.decode("b")));
         restart(engine);
         mPort.mPrefills.get(1).onResult(new UpstreamPort.StoredPrompt(prefill, "other"));
         assertEquals(mPort.mRuns.size(), 2);
@@ -504,8 +518,9 @@
     @Test
     public void aPromptThatAnEarlierStartReadIsNotAskedForByItsHandle() {
         mContext.budget().limit(0, 10);
-        UpstreamEntry prefill = started(Entries.prefill("p"));
-        mDirectory.replaceAll(List.of(prefill, Entries.decode("a"), Entries.decode("b")));
+        UpstreamEntry prefill = started(TestUpstreams.prefill("p"));
+        mDirectory.replaceAll(
+                List.of(prefill, TestUpstreams.decode("a"), TestUpstreams.decode("b")));
         stream(Route.Kind.RESUMABLE_STREAM, 2);
         mPort.mPrefills.get(0).onResult(new UpstreamPort.StoredPrompt(prefill, "handle"));
         restart(prefill);
@@ -515,13 +530,13 @@
 
     @Test
     public void whatIsToldOfAnEarlierStartEndsNothing() {
-        UpstreamEntry upstream = started(Entries.plain("a", "hall-a"));
+        UpstreamEntry upstream = started(TestUpstreams.plain("a", "hall-a"));
         mDirectory.replaceAll(List.of(upstream));
         plain();
         UpstreamEntry before =
-                Entries.startedAt(upstream, upstream.incarnation().startMillis() - 1);
+                TestUpstreams.startedAt(upstream, upstream.incarnation().startMillis() - 1);
         mDirectory.change(before.id(), Optional.of(before));
-        UpstreamEntry untold = Entries.plain("a", "hall-a");
+        UpstreamEntry untold = TestUpstreams.plain("a", "hall-a");
         mDirectory.change(untold.id(), Optional.of(untold));
         assertNull(mCaller.mRefusal);
         assertEquals(mDirectory.usable("service"), List.of(upstream));
@@ -534,24 +549,24 @@
      */
     @Test
     public void aRunDoesNotGoToAnEngineThatLeftWhileItsPromptWasRead() {
-        UpstreamEntry prefill = Entries.prefill("p");
-        mDirectory.replaceAll(List.of(prefill, Entries.decode("a")));
+        UpstreamEntry prefill = TestUpstreams.prefill("p");
+        mDirectory.replaceAll(List.of(prefill, TestUpstreams.decode("a")));
         stream();
-        mDirectory.replaceAll(List.of(prefill, Entries.decode("b")));
+        mDirectory.replaceAll(List.of(prefill, TestUpstreams.decode("b")));
         UpstreamPort.StoredPrompt prompt = new UpstreamPort.StoredPrompt(prefill, "handle");
         mPort.mPrefills.get(0).onResult(prompt);
         assertEquals(mPort.mRuns.size(), 1);
-        assertEquals(mPort.mRuns.get(0).mUpstream, Entries.decode("b"));
+        assertEquals(mPort.mRuns.get(0).mUpstream, TestUpstreams.decode("b"));
         assertEquals(mPort.mRuns.get(0).mPlan.prompt(), Optional.of(prompt));
         assertEquals(mPort.mReleased, List.of("place at a"));
-        assertEquals(mContext.loads().tokens(Entries.decode("a")), 0);
+        assertEquals(mContext.loads().tokens(TestUpstreams.decode("a")), 0);
         assertEquals(mPort.mPrefills.size(), 1);
     }
 
     @Test
     public void aRequestWhoseOnlyEngineLeftWhileItsPromptWasReadIsRefusedAtOnce() {
-        UpstreamEntry prefill = Entries.prefill("p");
-        mDirectory.replaceAll(List.of(prefill, Entries.decode("a")));
+        UpstreamEntry prefill = TestUpstreams.prefill("p");
+        mDirectory.replaceAll(List.of(prefill, TestUpstreams.decode("a")));
         stream();
         mDirectory.replaceAll(List.of(prefill));
         mPort.mPrefills.get(0).onResult(new UpstreamPort.StoredPrompt(prefill, "handle"));
@@ -577,8 +592,8 @@
 
     @Test
     public void aRequestGoesToAnUpstreamThatIsNotAtItsRate() {
-        UpstreamEntry need = Entries.plain("need", "hall-a");
-        UpstreamEntry other = Entries.plain("other", "hall-b");
+        UpstreamEntry need = TestUpstreams.plain("need", "hall-a");
+        UpstreamEntry other = TestUpstreams.plain("other", "hall-b");
         mDirectory.replaceAll(List.of(need, other));
         fill(need);
         for (int call = 0; call < 5; call++) {
@@ -590,7 +605,7 @@
 
     @Test
     public void whereAllUpstreamsAreAtTheirRatesARequestIsRefusedAtOnce() {
-        UpstreamEntry need = Entries.plain("need", "hall-a");
+        UpstreamEntry need = TestUpstreams.plain("need", "hall-a");
         mDirectory.replaceAll(List.of(need));
         fill(need);
         plain();
@@ -602,8 +617,8 @@
 
     @Test
     public void aSilentCallIsKeptWhereTheOtherUpstreamIsAtItsRate() {
-        UpstreamEntry silent = Entries.plain("silent", "hall-a");
-        UpstreamEntry need = Entries.plain("need", "hall-b");
+        UpstreamEntry silent = TestUpstreams.plain("silent", "hall-a");
+        UpstreamEntry need = TestUpstreams.plain("need", "hall-b");
         mContext.budget().limit(0, 1);
         mDirectory.replaceAll(List.of(silent, need));
         fill(need);
@@ -616,8 +631,8 @@
 
     @Test
     public void aPromptIsReadAtAnEngineThatIsNotAtItsRate() {
-        UpstreamEntry need = Entries.prefill("need");
-        mDirectory.replaceAll(List.of(need, Entries.decode("d")));
+        UpstreamEntry need = TestUpstreams.prefill("need");
+        mDirectory.replaceAll(List.of(need, TestUpstreams.decode("d")));
         fill(need);
         stream();
         assertEquals(mPort.mPrefills.size(), 0);
--- a/troutpier-daemon/src/test/java/org/troutpier/daemon/serving/FailingEnginesTest.java
+++ b/troutpier-daemon/src/test/java/org/troutpier/daemon/serving/FailingEnginesTest.java
@@ -50,10 +50,10 @@
         for (int router = 0; router < ROUTERS; router++) {
             PeerLoads peers = new PeerLoads();
             mPeers.add(peers);
-            mRouters.add(new UpstreamLoads(mTime.loop(), random, Entries.HALL, peers));
+            mRouters.add(new UpstreamLoads(mTime.loop(), random, TestUpstreams.HALL, peers));
         }
         for (int engine = 0; engine < ENGINES; engine++) {
-            mEngines.add(Entries.decode("engine-" + engine));
+            mEngines.add(TestUpstreams.decode("engine-" + engine));
         }
         play(random, 3000, PER_SECOND / 2, 0);
         int lost = play(random, 6000, PER_SECOND, FAILING);
@@ -122,7 +122,7 @@
             mPeers.get(router)
                     .heard(
                             new Incarnation("relay~1"),
-                            Entries.HALL,
+                            TestUpstreams.HALL,
                             ReportScope.OWN,
                             LoadReport.NONE.plus(others),
                             mTime.millis());
--- a/troutpier-daemon/src/test/java/org/troutpier/daemon/serving/ReturningRequestsTest.java
+++ b/troutpier-daemon/src/test/java/org/troutpier/daemon/serving/RecentRefusalsTest.java
@@ -7,19 +7,19 @@
 import org.testng.annotations.Test;
 
 /** How refused requests are known again. */
-public final class ReturningRequestsTest {
+public final class RecentRefusalsTest {
 
     @Test
     public void aRequestThatWasRefusedIsKnownForAWhile() {
-        ReturningRequests returning = new ReturningRequests();
-        PromptShape prompt =
-                new PromptShape(
+        RecentRefusals returning = new RecentRefusals();
+        PromptMetadata prompt =
+                new PromptMetadata(
                         "m",
                         300,
                         10,
                         List.of(
-                                new PromptShape.Part("shared", 100),
-                                new PromptShape.Part("own", 200)));
+                                new PromptMetadata.Part("shared", 100),
+                                new PromptMetadata.Part("own", 200)));
         assertFalse(returning.comesBack(prompt, 1000));
         returning.refused(prompt, 1000);
         assertTrue(returning.comesBack(prompt, 5000));
@@ -28,9 +28,9 @@
 
     @Test
     public void refusalsOfOtherRoutersAreKnownAndOldOnesForgotten() {
-        ReturningRequests returning = new ReturningRequests();
-        PromptShape prompt =
-                new PromptShape("m", 300, 10, List.of(new PromptShape.Part("own", 300)));
+        RecentRefusals returning = new RecentRefusals();
+        PromptMetadata prompt =
+                new PromptMetadata("m", 300, 10, List.of(new PromptMetadata.Part("own", 300)));
         returning.remember("own", 1000);
         assertTrue(returning.comesBack(prompt, 1001));
         for (int other = 0; other < 100; other++) {
--- a/troutpier-daemon/src/test/java/org/troutpier/daemon/serving/ReportedUseTest.java
+++ b/troutpier-daemon/src/test/java/org/troutpier/daemon/serving/ReportedUseTest.java
@@ -26,7 +26,7 @@
 
     private static final Incarnation PEER = new Incarnation("peer~1");
 
-    private final UpstreamEntry mEngine = Entries.decode("engine");
+    private final UpstreamEntry mEngine = TestUpstreams.decode("engine");
     private ManualTime mTime;
     private PeerLoads mPeers;
     private UpstreamLoads mLoads;
@@ -55,7 +55,7 @@
     void start() {
         mTime = new ManualTime();
         mPeers = new PeerLoads();
-        mLoads = new UpstreamLoads(mTime.loop(), new Random(1), Entries.HALL, mPeers);
+        mLoads = new UpstreamLoads(mTime.loop(), new Random(1), TestUpstreams.HALL, mPeers);
         mReports = new FakeReports();
     }
 
@@ -124,7 +124,7 @@
                         Map.of(),
                         UseReport.NONE,
                         Map.of());
-        mPeers.heard(PEER, Entries.HALL, ReportScope.OWN, report, mTime.millis());
+        mPeers.heard(PEER, TestUpstreams.HALL, ReportScope.OWN, report, mTime.millis());
         mPeers.sum(mTime.millis());
     }
 
--- a/troutpier-daemon/src/test/java/org/troutpier/daemon/serving/PlaceAllocatorTest.java
+++ b/troutpier-daemon/src/test/java/org/troutpier/daemon/serving/ReservationAllocatorTest.java
@@ -29,7 +29,7 @@
 import org.troutpier.daemon.organisation.UseReport;
 
 /** How places at decode engines are found. */
-public final class PlaceAllocatorTest {
+public final class ReservationAllocatorTest {
 
     private static final long MEMORY = 100_000;
     private static final long PROMPT = 5000;
@@ -37,14 +37,14 @@
     private static final double MARGIN = 16_000;
     private static final Asker ASKER = new Asker(1, Asker.NOBODY);
 
-    private final UpstreamEntry mFirst = Entries.decode("first");
-    private final UpstreamEntry mSecond = Entries.decode("second");
+    private final UpstreamEntry mFirst = TestUpstreams.decode("first");
+    private final UpstreamEntry mSecond = TestUpstreams.decode("second");
     private ManualTime mTime;
     private FakePort mPort;
     private PeerLoads mPeers;
     private UpstreamLoads mLoads;
     private UpstreamRates mRates;
-    private PlaceAllocator mAllocator;
+    private ReservationAllocator mAllocator;
     private UpstreamEntry mGranted;
     private String mRefused;
 
@@ -53,7 +53,7 @@
         mTime = new ManualTime();
         mPort = new FakePort();
         mPeers = new PeerLoads();
-        mLoads = new UpstreamLoads(mTime.loop(), new Random(1), Entries.HALL, mPeers);
+        mLoads = new UpstreamLoads(mTime.loop(), new Random(1), TestUpstreams.HALL, mPeers);
         mRates =
                 new UpstreamRates(
                         mTime.loop(),
@@ -69,26 +69,26 @@
                         new UpstreamNotices(mTime.loop(), new Random(1), new MetricRegistry()),
                         new Random(1));
         mAllocator =
-                new PlaceAllocator(
+                new ReservationAllocator(
                         mTime.loop(), mPort, mLoads, admission, Runnable::run, new Random(1));
         mGranted = null;
         mRefused = null;
     }
 
-    private PlaceAllocator.Search find(long waitMillis) {
+    private ReservationAllocator.Search find(long waitMillis) {
         return find(waitMillis, Standing.IN_TIME);
     }
 
-    private PlaceAllocator.Search find(long waitMillis, Standing standing) {
+    private ReservationAllocator.Search find(long waitMillis, Standing standing) {
         return find(waitMillis, standing, () -> List.of(mFirst, mSecond));
     }
 
-    private PlaceAllocator.Search find(
+    private ReservationAllocator.Search find(
             long waitMillis, Standing standing, Supplier<List<UpstreamEntry>> engines) {
         return mAllocator.find(
-                new PlaceAllocator.Wanted(
+                new ReservationAllocator.Wanted(
                         ASKER, PROMPT, MOST, MARGIN, MEMORY, 2000, waitMillis, standing, engines),
-                new PlaceAllocator.Listener() {
+                new ReservationAllocator.Listener() {
                     @Override
                     public void granted(UpstreamEntry engine, Optional<UpstreamPort.Place> place) {
                         mGranted = engine;
@@ -118,7 +118,7 @@
                         Map.of());
         Incarnation peer = new Incarnation("peer~1");
         assertEquals(peer.instance(), new InstanceId("peer"));
-        mPeers.heard(peer, Entries.HALL, ReportScope.OWN, report, mTime.millis());
+        mPeers.heard(peer, TestUpstreams.HALL, ReportScope.OWN, report, mTime.millis());
         mPeers.sum(mTime.millis());
     }
 
@@ -165,7 +165,7 @@
     @Test
     public void anEngineWhoseSlotsAreAllKnownToBeTakenIsNotAsked() {
         peersUse(1000, 2000);
-        for (int call = 1; call < Entries.SLOTS; call++) {
+        for (int call = 1; call < TestUpstreams.SLOTS; call++) {
             mLoads.begin(mFirst, 10);
         }
         find(200);
@@ -202,7 +202,7 @@
     @Test
     public void aPlaceThatComesAfterTheSearchWasStoppedIsGivenBack() {
         mPort.mHoldsBack = true;
-        PlaceAllocator.Search search = find(200);
+        ReservationAllocator.Search search = find(200);
         search.stop();
         mPort.mWaiting.onResult(new UpstreamPort.Place("late"));
         assertEquals(mPort.mReleased, List.of("late"));
@@ -232,7 +232,7 @@
         List<Standing> order = new ArrayList<>();
         for (Standing standing : List.of(Standing.LATE, Standing.CONTINUED, Standing.IN_TIME)) {
             mAllocator.find(
-                    new PlaceAllocator.Wanted(
+                    new ReservationAllocator.Wanted(
                             ASKER,
                             PROMPT,
                             MOST,
@@ -242,7 +242,7 @@
                             1000,
                             standing,
                             () -> List.of(mFirst)),
-                    new PlaceAllocator.Listener() {
+                    new ReservationAllocator.Listener() {
                         @Override
                         public void granted(
                                 UpstreamEntry engine, Optional<UpstreamPort.Place> place) {
@@ -278,7 +278,7 @@
 
     private void wait(String organisation, List<String> order) {
         mAllocator.find(
-                new PlaceAllocator.Wanted(
+                new ReservationAllocator.Wanted(
                         new Asker(1, new PartnerId(organisation)),
                         PROMPT,
                         MOST,
@@ -288,7 +288,7 @@
                         1000,
                         Standing.IN_TIME,
                         () -> List.of(mFirst)),
-                new PlaceAllocator.Listener() {
+                new ReservationAllocator.Listener() {
                     @Override
                     public void granted(UpstreamEntry engine, Optional<UpstreamPort.Place> place) {
                         order.add(organisation);
--- a/troutpier-daemon/src/test/java/org/troutpier/daemon/serving/Entries.java
+++ b/troutpier-daemon/src/test/java/org/troutpier/daemon/serving/TestUpstreams.java
@@ -6,14 +6,14 @@
 import org.troutpier.daemon.directory.UpstreamEntry;
 
 /** Makes upstreams for tests. */
-final class Entries {
+final class TestUpstreams {
 
     static final HallId HALL = new HallId("hall-a");
 
     /** How many requests each works on at once. */
     static final int SLOTS = 10;
 
-    private Entries() {}
+    private TestUpstreams() {}
 
     static UpstreamEntry plain(String id, String hall) {
         return entry(id, hall, UpstreamEntry.Role.PLAIN);
--- a/troutpier-daemon/src/test/java/org/troutpier/daemon/serving/UpstreamLoadsTest.java
+++ b/troutpier-daemon/src/test/java/org/troutpier/daemon/serving/UpstreamLoadsTest.java
@@ -23,8 +23,8 @@
 /** Which upstream a call goes to. */
 public final class UpstreamLoadsTest {
 
-    private final UpstreamEntry mNear = Entries.plain("near", "hall-a");
-    private final UpstreamEntry mFar = Entries.plain("far", "hall-b");
+    private final UpstreamEntry mNear = TestUpstreams.plain("near", "hall-a");
+    private final UpstreamEntry mFar = TestUpstreams.plain("far", "hall-b");
     private ManualTime mTime;
     private PeerLoads mPeers;
     private UpstreamLoads mLoads;
@@ -33,7 +33,7 @@
     void start() {
         mTime = new ManualTime();
         mPeers = new PeerLoads();
-        mLoads = new UpstreamLoads(mTime.loop(), new Random(1), Entries.HALL, mPeers);
+        mLoads = new UpstreamLoads(mTime.loop(), new Random(1), TestUpstreams.HALL, mPeers);
     }
 
     private Optional<UpstreamEntry> pick() {
@@ -66,7 +66,11 @@
                         UseReport.NONE,
                         Map.of());
         mPeers.heard(
-                new Incarnation("peer~1"), Entries.HALL, ReportScope.OWN, report, mTime.millis());
+                new Incarnation("peer~1"),
+                TestUpstreams.HALL,
+                ReportScope.OWN,
+                report,
+                mTime.millis());
         mPeers.sum(mTime.millis());
         assertEquals(pick().get(), mFar);
         mPeers.sum(mTime.millis() + 10_000);
@@ -88,12 +92,12 @@
 
     @Test
     public void anUpstreamThatWasReplacedIsPassedOverUntilItsEntryLapsesOrChangesItsRole() {
-        UpstreamEntry engine = Entries.decode("engine");
-        UpstreamEntry other = Entries.decode("other");
+        UpstreamEntry engine = TestUpstreams.decode("engine");
+        UpstreamEntry other = TestUpstreams.decode("other");
         mLoads.begin(other, 1000);
         mLoads.replaced(engine);
         assertEquals(mLoads.byTokens(List.of(engine, other), Set.of()), List.of(other));
-        UpstreamEntry changed = Entries.prefill("engine");
+        UpstreamEntry changed = TestUpstreams.prefill("engine");
         assertEquals(mLoads.byTokens(List.of(changed), Set.of()), List.of(changed));
         mTime.pass(3900);
         assertEquals(mLoads.byTokens(List.of(engine, other), Set.of()), List.of(other));
@@ -103,8 +107,8 @@
 
     @Test
     public void anEngineThatRefusesRunsIsPassedOverThoughItLooksIdle() {
-        UpstreamEntry idle = Entries.decode("idle");
-        UpstreamEntry busy = Entries.decode("busy");
+        UpstreamEntry idle = TestUpstreams.decode("idle");
+        UpstreamEntry busy = TestUpstreams.decode("busy");
         List<UpstreamEntry> engines = List.of(idle, busy);
         mLoads.begin(busy, 5000);
         mLoads.runRefused(idle);
@@ -123,8 +127,8 @@
 
     @Test
     public void anEngineThatRefusesAnotherRoutersRunsIsPassedOver() {
-        UpstreamEntry idle = Entries.decode("idle");
-        UpstreamEntry busy = Entries.decode("busy");
+        UpstreamEntry idle = TestUpstreams.decode("idle");
+        UpstreamEntry busy = TestUpstreams.decode("busy");
         mLoads.begin(busy, 5000);
         LoadReport report =
                 new LoadReport(
@@ -139,15 +143,19 @@
                         UseReport.NONE,
                         Map.of());
         mPeers.heard(
-                new Incarnation("peer~1"), Entries.HALL, ReportScope.OWN, report, mTime.millis());
+                new Incarnation("peer~1"),
+                TestUpstreams.HALL,
+                ReportScope.OWN,
+                report,
+                mTime.millis());
         mPeers.sum(mTime.millis());
         assertEquals(mLoads.byTokens(List.of(idle, busy), Set.of()), List.of(busy));
     }
 
     @Test
     public void whereAllEnginesRefuseRunsTheLeastUsedIsAskedAllTheSame() {
-        UpstreamEntry idle = Entries.decode("idle");
-        UpstreamEntry busy = Entries.decode("busy");
+        UpstreamEntry idle = TestUpstreams.decode("idle");
+        UpstreamEntry busy = TestUpstreams.decode("busy");
         mLoads.begin(busy, 5000);
         for (int refusal = 0; refusal < 3; refusal++) {
             mLoads.runRefused(idle);
@@ -184,7 +192,7 @@
 
     @Test
     public void anEngineInWhosePlaceAnotherAnswersIsToldToAllAtOnce() {
-        UpstreamEntry engine = Entries.decode("crashed");
+        UpstreamEntry engine = TestUpstreams.decode("crashed");
         AtomicInteger told = new AtomicInteger();
         mLoads.onUrgent(told::incrementAndGet);
         mLoads.replaced(engine);
--- a/troutpier-daemon/src/test/java/org/troutpier/daemon/serving/UpstreamRateSimulation.java
+++ b/troutpier-daemon/src/test/java/org/troutpier/daemon/serving/UpstreamRateSimulation.java
@@ -112,7 +112,7 @@
         double mTaken;
 
         Upstream(String id) {
-            mEntry = Entries.plain(id, "hall-a");
+            mEntry = TestUpstreams.plain(id, "hall-a");
         }
 
         boolean limited() {
--- a/troutpier-daemon/src/test/java/org/troutpier/daemon/serving/UpstreamRatesTest.java
+++ b/troutpier-daemon/src/test/java/org/troutpier/daemon/serving/UpstreamRatesTest.java
@@ -25,7 +25,7 @@
 /** What is known of the rates that upstreams name. */
 public final class UpstreamRatesTest {
 
-    private static final UpstreamEntry UPSTREAM = Entries.plain("web", "hall-a");
+    private static final UpstreamEntry UPSTREAM = TestUpstreams.plain("web", "hall-a");
     private static final UpstreamIncarnation ID = UPSTREAM.incarnation();
     private static final Asker ASKER = new Asker(1, Asker.NOBODY);
     private static final int STEP_MILLIS = 10;
@@ -122,7 +122,7 @@
 
     @Test
     public void theStartThatFollowsIsNotHeldToTheRate() {
-        UpstreamEntry again = Entries.startedAt(UPSTREAM, 7);
+        UpstreamEntry again = TestUpstreams.startedAt(UPSTREAM, 7);
         answer(AnnouncedRate.of(3.6));
         mRates.heard(again, AnnouncedRate.NONE, UpstreamPort.Verdict.SUCCESS, 0);
         assertEquals(rates(), List.of(3.6));
