--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/cluster/LoadReporter.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/cluster/LoadReporter.java
@@ -128,7 +128,7 @@
             report();
             left = UNCHANGED_MILLIS;
         }
-        mLoop.later(this::repeat, left);
+        mLoop.schedule(this::repeat, left);
     }
 
     /** Reports now. */
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/cluster/LoadView.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/cluster/LoadView.java
@@ -101,7 +101,7 @@
         private void ask() {
             mAsked.inc();
             long number = ++mQuestions;
-            mTimer = mLoop.later(() -> unanswered(number), MOST_MILLIS);
+            mTimer = mLoop.schedule(() -> unanswered(number), MOST_MILLIS);
             mQuestion.accept(() -> mLoop.execute(() -> answered(number)));
         }
 
@@ -124,7 +124,7 @@
             if (mWaiting.isEmpty() || number != mQuestions) {
                 return;
             }
-            mTimer.stop();
+            mTimer.cancel();
             mFreshUntil = mLoop.millis() + FRESH_MILLIS;
             List<Runnable> waiting = mWaiting;
             mWaiting = new ArrayList<>();
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/cluster/ReportPace.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/cluster/ReportPace.java
@@ -84,10 +84,10 @@
             if (mPlannedAt <= at) {
                 return;
             }
-            mPlanned.stop();
+            mPlanned.cancel();
         }
         mPlannedAt = at;
-        mPlanned = mLoop.later(this::look, Math.max(0, at - mLoop.millis()));
+        mPlanned = mLoop.schedule(this::look, Math.max(0, at - mLoop.millis()));
     }
 
     /** Looks. */
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/CrashGuard.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/CrashGuard.java
@@ -120,7 +120,7 @@
      * @return whether it is in quarantine
      */
     boolean withholds(LazyFingerprint content) {
-        boolean withheld = known(content) && mQuarantine.holds(content.fingerprint());
+        boolean withheld = known(content) && mQuarantine.holds(content.get());
         if (withheld) {
             mWithheld.inc();
         }
@@ -145,7 +145,7 @@
      */
     void ranWhole(LazyFingerprint content) {
         if (known(content)) {
-            mQuarantine.ranWhole(content.fingerprint());
+            mQuarantine.ranWhole(content.get());
         }
     }
 
@@ -202,19 +202,19 @@
         Loss(RequestFingerprint request, Consumer<Boolean> judged) {
             mRequest = request;
             mJudged = judged;
-            mTimer = mLoop.later(this::tell, JUDGED_MILLIS);
+            mTimer = mLoop.schedule(this::tell, JUDGED_MILLIS);
         }
 
         /** Takes note that the upstream has ended, which is told a little later. */
         void ended() {
             mEnded = true;
-            mTimer.stop();
-            mTimer = mLoop.later(this::tell, SETTLED_MILLIS);
+            mTimer.cancel();
+            mTimer = mLoop.schedule(this::tell, SETTLED_MILLIS);
         }
 
         /** Tells what is known, the first time. */
         void tell() {
-            mTimer.stop();
+            mTimer.cancel();
             if (!mTold) {
                 mTold = true;
                 mJudged.accept(mEnded);
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/DecodePlace.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/DecodePlace.java
@@ -97,7 +97,7 @@
         mNeededTokens = mPromptTokens + events * mTraits.eventTokens();
         mContext.metrics().waitsForPlace(true);
         mSearch =
-                mContext.places()
+                mContext.reservations()
                         .find(
                                 new ReservationAllocator.Wanted(
                                         mAsker,
@@ -121,7 +121,7 @@
     double predictedMillis(List<UpstreamEntry> engines) {
         UpstreamLoads loads = mContext.loads();
         long used = engines.stream().mapToLong(loads::tokens).sum();
-        long waiting = mContext.places().waitingTokens() + mContext.peers().waitingTokens();
+        long waiting = mContext.reservations().waitingTokens() + mContext.peers().waitingTokens();
         RoomForecast forecast =
                 new RoomForecast(
                         engines.size(),
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/LazyFingerprint.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/LazyFingerprint.java
@@ -44,7 +44,7 @@
      *
      * @return the fingerprint
      */
-    RequestFingerprint fingerprint() {
+    RequestFingerprint get() {
         if (mFingerprint == null) {
             mFingerprint =
                     RequestFingerprint.of(mRequest.host(), mRequest.target(), mRequest.body());
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/PromptReading.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/PromptReading.java
@@ -94,7 +94,7 @@
                 context.demanded(prompt.service())
                         .reading()
                         .predictedMillis(context.loads().tokens(engine) + prompt.tokens());
-        mTimer = context.loop().later(this::silent, patienceMillis());
+        mTimer = context.loop().schedule(this::silent, patienceMillis());
     }
 
     /**
@@ -142,7 +142,7 @@
 
     /** Records that the call is over. */
     private void close() {
-        mTimer.stop();
+        mTimer.cancel();
         if (!mOver) {
             mOver = true;
             mContext.loads().end(mEngine, mPrompt.tokens());
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/RecentRefusals.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/RecentRefusals.java
@@ -27,7 +27,7 @@
      *
      * @param teller takes the key of each refused request, on the traffic loop
      */
-    public void onRefused(Consumer<String> teller) {
+    public void onRefusal(Consumer<String> teller) {
         mTeller = teller;
     }
 
@@ -40,7 +40,7 @@
     void refused(PromptMetadata prompt, long now) {
         String key = prompt.ownPart();
         if (!key.isEmpty()) {
-            remember(key, now);
+            recordPeerRefusal(key, now);
             mTeller.accept(key);
         }
     }
@@ -51,7 +51,7 @@
      * @param key the request's own part
      * @param now the monotonic clock, milliseconds
      */
-    public void remember(String key, long now) {
+    public void recordPeerRefusal(String key, long now) {
         mRefused.put(key, Boolean.TRUE, now);
     }
 
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/ReportedUse.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/ReportedUse.java
@@ -145,7 +145,7 @@
         }
         mHeard = heard;
         look(now < mUntil);
-        mLoop.later(this::look, LOOK_MILLIS);
+        mLoop.schedule(this::look, LOOK_MILLIS);
     }
 
     /**
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/RequestExecution.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/RequestExecution.java
@@ -100,7 +100,7 @@
                         route.timeoutMillis(),
                         request.deadlineMillis() - ServingSettings.ANSWER_MARGIN_MILLIS);
         mDeadline = context.loop().millis() + Math.max(1, held);
-        mTimer = context.loop().later(this::expire, Math.max(1, held));
+        mTimer = context.loop().schedule(this::expire, Math.max(1, held));
         mTrace.input("routersHeard", context.peers().routers());
         request.organisation().ifPresent(organisation -> mTrace.organisation(organisation.id()));
         context.metrics().began();
@@ -139,7 +139,8 @@
             return true;
         }
         double cost = organisation.get().limit().cost(mRequest.tokens());
-        Optional<OrganisationUse.Refusal> refusal = mContext.use().take(organisation.get(), cost);
+        Optional<OrganisationUse.Refusal> refusal =
+                mContext.organisationUse().take(organisation.get(), cost);
         if (refusal.isPresent()) {
             long returnMillis = refusal.get().returnMillis();
             refuse(ResultCode.USE_LIMIT, refusal.get().detail(), returnMillis);
@@ -154,7 +155,8 @@
     private void giveBackUse() {
         if (mCost > 0 && (!mSent || mNotRun)) {
             mRequest.organisation()
-                    .ifPresent(each -> mContext.use().giveBack(each, mCost, mCountedAt));
+                    .ifPresent(
+                            each -> mContext.organisationUse().giveBack(each, mCost, mCountedAt));
         }
     }
 
@@ -255,11 +257,11 @@
             next.accept(false);
             return;
         }
-        mTrace.content(mContent.fingerprint());
-        mContext.crashes()
+        mTrace.content(mContent.get());
+        mContext.crashGuard()
                 .lost(
                         upstream,
-                        mContent.fingerprint(),
+                        mContent.get(),
                         ended -> {
                             if (!mOver) {
                                 next.accept(ended);
@@ -274,12 +276,12 @@
      * @return whether it must not be run, and has ended
      */
     protected boolean withheld() {
-        if (mOver || !mContext.crashes().withholds(mContent)) {
+        if (mOver || !mContext.crashGuard().withholds(mContent)) {
             return false;
         }
-        mTrace.content(mContent.fingerprint());
+        mTrace.content(mContent.get());
         mTrace.notable();
-        String detail = "upstreams ended under what it asks for, " + mContent.fingerprint();
+        String detail = "upstreams ended under what it asks for, " + mContent.get();
         if (streaming()) {
             cut(detail);
         } else {
@@ -369,7 +371,7 @@
      */
     protected void succeeded(UpstreamEntry upstream, String stage, long millis) {
         mContext.loads().succeeded(upstream);
-        mContext.crashes().ranWhole(mContent);
+        mContext.crashGuard().ranWhole(mContent);
         mContext.metrics().succeeded(upstream.id(), stage, millis);
     }
 
@@ -468,7 +470,7 @@
      */
     private void close(String outcome) {
         mOver = true;
-        mTimer.stop();
+        mTimer.cancel();
         giveBackUse();
         mContext.metrics().ended(mRoute.name(), outcome, mTrace.elapsedMillis());
         mContext.decisions().ended(mTrace, outcome);
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/RequestRouter.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/RequestRouter.java
@@ -71,7 +71,7 @@
             refuse(request, caller, code, code.retryAfterSeconds() * MILLIS_PER_SECOND);
             return;
         }
-        mContext.use().configured(configuration.get());
+        mContext.organisationUse().configured(configuration.get());
         String name = route.get().service(mContext.random().nextDouble());
         Optional<Service> service = configuration.get().service(name);
         RequestExecution execution =
@@ -88,7 +88,8 @@
      * @param key the caller's key, if it sent one that can be read
      * @return why the request is refused, or empty to wait for its body
      */
-    public Optional<TroutpierException> screen(String host, String target, Optional<KeyHash> key) {
+    public Optional<TroutpierException> authenticate(
+            String host, String target, Optional<KeyHash> key) {
         Optional<RoutingConfiguration> configuration = mConfiguration.current();
         Optional<TroutpierException> stranger =
                 configuration
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/ReservationAllocator.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/ReservationAllocator.java
@@ -182,7 +182,7 @@
                 .add(wanted.asker().organisation(), search, search.mNumber, wanted.promptTokens());
         if (!mLooking) {
             mLooking = true;
-            mLoop.later(
+            mLoop.schedule(
                     () -> mView.whenFresh(this::look),
                     FULL_MILLIS / 2 + mRandom.nextLong(FULL_MILLIS / 2));
         }
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/ServingContext.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/ServingContext.java
@@ -21,10 +21,10 @@
  * @param loads what is under way at each upstream
  * @param admission admits calls to upstreams by what these announce
  * @param budget bounds extra calls
- * @param places gives out places at decode engines
- * @param use keeps organisations to their limits
- * @param returning which requests were refused lately
- * @param crashes keeps requests from upstreams that have ended several
+ * @param reservations gives out places at decode engines
+ * @param organisationUse keeps organisations to their limits
+ * @param recentRefusals which requests were refused lately
+ * @param crashGuard keeps requests from upstreams that have ended several
  * @param pacer tells refused callers when to come back
  * @param margin how much memory stays free for growth
  * @param readingExcess by how much readings take longer than predicted
@@ -43,10 +43,10 @@
         UpstreamLoads loads,
         UpstreamAdmission admission,
         ExtraCallBudget budget,
-        ReservationAllocator places,
-        OrganisationUse use,
-        RecentRefusals returning,
-        CrashGuard crashes,
+        ReservationAllocator reservations,
+        OrganisationUse organisationUse,
+        RecentRefusals recentRefusals,
+        CrashGuard crashGuard,
         ReturnPacer pacer,
         GrowthMargin margin,
         DelayEstimate readingExcess,
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/StreamExecution.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/StreamExecution.java
@@ -201,7 +201,7 @@
     private boolean comesBack() {
         long now = mContext.loop().millis();
         return mRequest.prompt()
-                .filter(own -> mContext.returning().comesBack(own, now))
+                .filter(own -> mContext.recentRefusals().comesBack(own, now))
                 .isPresent();
     }
 
@@ -361,7 +361,7 @@
             cut(detail);
         } else {
             long now = mContext.loop().millis();
-            mRequest.prompt().ifPresent(own -> mContext.returning().refused(own, now));
+            mRequest.prompt().ifPresent(own -> mContext.recentRefusals().refused(own, now));
             long limit = (long) (leftMillis() * ServingSettings.RETURN_PART);
             long backOff = mContext.admission().backOffMillis(untried());
             refuse(code, detail, backOff + mContext.pacer().next(now, limit));
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/TrafficLoop.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/TrafficLoop.java
@@ -23,7 +23,7 @@
      * @param millis how much later
      * @return the timer, to stop it
      */
-    Timer later(Runnable task, long millis);
+    Timer schedule(Runnable task, long millis);
 
     /**
      * Returns the monotonic clock.
@@ -45,7 +45,7 @@
     interface Timer {
 
         /** Stops the timer; a task that has begun goes on. */
-        void stop();
+        void cancel();
     }
 
     /** A loop on Netty's event loop. Thread safe. */
@@ -71,7 +71,7 @@
 
         /** {@inheritDoc} */
         @Override
-        public Timer later(Runnable task, long millis) {
+        public Timer schedule(Runnable task, long millis) {
             var future = mLoop.schedule(task, millis, TimeUnit.MILLISECONDS);
             return () -> future.cancel(false);
         }
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/UpstreamRun.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/UpstreamRun.java
@@ -65,14 +65,14 @@
     protected void expectWithin(long millis) {
         expectNothing();
         if (!mOver) {
-            mSilence = mContext.loop().later(this::fire, millis);
+            mSilence = mContext.loop().schedule(this::fire, millis);
         }
     }
 
     /** Lets the upstream be silent as long as it likes. */
     protected void expectNothing() {
         if (mSilence != null) {
-            mSilence.stop();
+            mSilence.cancel();
             mSilence = null;
         }
     }
--- a/troutpier-daemon/src/test/java/org/troutpier/daemon/cluster/PeerExchangeTest.java
+++ b/troutpier-daemon/src/test/java/org/troutpier/daemon/cluster/PeerExchangeTest.java
@@ -232,7 +232,7 @@
             mHandedOn += message instanceof PeerMessage.Configuration ? 1 : 0;
             Router other = mRouters.get(to);
             mTime.loop()
-                    .later(
+                    .schedule(
                             () -> {
                                 if (reaches(other)) {
                                     other.note(message);
--- a/troutpier-daemon/src/test/java/org/troutpier/daemon/node/ManualTime.java
+++ b/troutpier-daemon/src/test/java/org/troutpier/daemon/node/ManualTime.java
@@ -75,7 +75,7 @@
             }
 
             @Override
-            public Timer later(Runnable task, long millis) {
+            public Timer schedule(Runnable task, long millis) {
                 Task added = add(task, millis);
                 return () -> added.mAction = () -> {};
             }
--- a/troutpier-daemon/src/test/java/org/troutpier/daemon/role/RoleLeaseTest.java
+++ b/troutpier-daemon/src/test/java/org/troutpier/daemon/role/RoleLeaseTest.java
@@ -247,15 +247,15 @@
             case 1 -> {
                 work.run();
                 contender.mControl.later(() -> {}, delay);
-                mTime.loop().later(answer, 1000);
+                mTime.loop().schedule(answer, 1000);
             }
             case 2 -> {
-                mTime.loop().later(work, 1000 + random.nextInt(6000));
-                mTime.loop().later(answer, 1000);
+                mTime.loop().schedule(work, 1000 + random.nextInt(6000));
+                mTime.loop().schedule(answer, 1000);
             }
             default -> {
                 work.run();
-                mTime.loop().later(answer, delay);
+                mTime.loop().schedule(answer, delay);
             }
         }
     }
--- a/troutpier-daemon/src/test/java/org/troutpier/daemon/serving/RecentRefusalsTest.java
+++ b/troutpier-daemon/src/test/java/org/troutpier/daemon/serving/RecentRefusalsTest.java
@@ -31,10 +31,10 @@
         RecentRefusals returning = new RecentRefusals();
         PromptMetadata prompt =
                 new PromptMetadata("m", 300, 10, List.of(new PromptMetadata.Part("own", 300)));
-        returning.remember("own", 1000);
+        returning.recordPeerRefusal("own", 1000);
         assertTrue(returning.comesBack(prompt, 1001));
         for (int other = 0; other < 100; other++) {
-            returning.remember("other" + other, 20_000);
+            returning.recordPeerRefusal("other" + other, 20_000);
         }
         assertFalse(returning.comesBack(prompt, 20_000));
     }
