--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/CallerChannel.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/CallerChannel.java
@@ -78,7 +78,7 @@
     void onWritable(Runnable action);
 
     /** A caller on an HTTP exchange. Confined to the traffic loop. */
-    final class HttpChannel implements CallerChannel {
+    final class ForHttp implements CallerChannel {
 
         /** The exchange. */
         private final HttpExchange mExchange;
@@ -88,7 +88,7 @@
          *
          * @param exchange the exchange
          */
-        public HttpChannel(HttpExchange exchange) {
+        public ForHttp(HttpExchange exchange) {
             mExchange = exchange;
         }
 
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/RequestExecution.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/RequestExecution.java
@@ -140,7 +140,7 @@
         }
         double cost = organisation.get().limit().cost(mRequest.tokens());
         Optional<OrganisationUse.Refusal> refusal =
-                mContext.organisationUse().take(organisation.get(), cost);
+                mContext.organisationLimiter().take(organisation.get(), cost);
         if (refusal.isPresent()) {
             long returnMillis = refusal.get().returnMillis();
             refuse(ResultCode.USE_LIMIT, refusal.get().detail(), returnMillis);
@@ -156,7 +156,9 @@
         if (mCost > 0 && (!mSent || mNotRun)) {
             mRequest.organisation()
                     .ifPresent(
-                            each -> mContext.organisationUse().giveBack(each, mCost, mCountedAt));
+                            each ->
+                                    mContext.organisationLimiter()
+                                            .giveBack(each, mCost, mCountedAt));
         }
     }
 
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/RequestRouter.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/RequestRouter.java
@@ -71,7 +71,7 @@
             refuse(request, caller, code, code.retryAfterSeconds() * MILLIS_PER_SECOND);
             return;
         }
-        mContext.organisationUse().configured(configuration.get());
+        mContext.organisationLimiter().configured(configuration.get());
         String name = route.get().service(mContext.random().nextDouble());
         Optional<Service> service = configuration.get().service(name);
         RequestExecution execution =
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/ServingContext.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/ServingContext.java
@@ -22,7 +22,7 @@
  * @param admission admits calls to upstreams by what these announce
  * @param budget bounds extra calls
  * @param reservations gives out places at decode engines
- * @param organisationUse keeps organisations to their limits
+ * @param organisationLimiter keeps organisations to their limits
  * @param recentRefusals which requests were refused lately
  * @param crashGuard keeps requests from upstreams that have ended several
  * @param pacer tells refused callers when to come back
@@ -44,7 +44,7 @@
         UpstreamAdmission admission,
         ExtraCallBudget budget,
         ReservationAllocator reservations,
-        OrganisationUse organisationUse,
+        OrganisationUse organisationLimiter,
         RecentRefusals recentRefusals,
         CrashGuard crashGuard,
         ReturnPacer pacer,
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/TrafficLoop.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/TrafficLoop.java
@@ -49,7 +49,7 @@
     }
 
     /** A loop on Netty's event loop. Thread safe. */
-    final class NettyLoop implements TrafficLoop {
+    final class ForNetty implements TrafficLoop {
 
         /** Runs the tasks. */
         private final EventLoop mLoop;
@@ -59,7 +59,7 @@
          *
          * @param loop runs the tasks
          */
-        public NettyLoop(EventLoop loop) {
+        public ForNetty(EventLoop loop) {
             mLoop = loop;
         }
 
