--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/BackOffAwarePort.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/BackOffAwarePort.java
@@ -35,13 +35,13 @@
     /** {@inheritDoc} */
     @Override
     public Call reserve(
-            UpstreamEntry upstream, long tokens, int millis, ResultListener<Place> listener) {
+            UpstreamEntry upstream, long tokens, int millis, ResultListener<Reservation> listener) {
         return port.reserve(upstream, tokens, millis, listener);
     }
 
     /** {@inheritDoc} */
     @Override
-    public void release(UpstreamEntry upstream, Place place) {
+    public void release(UpstreamEntry upstream, Reservation place) {
         if (backOffMillis.applyAsLong(upstream) == 0) {
             port.release(upstream, place);
         }
@@ -57,7 +57,7 @@
 
     /** {@inheritDoc} */
     @Override
-    public void check(UpstreamEntry upstream, Consumer<Listening> listener) {
-        port.check(upstream, listener);
+    public void probe(UpstreamEntry upstream, Consumer<ProbeResult> listener) {
+        port.probe(upstream, listener);
     }
 }
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/CrashGuard.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/CrashGuard.java
@@ -245,7 +245,7 @@
 
         /** Asks the upstream. */
         void ask() {
-            mPort.check(mUpstream, this::answered);
+            mPort.probe(mUpstream, this::answered);
         }
 
         /**
@@ -253,9 +253,9 @@
          *
          * @param listening whether it listens
          */
-        private void answered(UpstreamPort.Listening listening) {
+        private void answered(UpstreamPort.ProbeResult listening) {
             boolean restarted = mDirectory.restarted(mUpstream.incarnation());
-            if (restarted || listening == UpstreamPort.Listening.NO) {
+            if (restarted || listening == UpstreamPort.ProbeResult.NOT_LISTENING) {
                 ended();
             } else {
                 alive();
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/DecodePlace.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/DecodePlace.java
@@ -47,7 +47,7 @@
     private UpstreamEntry mEngine;
 
     /** The place that was set aside there and not used yet. */
-    private Optional<UpstreamPort.Place> mPlace = Optional.empty();
+    private Optional<UpstreamPort.Reservation> mPlace = Optional.empty();
 
     /** What the request takes at the engine, or null. */
     private EngineMemory mMemory;
@@ -167,7 +167,7 @@
      * @param engine where it is
      * @param place the place; empty where engines do not set places aside
      */
-    void take(UpstreamEntry engine, Optional<UpstreamPort.Place> place) {
+    void take(UpstreamEntry engine, Optional<UpstreamPort.Reservation> place) {
         searched();
         mEngine = engine;
         mPlace = place;
@@ -188,8 +188,8 @@
      *
      * @return the place, if one was set aside
      */
-    Optional<UpstreamPort.Place> use() {
-        Optional<UpstreamPort.Place> place = mPlace;
+    Optional<UpstreamPort.Reservation> use() {
+        Optional<UpstreamPort.Reservation> place = mPlace;
         mPlace = Optional.empty();
         return place;
     }
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/PlaceAllocator.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/PlaceAllocator.java
@@ -111,7 +111,7 @@
          * @param engine where it is
          * @param place the place; empty where engines do not set places aside
          */
-        void granted(UpstreamEntry engine, Optional<UpstreamPort.Place> place);
+        void granted(UpstreamEntry engine, Optional<UpstreamPort.Reservation> place);
 
         /**
          * Called when no place was found in time.
@@ -375,7 +375,8 @@
         }
 
         /** Receives an engine's answer. Confined to the traffic loop. */
-        private final class Answer implements UpstreamPort.ResultListener<UpstreamPort.Place> {
+        private final class Answer
+                implements UpstreamPort.ResultListener<UpstreamPort.Reservation> {
 
             /** Who answers. */
             private final UpstreamEntry mEngine;
@@ -400,7 +401,7 @@
 
             /** {@inheritDoc} */
             @Override
-            public void onResult(UpstreamPort.Place place) {
+            public void onResult(UpstreamPort.Reservation place) {
                 if (mOver) {
                     mLoads.end(mEngine, mWanted.promptTokens());
                     mPort.release(mEngine, place);
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/RestartAwarePort.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/RestartAwarePort.java
@@ -81,14 +81,14 @@
     /** {@inheritDoc} */
     @Override
     public Call reserve(
-            UpstreamEntry upstream, long tokens, int millis, ResultListener<Place> listener) {
-        WatchedResult<Place> call = new WatchedResult<>(upstream.incarnation(), listener);
+            UpstreamEntry upstream, long tokens, int millis, ResultListener<Reservation> listener) {
+        WatchedResult<Reservation> call = new WatchedResult<>(upstream.incarnation(), listener);
         return call.begun(mPort.reserve(upstream, tokens, millis, call));
     }
 
     /** {@inheritDoc} */
     @Override
-    public void release(UpstreamEntry upstream, Place place) {
+    public void release(UpstreamEntry upstream, Reservation place) {
         mPort.release(upstream, place);
     }
 
@@ -100,8 +100,8 @@
 
     /** {@inheritDoc} */
     @Override
-    public void check(UpstreamEntry upstream, Consumer<Listening> listener) {
-        mPort.check(upstream, listener);
+    public void probe(UpstreamEntry upstream, Consumer<ProbeResult> listener) {
+        mPort.probe(upstream, listener);
     }
 
     /** A call under way. */
@@ -193,8 +193,8 @@
 
         /** {@inheritDoc} */
         @Override
-        public void read(boolean on) {
-            mCall.read(on);
+        public void setAutoRead(boolean on) {
+            mCall.setAutoRead(on);
         }
     }
 
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/StreamExecution.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/StreamExecution.java
@@ -187,7 +187,7 @@
      * @param engine where it is
      * @param place the place; empty where engines do not set places aside
      */
-    private void take(UpstreamEntry engine, Optional<UpstreamPort.Place> place) {
+    private void take(UpstreamEntry engine, Optional<UpstreamPort.Reservation> place) {
         mPlace.take(engine, place);
         mContext.pacer().granted(mContext.loop().millis());
         mTrace.step("place@" + engine.id() + " known " + mContext.loads().tokens(engine));
@@ -344,7 +344,7 @@
         mRelay.beginRun();
         UpstreamPort.RunPlan plan =
                 UpstreamPort.RunPlan.plain(leftMillis(), priority())
-                        .withPlace(mPlace.use())
+                        .withReservation(mPlace.use())
                         .withResumeAfter(mRelay.last());
         mRun = new StreamRun(engine, prompt);
         mRun.begin(prompt.map(plan::withPrompt).orElse(plan));
@@ -451,7 +451,7 @@
 
         /** {@inheritDoc} */
         @Override
-        public void granted(UpstreamEntry engine, Optional<UpstreamPort.Place> place) {
+        public void granted(UpstreamEntry engine, Optional<UpstreamPort.Reservation> place) {
             mContext.metrics().predicted("place", mPredictedMillis, mPlace.searchedMillis());
             take(engine, place);
             read();
@@ -484,7 +484,7 @@
 
         /** {@inheritDoc} */
         @Override
-        public void granted(UpstreamEntry engine, Optional<UpstreamPort.Place> place) {
+        public void granted(UpstreamEntry engine, Optional<UpstreamPort.Reservation> place) {
             take(engine, place);
             mKept.repeated();
             mTrace.step("prompt still there");
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/UpstreamPort.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/UpstreamPort.java
@@ -50,7 +50,8 @@
      * @param listener receives the place, or the refusal
      * @return the call, to abort it
      */
-    Call reserve(UpstreamEntry upstream, long tokens, int millis, ResultListener<Place> listener);
+    Call reserve(
+            UpstreamEntry upstream, long tokens, int millis, ResultListener<Reservation> listener);
 
     /**
      * Gives a place back that serves nobody; a failure is logged, the place lapses by itself.
@@ -58,7 +59,7 @@
      * @param upstream where it was set aside
      * @param place the place
      */
-    void release(UpstreamEntry upstream, Place place);
+    void release(UpstreamEntry upstream, Reservation place);
 
     /**
      * Frees a prompt's memory that serves nobody; a failure is logged, the memory lapses by itself.
@@ -73,14 +74,14 @@
      * @param upstream the upstream
      * @param listener receives the answer, on the traffic loop
      */
-    void check(UpstreamEntry upstream, Consumer<Listening> listener);
+    void probe(UpstreamEntry upstream, Consumer<ProbeResult> listener);
 
     /** Whether an upstream's process takes connections. */
-    enum Listening {
+    enum ProbeResult {
         /** A connection was taken. */
-        YES,
+        LISTENING,
         /** The upstream's machine says that nothing listens there. */
-        NO,
+        NOT_LISTENING,
         /** Nothing was heard: the machine, or the way to it, may be gone. */
         UNKNOWN
     }
@@ -96,7 +97,7 @@
          *
          * @param on whether to read what it sends
          */
-        void read(boolean on);
+        void setAutoRead(boolean on);
     }
 
     /**
@@ -105,14 +106,14 @@
      * @param deadlineMillis when the upstream is to stop work, from now
      * @param priority the rank, 0 is the most urgent
      * @param prompt where the prompt was read, if elsewhere
-     * @param place the place that was set aside, if any
+     * @param reservation the slot and memory reserved for the run, if any
      * @param resumeAfter the last event that the caller has, where a stream is continued
      */
     record RunPlan(
             long deadlineMillis,
             int priority,
             Optional<StoredPrompt> prompt,
-            Optional<Place> place,
+            Optional<Reservation> reservation,
             OptionalLong resumeAfter) {
 
         /**
@@ -137,7 +138,7 @@
          * @param taken the place
          * @return a new plan
          */
-        public RunPlan withPlace(Optional<Place> taken) {
+        public RunPlan withReservation(Optional<Reservation> taken) {
             return new RunPlan(deadlineMillis, priority, prompt, taken, resumeAfter);
         }
 
@@ -148,7 +149,8 @@
          * @return a new plan
          */
         public RunPlan withPrompt(StoredPrompt stored) {
-            return new RunPlan(deadlineMillis, priority, Optional.of(stored), place, resumeAfter);
+            return new RunPlan(
+                    deadlineMillis, priority, Optional.of(stored), reservation, resumeAfter);
         }
 
         /**
@@ -158,7 +160,7 @@
          * @return a new plan
          */
         public RunPlan withResumeAfter(OptionalLong lastEvent) {
-            return new RunPlan(deadlineMillis, priority, prompt, place, lastEvent);
+            return new RunPlan(deadlineMillis, priority, prompt, reservation, lastEvent);
         }
     }
 
@@ -175,7 +177,7 @@
      *
      * @param token names it there
      */
-    record Place(String token) {}
+    record Reservation(String token) {}
 
     /**
      * The head of an upstream's answer. Immutable by agreement: the headers are not changed.
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/UpstreamRun.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/UpstreamRun.java
@@ -90,7 +90,7 @@
      * @param on whether it may come
      */
     protected void read(boolean on) {
-        mCall.read(on);
+        mCall.setAutoRead(on);
     }
 
     /** Ends the call without hearing more. */
--- a/troutpier-daemon/src/test/java/org/troutpier/daemon/serving/CrashGuardTest.java
+++ b/troutpier-daemon/src/test/java/org/troutpier/daemon/serving/CrashGuardTest.java
@@ -37,7 +37,7 @@
     private List<Boolean> mJudged;
 
     /** The checks that are not answered yet. */
-    private List<Consumer<UpstreamPort.Listening>> mAsked;
+    private List<Consumer<UpstreamPort.ProbeResult>> mAsked;
 
     @BeforeMethod
     void start() {
@@ -57,7 +57,7 @@
         mGuard.lost(mUpstream, request, mJudged::add);
     }
 
-    private void answer(UpstreamPort.Listening listening) {
+    private void answer(UpstreamPort.ProbeResult listening) {
         mAsked.remove(0).accept(listening);
     }
 
@@ -72,7 +72,7 @@
         lost(ONE);
         lost(TWO);
         assertEquals(mAsked.size(), 1);
-        answer(UpstreamPort.Listening.NO);
+        answer(UpstreamPort.ProbeResult.NOT_LISTENING);
         assertEquals(mJudged, List.of());
         mTime.pass(CrashGuard.SETTLED_MILLIS);
         assertEquals(mJudged, List.of(true, true));
@@ -83,7 +83,7 @@
     @Test
     public void whatIsToldLaterIsHeldAgainstItWithoutAskingAgain() {
         lost(ONE);
-        answer(UpstreamPort.Listening.NO);
+        answer(UpstreamPort.ProbeResult.NOT_LISTENING);
         lost(TWO);
         assertEquals(mAsked.size(), 0);
         assertEquals(held(TWO), 1);
@@ -94,7 +94,7 @@
     @Test
     public void aLostAnswerOfAnUpstreamThatListensIsNobodysGuilt() {
         lost(ONE);
-        answer(UpstreamPort.Listening.YES);
+        answer(UpstreamPort.ProbeResult.LISTENING);
         assertEquals(mJudged, List.of(false));
         assertTrue(mQuarantine.isEmpty());
     }
@@ -103,9 +103,9 @@
     public void anAnswerFromBeforeALossSaysNothingOfIt() {
         lost(ONE);
         lost(TWO);
-        answer(UpstreamPort.Listening.YES);
+        answer(UpstreamPort.ProbeResult.LISTENING);
         assertEquals(mJudged, List.of(false));
-        answer(UpstreamPort.Listening.NO);
+        answer(UpstreamPort.ProbeResult.NOT_LISTENING);
         mTime.pass(CrashGuard.JUDGED_MILLIS);
         assertEquals(mJudged, List.of(false, true));
         assertEquals(held(ONE), 0);
@@ -117,7 +117,7 @@
         lost(ONE);
         mTime.pass(CrashGuard.JUDGED_MILLIS);
         assertEquals(mJudged, List.of(false));
-        answer(UpstreamPort.Listening.UNKNOWN);
+        answer(UpstreamPort.ProbeResult.UNKNOWN);
         assertEquals(mJudged, List.of(false));
         assertTrue(mQuarantine.isEmpty());
     }
@@ -126,7 +126,7 @@
     public void anEndThatIsKnownLateIsStillHeldAgainstIt() {
         lost(ONE);
         mTime.pass(CrashGuard.JUDGED_MILLIS);
-        answer(UpstreamPort.Listening.NO);
+        answer(UpstreamPort.ProbeResult.NOT_LISTENING);
         assertEquals(mJudged, List.of(false));
         assertEquals(held(ONE), 1);
     }
@@ -146,7 +146,7 @@
         mDirectory.replaceAll(List.of(first));
         mGuard.lost(first, ONE, mJudged::add);
         mDirectory.replaceAll(List.of(Entries.startedAt(mUpstream, 2)));
-        answer(UpstreamPort.Listening.YES);
+        answer(UpstreamPort.ProbeResult.LISTENING);
         mTime.pass(CrashGuard.JUDGED_MILLIS);
         assertEquals(mJudged, List.of(true));
         assertEquals(held(ONE), 1);
--- a/troutpier-daemon/src/test/java/org/troutpier/daemon/serving/FakePort.java
+++ b/troutpier-daemon/src/test/java/org/troutpier/daemon/serving/FakePort.java
@@ -21,10 +21,10 @@
     final Set<UpstreamIncarnation> mFull = new HashSet<>();
 
     /** Answers whether an upstream listens. */
-    Consumer<Consumer<Listening>> mOnCheck = listener -> listener.accept(Listening.YES);
+    Consumer<Consumer<ProbeResult>> mOnCheck = listener -> listener.accept(ProbeResult.LISTENING);
 
     boolean mHoldsBack;
-    ResultListener<Place> mWaiting;
+    ResultListener<Reservation> mWaiting;
 
     /** A run that was sent. */
     static final class Sent implements Call {
@@ -45,7 +45,7 @@
         }
 
         @Override
-        public void read(boolean on) {}
+        public void setAutoRead(boolean on) {}
     }
 
     @Override
@@ -68,7 +68,7 @@
 
     @Override
     public Call reserve(
-            UpstreamEntry upstream, long tokens, int millis, ResultListener<Place> listener) {
+            UpstreamEntry upstream, long tokens, int millis, ResultListener<Reservation> listener) {
         mAsked.add(upstream);
         mAskedTokens.add(tokens);
         if (mHoldsBack) {
@@ -76,18 +76,18 @@
         } else if (mFull.contains(upstream.incarnation())) {
             listener.onFailure(AttemptEnd.refused(false, "full"));
         } else {
-            listener.onResult(new Place("place at " + upstream.id()));
+            listener.onResult(new Reservation("place at " + upstream.id()));
         }
         return new Sent(upstream, null, null);
     }
 
     @Override
-    public void check(UpstreamEntry upstream, Consumer<Listening> listener) {
+    public void probe(UpstreamEntry upstream, Consumer<ProbeResult> listener) {
         mOnCheck.accept(listener);
     }
 
     @Override
-    public void release(UpstreamEntry upstream, Place place) {
+    public void release(UpstreamEntry upstream, Reservation place) {
         mReleased.add(place.token());
     }
 
--- a/troutpier-daemon/src/test/java/org/troutpier/daemon/serving/PlaceAllocatorTest.java
+++ b/troutpier-daemon/src/test/java/org/troutpier/daemon/serving/PlaceAllocatorTest.java
@@ -90,7 +90,8 @@
                         ASKER, PROMPT, MOST, MARGIN, MEMORY, 2000, waitMillis, standing, engines),
                 new PlaceAllocator.Listener() {
                     @Override
-                    public void granted(UpstreamEntry engine, Optional<UpstreamPort.Place> place) {
+                    public void granted(
+                            UpstreamEntry engine, Optional<UpstreamPort.Reservation> place) {
                         mGranted = engine;
                     }
 
@@ -204,7 +205,7 @@
         mPort.mHoldsBack = true;
         PlaceAllocator.Search search = find(200);
         search.stop();
-        mPort.mWaiting.onResult(new UpstreamPort.Place("late"));
+        mPort.mWaiting.onResult(new UpstreamPort.Reservation("late"));
         assertEquals(mPort.mReleased, List.of("late"));
         assertNull(mGranted);
     }
@@ -245,7 +246,7 @@
                     new PlaceAllocator.Listener() {
                         @Override
                         public void granted(
-                                UpstreamEntry engine, Optional<UpstreamPort.Place> place) {
+                                UpstreamEntry engine, Optional<UpstreamPort.Reservation> place) {
                             order.add(standing);
                         }
 
@@ -290,7 +291,8 @@
                         () -> List.of(mFirst)),
                 new PlaceAllocator.Listener() {
                     @Override
-                    public void granted(UpstreamEntry engine, Optional<UpstreamPort.Place> place) {
+                    public void granted(
+                            UpstreamEntry engine, Optional<UpstreamPort.Reservation> place) {
                         order.add(organisation);
                     }
 
