--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/cluster/LoadReporter.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/cluster/LoadReporter.java
@@ -99,9 +99,9 @@
     public void start() {
         mLoop.execute(
                 () -> {
-                    mLoads.onUrgent(this::report);
-                    mLoads.onChanged(mPace::changed);
-                    mLoads.onGrown(mPace::grown);
+                    mLoads.onUrgentChange(this::report);
+                    mLoads.onChange(mPace::changed);
+                    mLoads.onTokensAdded(mPace::grown);
                     mRoles.onChanging(() -> mLoop.execute(this::rolesChange));
                     repeat();
                 });
@@ -109,13 +109,13 @@
 
     /** Takes the engines that change their role. */
     private void rolesChange() {
-        mLoads.changing(mRoles.changing());
+        mLoads.setChangingEngines(mRoles.changing());
         report();
     }
 
     /** Reports if there is something new to tell. */
     private void look() {
-        Map<UpstreamIncarnation, UpstreamUse> uses = mLoads.uses();
+        Map<UpstreamIncarnation, UpstreamUse> uses = mLoads.usage();
         if (!uses.equals(mReported) || mRates.unreported()) {
             report(uses);
         }
@@ -133,7 +133,7 @@
 
     /** Reports now. */
     private void report() {
-        report(mLoads.uses());
+        report(mLoads.usage());
     }
 
     /**
@@ -152,7 +152,7 @@
                         mRoles.holds(),
                         mPlaces.waitingTokens(),
                         mRoles.changing(),
-                        mLoads.refusing(),
+                        mLoads.refusingEngines(),
                         uses,
                         mDemand.publish(mLoop.millis()),
                         mOrganisations.report(),
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/EngineMemory.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/EngineMemory.java
@@ -37,7 +37,7 @@
      */
     void grow(long tokens) {
         mTokens += tokens;
-        mLoads.grow(mEngine, tokens);
+        mLoads.addTokens(mEngine, tokens);
     }
 
     /** Frees all. */
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/PlaceAllocator.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/PlaceAllocator.java
@@ -330,7 +330,7 @@
          * @return whether to ask it; where nobody else's use is known the engine alone decides
          */
         private boolean hasRoom(UpstreamEntry engine) {
-            if (!mLoads.peersHeard()) {
+            if (!mLoads.hasPeerReports()) {
                 return true;
             }
             boolean slot = mLoads.calls(engine) < engine.slots();
@@ -358,14 +358,14 @@
             if (mWanted.placeMillis() == 0) {
                 mOver = true;
                 charge();
-                mLoads.take(engine, mWanted.promptTokens());
+                mLoads.reserve(engine, mWanted.promptTokens());
                 mListener.granted(engine, Optional.empty());
                 return;
             }
             mAsked.add(engine.incarnation());
             int millis = Math.min(PLACE_MILLIS, mWanted.placeMillis());
-            long tokens = mLoads.peersHeard() ? mWanted.promptTokens() : mWanted.mostTokens();
-            mLoads.take(engine, mWanted.promptTokens());
+            long tokens = mLoads.hasPeerReports() ? mWanted.promptTokens() : mWanted.mostTokens();
+            mLoads.reserve(engine, mWanted.promptTokens());
             mPort.reserve(engine, tokens, millis, new Answer(engine));
         }
 
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/UpstreamLoads.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/UpstreamLoads.java
@@ -194,7 +194,7 @@
      *
      * @param action the action, run on the traffic loop
      */
-    public void onUrgent(Runnable action) {
+    public void onUrgentChange(Runnable action) {
         mOnUrgent = action;
     }
 
@@ -204,7 +204,7 @@
      *
      * @param action the action, run on the traffic loop
      */
-    public void onChanged(Runnable action) {
+    public void onChange(Runnable action) {
         mOnChanged = action;
     }
 
@@ -213,7 +213,7 @@
      *
      * @param action the action, run on the traffic loop
      */
-    public void onGrown(Runnable action) {
+    public void onTokensAdded(Runnable action) {
         mOnGrown = action;
     }
 
@@ -224,7 +224,7 @@
      * @param engine the engine
      * @param tokens how much
      */
-    public void take(UpstreamEntry engine, long tokens) {
+    public void reserve(UpstreamEntry engine, long tokens) {
         add(engine, tokens);
         mOnUrgent.run();
     }
@@ -271,7 +271,7 @@
      * @param upstream where
      * @param tokens how many more
      */
-    public void grow(UpstreamEntry upstream, long tokens) {
+    public void addTokens(UpstreamEntry upstream, long tokens) {
         load(upstream.incarnation()).mTokens += tokens;
         mOnGrown.run();
     }
@@ -347,7 +347,7 @@
      *
      * @return whether any was
      */
-    public boolean peersHeard() {
+    public boolean hasPeerReports() {
         return mPeers.routers() > 0;
     }
 
@@ -409,7 +409,7 @@
      *
      * @return their ids
      */
-    public Set<UpstreamIncarnation> refusing() {
+    public Set<UpstreamIncarnation> refusingEngines() {
         long now = mLoop.millis();
         return mLoads.entrySet().stream()
                 .filter(each -> each.getValue().refusesUntil() > now)
@@ -444,7 +444,7 @@
      *
      * @param changing their ids; may be called from any thread
      */
-    public void changing(Set<UpstreamIncarnation> changing) {
+    public void setChangingEngines(Set<UpstreamIncarnation> changing) {
         mChanging = changing;
     }
 
@@ -612,7 +612,7 @@
      *
      * @return the use of each upstream that is used or failed lately
      */
-    public Map<UpstreamIncarnation, UpstreamUse> uses() {
+    public Map<UpstreamIncarnation, UpstreamUse> usage() {
         long now = mLoop.millis();
         Map<UpstreamIncarnation, UpstreamUse> uses = new HashMap<>();
         mLoads.forEach(
--- a/troutpier-daemon/src/test/java/org/troutpier/daemon/serving/ExecutionTest.java
+++ b/troutpier-daemon/src/test/java/org/troutpier/daemon/serving/ExecutionTest.java
@@ -152,7 +152,7 @@
     /** Nothing is under way at any upstream; how calls ended may still be told. */
     private void assertNothingHeld() {
         mContext.loads()
-                .uses()
+                .usage()
                 .forEach(
                         (upstream, use) -> {
                             assertEquals(use.calls(), 0, upstream.toString());
@@ -393,7 +393,7 @@
     public void aCallerThatLeavesEndsTheRunAndFreesTheMemory() {
         mDirectory.replaceAll(List.of(Entries.decode("a")));
         stream();
-        assertEquals(mContext.loads().uses().size(), 1);
+        assertEquals(mContext.loads().usage().size(), 1);
         mCaller.leave();
         assertTrue(mPort.mRuns.get(0).mAborted);
         assertNothingHeld();
--- a/troutpier-daemon/src/test/java/org/troutpier/daemon/serving/FailingEnginesTest.java
+++ b/troutpier-daemon/src/test/java/org/troutpier/daemon/serving/FailingEnginesTest.java
@@ -111,7 +111,7 @@
                             0,
                             Set.of(),
                             Set.of(),
-                            loads.uses(),
+                            loads.usage(),
                             Map.of(),
                             UseReport.NONE,
                             Map.of()));
--- a/troutpier-daemon/src/test/java/org/troutpier/daemon/serving/ReportedUseTest.java
+++ b/troutpier-daemon/src/test/java/org/troutpier/daemon/serving/ReportedUseTest.java
@@ -89,10 +89,10 @@
         learn(forOthers(true));
         mTime.pass(500);
         mLoads.begin(mEngine, 5000);
-        assertEquals(mLoads.uses().get(mEngine.incarnation()), UpstreamUse.of(1, 35_000));
+        assertEquals(mLoads.usage().get(mEngine.incarnation()), UpstreamUse.of(1, 35_000));
         assertEquals(mLoads.tokens(mEngine), 35_000);
         mTime.pass(15_000);
-        assertEquals(mLoads.uses().get(mEngine.incarnation()), UpstreamUse.of(1, 5000));
+        assertEquals(mLoads.usage().get(mEngine.incarnation()), UpstreamUse.of(1, 5000));
     }
 
     @Test
@@ -101,7 +101,7 @@
         mReports.mUsed = 30_000;
         mTime.pass(500);
         assertEquals(mLoads.tokens(mEngine), 30_000);
-        assertEquals(mLoads.uses(), Map.of());
+        assertEquals(mLoads.usage(), Map.of());
     }
 
     @Test
--- a/troutpier-daemon/src/test/java/org/troutpier/daemon/serving/UpstreamLoadsTest.java
+++ b/troutpier-daemon/src/test/java/org/troutpier/daemon/serving/UpstreamLoadsTest.java
@@ -111,7 +111,7 @@
         assertEquals(mLoads.byTokens(engines, Set.of()).get(0), idle);
         mLoads.runRefused(idle);
         assertEquals(mLoads.byTokens(engines, Set.of()), List.of(busy));
-        assertEquals(mLoads.refusing(), Set.of(idle.incarnation()));
+        assertEquals(mLoads.refusingEngines(), Set.of(idle.incarnation()));
         mTime.pass(1001);
         assertEquals(mLoads.byTokens(engines, Set.of()).get(0), idle);
         mLoads.runRefused(idle);
@@ -178,7 +178,7 @@
     public void whatWasTriedOrChangesItsRoleIsNotChosen() {
         assertEquals(
                 mLoads.byCalls(List.of(mNear, mFar), Set.of(mNear.incarnation())), List.of(mFar));
-        mLoads.changing(Set.of(mFar.incarnation()));
+        mLoads.setChangingEngines(Set.of(mFar.incarnation()));
         assertTrue(mLoads.byCalls(List.of(mNear, mFar), Set.of(mNear.incarnation())).isEmpty());
     }
 
@@ -186,9 +186,9 @@
     public void anEngineInWhosePlaceAnotherAnswersIsToldToAllAtOnce() {
         UpstreamEntry engine = Entries.decode("crashed");
         AtomicInteger told = new AtomicInteger();
-        mLoads.onUrgent(told::incrementAndGet);
+        mLoads.onUrgentChange(told::incrementAndGet);
         mLoads.replaced(engine);
         assertEquals(told.get(), 1);
-        assertEquals(mLoads.refusing(), Set.of(engine.incarnation()));
+        assertEquals(mLoads.refusingEngines(), Set.of(engine.incarnation()));
     }
 }
