--- a/troutpier-cli/src/test/java/org/troutpier/cli/NoticesCommandTest.java
+++ b/troutpier-cli/src/test/java/org/troutpier/cli/NoticesCommandTest.java
@@ -17,8 +17,8 @@
 
     @BeforeMethod
     void start() {
-        List<UpstreamNotices.Standing> notices =
-                List.of(new UpstreamNotices.Standing("web-1", true, 1200, 4, 31));
+        List<UpstreamNotices.Status> notices =
+                List.of(new UpstreamNotices.Status("web-1", true, 1200, 4, 31));
         mRouter =
                 new RouterStandin(
                         exchange ->
--- a/troutpier-cli/src/test/java/org/troutpier/cli/RatesCommandTest.java
+++ b/troutpier-cli/src/test/java/org/troutpier/cli/RatesCommandTest.java
@@ -17,8 +17,8 @@
 
     @BeforeMethod
     void start() {
-        List<UpstreamRates.Standing> rates =
-                List.of(new UpstreamRates.Standing("web-1", 3.6, 120, 4, 9, 31));
+        List<UpstreamRates.Status> rates =
+                List.of(new UpstreamRates.Status("web-1", 3.6, 120, 4, 9, 31));
         mRouter =
                 new RouterStandin(
                         exchange ->
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/cluster/LoadReporter.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/cluster/LoadReporter.java
@@ -116,7 +116,7 @@
     /** Reports if there is something new to tell. */
     private void look() {
         Map<UpstreamIncarnation, UpstreamUse> uses = mLoads.usage();
-        if (!uses.equals(mReported) || mRates.unreported()) {
+        if (!uses.equals(mReported) || mRates.hasUnreportedChanges()) {
             report(uses);
         }
     }
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/PlaceAllocator.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/PlaceAllocator.java
@@ -281,7 +281,7 @@
             }
             for (UpstreamEntry engine : mLoads.byTokens(engines, mAsked)) {
                 boolean full = mFullUntil.getOrDefault(engine.incarnation(), now) > now;
-                if (!full && hasRoom(engine) && mAdmission.tryTake(engine, mWanted.asker())) {
+                if (!full && hasRoom(engine) && mAdmission.tryAcquire(engine, mWanted.asker())) {
                     ask(engine);
                     return;
                 }
@@ -396,7 +396,7 @@
             /** {@inheritDoc} */
             @Override
             public void onNotice(UpstreamNotice notice, UpstreamPort.Verdict verdict) {
-                mAdmission.received(mEngine, notice);
+                mAdmission.recordNotice(mEngine, notice);
             }
 
             /** {@inheritDoc} */
@@ -421,7 +421,7 @@
                 if (end.leaving()) {
                     mLoads.replaced(mEngine);
                 } else if (end.unreachable()) {
-                    mAdmission.giveBack(mEngine, mAskedAt);
+                    mAdmission.refund(mEngine, mAskedAt);
                     mLoads.failed(mEngine, true, "no place: " + end.detail());
                 }
                 next();
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/PlainExecution.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/PlainExecution.java
@@ -75,7 +75,7 @@
      * @return whether there is such an upstream
      */
     private boolean findNext(List<UpstreamEntry> candidates) {
-        mNext = mContext.admission().takeFirst(candidates, asker()).orElse(null);
+        mNext = mContext.admission().acquireFirst(candidates, asker()).orElse(null);
         mAdmittedAt = mContext.loop().millis();
         return mNext != null;
     }
@@ -83,7 +83,7 @@
     /** Gives back that the request was admitted where it is not going to be sent. */
     private void forgetNext() {
         if (mNext != null) {
-            mContext.admission().giveBack(mNext, mAdmittedAt);
+            mContext.admission().refund(mNext, mAdmittedAt);
             mNext = null;
         }
     }
@@ -114,7 +114,7 @@
         giveUp(
                 ResultCode.UPSTREAM_RATE,
                 candidates.size() + " upstreams of " + mService + why(candidates),
-                mContext.admission().returnMillis(candidates, limit));
+                mContext.admission().retryAfterMillis(candidates, limit));
     }
 
     /**
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/PromptReading.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/PromptReading.java
@@ -153,7 +153,7 @@
     @Override
     public void onNotice(UpstreamNotice notice, UpstreamPort.Verdict verdict) {
         long tookMillis = mContext.loop().millis() - mStart;
-        mContext.admission().answered(mEngine, notice, verdict, tookMillis);
+        mContext.admission().recordAnswer(mEngine, notice, verdict, tookMillis);
     }
 
     /** {@inheritDoc} */
@@ -179,7 +179,7 @@
     public void onFailure(AttemptEnd end) {
         close();
         if (end.neverReached()) {
-            mContext.admission().giveBack(mEngine, mStart);
+            mContext.admission().refund(mEngine, mStart);
         }
         mTrace.step("prefill failed(" + end.detail() + ")");
         mContext.metrics().ended(mEngine.id(), end.notStarted());
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/StreamExecution.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/StreamExecution.java
@@ -286,7 +286,7 @@
             run(Optional.empty());
             return;
         }
-        Optional<UpstreamEntry> admitted = mContext.admission().takeFirst(engines, asker());
+        Optional<UpstreamEntry> admitted = mContext.admission().acquireFirst(engines, asker());
         if (admitted.isEmpty()) {
             mTrace.step("no prefill engine takes a call now");
             run(Optional.empty());
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/UpstreamAdmission.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/UpstreamAdmission.java
@@ -37,13 +37,13 @@
      * @param verdict what its head proves
      * @param tookMillis how long ago the call was sent, milliseconds
      */
-    void answered(
+    void recordAnswer(
             UpstreamEntry upstream,
             UpstreamNotice notice,
             UpstreamPort.Verdict verdict,
             long tookMillis) {
         notices.received(upstream, notice);
-        rates.heard(upstream, notice.rate(), verdict, tookMillis);
+        rates.recordAnnouncement(upstream, notice.rate(), verdict, tookMillis);
         if (verdict == UpstreamPort.Verdict.SUCCESS) {
             notices.succeeded(upstream, tookMillis);
         }
@@ -55,10 +55,10 @@
      * @param upstream whose answer it is
      * @param notice what it announces
      */
-    public void received(UpstreamEntry upstream, UpstreamNotice notice) {
+    public void recordNotice(UpstreamEntry upstream, UpstreamNotice notice) {
         notices.received(upstream, notice);
         if (notice.rate().kind() != Announced.NONE) {
-            rates.heard(upstream, notice.rate(), UpstreamPort.Verdict.OWN_FAILURE, 0);
+            rates.recordAnnouncement(upstream, notice.rate(), UpstreamPort.Verdict.OWN_FAILURE, 0);
         }
     }
 
@@ -69,8 +69,8 @@
      * @param asker the request's rank and organisation
      * @return whether it may be sent
      */
-    boolean tryTake(UpstreamEntry upstream, Asker asker) {
-        boolean taken = admits(upstream) && rates.tryTake(upstream, asker);
+    boolean tryAcquire(UpstreamEntry upstream, Asker asker) {
+        boolean taken = admits(upstream) && rates.tryAcquire(upstream, asker);
         if (taken) {
             notices.sent(upstream);
         }
@@ -104,8 +104,8 @@
      * @param asker the request's rank and organisation
      * @return the upstream; empty where none may be sent it
      */
-    Optional<UpstreamEntry> takeFirst(List<UpstreamEntry> upstreams, Asker asker) {
-        return upstreams.stream().filter(each -> tryTake(each, asker)).findFirst();
+    Optional<UpstreamEntry> acquireFirst(List<UpstreamEntry> upstreams, Asker asker) {
+        return upstreams.stream().filter(each -> tryAcquire(each, asker)).findFirst();
     }
 
     /**
@@ -114,8 +114,8 @@
      * @param upstream where it was to be sent
      * @param at when it was admitted, milliseconds
      */
-    void giveBack(UpstreamEntry upstream, long at) {
-        rates.giveBack(upstream, at);
+    void refund(UpstreamEntry upstream, long at) {
+        rates.refund(upstream, at);
     }
 
     /**
@@ -136,15 +136,15 @@
      * @param mostMillis the latest time that is of use to the caller; a back-off may last longer
      * @return milliseconds from now
      */
-    long returnMillis(List<UpstreamEntry> upstreams, long mostMillis) {
+    long retryAfterMillis(List<UpstreamEntry> upstreams, long mostMillis) {
         long backOff = backOffMillis(upstreams);
         if (backOff > 0) {
             return backOff + random.nextLong(RETURN_SPREAD_MILLIS);
         }
         List<UpstreamEntry> open = upstreams.stream().filter(this::stillAdmits).toList();
         long drawn =
-                open.stream().allMatch(rates::limits)
-                        ? rates.returnMillis(open)
+                open.stream().allMatch(rates::isLimited)
+                        ? rates.retryAfterMillis(open)
                         : SOON_MILLIS + random.nextLong(SOON_MILLIS);
         return Math.max(1, Math.min(mostMillis, drawn));
     }
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/UpstreamNotices.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/UpstreamNotices.java
@@ -70,7 +70,7 @@
      * @param sentSince calls that were sent to it since it last announced something new
      * @param withheld calls that were not sent to it for a back-off
      */
-    public record Standing(
+    public record Status(
             String upstream, boolean leaving, long backOffMillis, long sentSince, long withheld) {}
 
     /**
@@ -206,15 +206,15 @@
      *
      * @return the upstreams, by name
      */
-    public List<Standing> standings() {
+    public List<Status> statuses() {
         long now = mLoop.millis();
-        List<Standing> standings = new ArrayList<>();
+        List<Status> standings = new ArrayList<>();
         mStates.forEach(
                 (upstream, state) -> {
                     long left = Math.max(0, state.mBackOff.endsAt() - now);
                     if (state.mLeaving || left > 0) {
                         standings.add(
-                                new Standing(
+                                new Status(
                                         upstream.toString(),
                                         state.mLeaving,
                                         left,
@@ -222,7 +222,7 @@
                                         state.mBackOff.withheld()));
                     }
                 });
-        standings.sort(Comparator.comparing(Standing::upstream));
+        standings.sort(Comparator.comparing(Status::upstream));
         return standings;
     }
 
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/UpstreamRates.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/UpstreamRates.java
@@ -83,7 +83,7 @@
      * @param elsewhere what it was sent by the other routers
      * @param withheld how many requests were not sent to it since it first named a rate
      */
-    public record Standing(
+    public record Status(
             String upstream,
             double perSecond,
             long ageMillis,
@@ -125,7 +125,7 @@
      * @param verdict what its head proves
      * @param tookMillis how long ago the call was sent, milliseconds
      */
-    public void heard(
+    public void recordAnnouncement(
             UpstreamEntry upstream,
             AnnouncedRate announced,
             UpstreamPort.Verdict verdict,
@@ -161,7 +161,7 @@
      * @param asker who asks
      * @return whether it may be sent
      */
-    public boolean tryTake(UpstreamEntry upstream, Asker asker) {
+    public boolean tryAcquire(UpstreamEntry upstream, Asker asker) {
         RateReport others = reported(upstream.incarnation());
         UpstreamRate rate = updated(upstream.incarnation(), others);
         long now = mLoop.millis();
@@ -184,7 +184,7 @@
      * @param upstream the upstream
      * @return whether one is known that holds
      */
-    boolean limits(UpstreamEntry upstream) {
+    boolean isLimited(UpstreamEntry upstream) {
         return updated(upstream.incarnation(), reported(upstream.incarnation())).limited();
     }
 
@@ -194,7 +194,7 @@
      * @param upstream where it was to be sent
      * @param at when it was admitted, milliseconds
      */
-    void giveBack(UpstreamEntry upstream, long at) {
+    void refund(UpstreamEntry upstream, long at) {
         rate(upstream.incarnation()).takeBack(at, mLoop.millis());
     }
 
@@ -205,7 +205,7 @@
      * @param upstreams the upstreams, all at their rates
      * @return milliseconds from now
      */
-    long returnMillis(List<UpstreamEntry> upstreams) {
+    long retryAfterMillis(List<UpstreamEntry> upstreams) {
         double perSecond = 0;
         double asked = 0;
         for (UpstreamEntry upstream : upstreams) {
@@ -266,7 +266,7 @@
      *
      * @return whether the others should hear of it
      */
-    public boolean unreported() {
+    public boolean hasUnreportedChanges() {
         return mUnreported;
     }
 
@@ -295,8 +295,8 @@
      *
      * @return the upstreams, by name
      */
-    public List<Standing> standings() {
-        List<Standing> standings = new ArrayList<>();
+    public List<Status> statuses() {
+        List<Status> standings = new ArrayList<>();
         for (UpstreamIncarnation upstream : mRates.keySet()) {
             RateReport others = reported(upstream);
             UpstreamRate rate = updated(upstream, others);
@@ -304,7 +304,7 @@
                 standings.add(standing(rate, others));
             }
         }
-        standings.sort(Comparator.comparing(Standing::upstream));
+        standings.sort(Comparator.comparing(Status::upstream));
         return standings;
     }
 
@@ -315,8 +315,8 @@
      * @param others what the other routers reported of it
      * @return what operators see
      */
-    private Standing standing(UpstreamRate rate, RateReport others) {
-        return new Standing(
+    private Status standing(UpstreamRate rate, RateReport others) {
+        return new Status(
                 rate.upstream().toString(),
                 rate.perSecond(),
                 rate.named(mElapsed.getAsLong()).ageMillis(),
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/UpstreamRun.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/UpstreamRun.java
@@ -102,7 +102,7 @@
     /** {@inheritDoc} */
     @Override
     public void onNotice(UpstreamNotice notice, UpstreamPort.Verdict verdict) {
-        mContext.admission().answered(mUpstream, notice, verdict, millis());
+        mContext.admission().recordAnswer(mUpstream, notice, verdict, millis());
     }
 
     /**
@@ -112,7 +112,7 @@
      */
     protected void giveBackUnreached(AttemptEnd end) {
         if (end.neverReached()) {
-            mContext.admission().giveBack(mUpstream, mStart);
+            mContext.admission().refund(mUpstream, mStart);
         }
     }
 
--- a/troutpier-daemon/src/test/java/org/troutpier/daemon/serving/ExecutionTest.java
+++ b/troutpier-daemon/src/test/java/org/troutpier/daemon/serving/ExecutionTest.java
@@ -563,11 +563,11 @@
     /** Sends an upstream more than it takes, and has it name its rate. */
     private void fill(UpstreamEntry upstream) {
         for (int call = 0; call < 20; call++) {
-            mContext.admission().rates().tryTake(upstream, new Asker(0, Asker.NOBODY));
+            mContext.admission().rates().tryAcquire(upstream, new Asker(0, Asker.NOBODY));
         }
         mContext.admission()
                 .rates()
-                .heard(upstream, AnnouncedRate.of(1), UpstreamPort.Verdict.SUCCESS, 0);
+                .recordAnnouncement(upstream, AnnouncedRate.of(1), UpstreamPort.Verdict.SUCCESS, 0);
     }
 
     private void repeatable() {
--- a/troutpier-daemon/src/test/java/org/troutpier/daemon/serving/PlaceAllocatorTest.java
+++ b/troutpier-daemon/src/test/java/org/troutpier/daemon/serving/PlaceAllocatorTest.java
@@ -304,13 +304,13 @@
     @Test
     public void anEngineAtItsRateIsNotAskedAndARefusedPlaceCounts() {
         for (int call = 0; call < 20; call++) {
-            mRates.tryTake(mFirst, ASKER);
+            mRates.tryAcquire(mFirst, ASKER);
         }
-        mRates.heard(mFirst, AnnouncedRate.of(1), UpstreamPort.Verdict.SUCCESS, 0);
-        mRates.heard(mSecond, AnnouncedRate.of(1), UpstreamPort.Verdict.SUCCESS, 0);
+        mRates.recordAnnouncement(mFirst, AnnouncedRate.of(1), UpstreamPort.Verdict.SUCCESS, 0);
+        mRates.recordAnnouncement(mSecond, AnnouncedRate.of(1), UpstreamPort.Verdict.SUCCESS, 0);
         mPort.mFull.add(mSecond.incarnation());
         find(0);
         assertEquals(mPort.mAsked, List.of(mSecond));
-        assertEquals(mRates.standings().get(1).here(), 1);
+        assertEquals(mRates.statuses().get(1).here(), 1);
     }
 }
--- a/troutpier-daemon/src/test/java/org/troutpier/daemon/serving/UpstreamRateSimulation.java
+++ b/troutpier-daemon/src/test/java/org/troutpier/daemon/serving/UpstreamRateSimulation.java
@@ -295,7 +295,7 @@
         Collections.shuffle(ordered, mRandom);
         ordered.sort(Comparator.comparingInt(upstream -> upstream.mCalls));
         for (Upstream upstream : ordered) {
-            if (router.mRates.tryTake(upstream.mEntry, asker)) {
+            if (router.mRates.tryAcquire(upstream.mEntry, asker)) {
                 mServed[rank]++;
                 upstream.mArrivals.add(new Arrival(now, router, router.excused(now)));
                 upstream.mCalls++;
@@ -317,7 +317,7 @@
             if (call.router().works()) {
                 call.router()
                         .mRates
-                        .heard(
+                        .recordAnnouncement(
                                 call.upstream().mEntry,
                                 rate,
                                 UpstreamPort.Verdict.SUCCESS,
--- a/troutpier-daemon/src/test/java/org/troutpier/daemon/serving/UpstreamRatesTest.java
+++ b/troutpier-daemon/src/test/java/org/troutpier/daemon/serving/UpstreamRatesTest.java
@@ -64,7 +64,7 @@
     }
 
     private void answer(AnnouncedRate rate, UpstreamPort.Verdict verdict, long tookMillis) {
-        mRates.heard(UPSTREAM, rate, verdict, tookMillis);
+        mRates.recordAnnouncement(UPSTREAM, rate, verdict, tookMillis);
     }
 
     private void answer(AnnouncedRate rate) {
@@ -73,7 +73,7 @@
     }
 
     private List<Double> rates() {
-        return mRates.standings().stream().map(UpstreamRates.Standing::perSecond).toList();
+        return mRates.statuses().stream().map(UpstreamRates.Status::perSecond).toList();
     }
 
     @Test
@@ -124,9 +124,9 @@
     public void theStartThatFollowsIsNotHeldToTheRate() {
         UpstreamEntry again = Entries.startedAt(UPSTREAM, 7);
         answer(AnnouncedRate.of(3.6));
-        mRates.heard(again, AnnouncedRate.NONE, UpstreamPort.Verdict.SUCCESS, 0);
+        mRates.recordAnnouncement(again, AnnouncedRate.NONE, UpstreamPort.Verdict.SUCCESS, 0);
         assertEquals(rates(), List.of(3.6));
-        assertEquals(mRates.standings().get(0).upstream(), ID.toString());
+        assertEquals(mRates.statuses().get(0).upstream(), ID.toString());
     }
 
     @Test
@@ -135,7 +135,7 @@
         mTime.pass(1000);
         mReported = new RateReport(new NamedRate(2, 100), new RecentUse(4, 1, 9), List.of(9L));
         assertEquals(rates(), List.of(2.0));
-        assertEquals(mRates.standings().get(0).elsewhere(), 4);
+        assertEquals(mRates.statuses().get(0).elsewhere(), 4);
         mReported =
                 new RateReport(new NamedRate(NamedRate.UNLIMITED, 0), RecentUse.NONE, List.of());
         mTime.pass(200);
@@ -155,7 +155,7 @@
         mReported = new RateReport(new NamedRate(2, 100), RecentUse.NONE, List.of());
         assertEquals(rates(), List.of(2.0));
         assertEquals(mRates.report(), Map.of());
-        assertTrue(mRates.tryTake(UPSTREAM, ASKER));
+        assertTrue(mRates.tryAcquire(UPSTREAM, ASKER));
         assertEquals(
                 mRates.report(),
                 Map.of(
@@ -180,7 +180,7 @@
         assertEquals(rates(), List.of(3.6), "the list may be away");
         mTime.pass(UpstreamRate.LAPSE_MILLIS);
         mRates.retain(Set.of());
-        assertTrue(mRates.standings().isEmpty());
+        assertTrue(mRates.statuses().isEmpty());
     }
 
     /** Asks again and again for a while; returns how many were admitted of each asker. */
@@ -189,7 +189,7 @@
         for (int passed = 0; passed < millis; passed += STEP_MILLIS) {
             mTime.pass(STEP_MILLIS);
             for (int asker = 0; asker < askers.length; asker++) {
-                admitted[asker] += mRates.tryTake(UPSTREAM, askers[asker]) ? 1 : 0;
+                admitted[asker] += mRates.tryAcquire(UPSTREAM, askers[asker]) ? 1 : 0;
             }
         }
         return admitted;
@@ -220,7 +220,7 @@
         mRouters = 1;
         mKnown = 2;
         mReported = new RateReport(new NamedRate(5, 0), new RecentUse(20, 5, 5), List.of(0L, 5L));
-        mRates.tryTake(UPSTREAM, ASKER);
+        mRates.tryAcquire(UPSTREAM, ASKER);
         assertEquals(rates(), List.of(5.0));
         mTime.pass(5000);
         assertEquals(press(2000, ASKER)[0], 0);
@@ -270,8 +270,8 @@
         long sent = press(1000, ASKER)[0];
         long withheld = 1000 / STEP_MILLIS - sent;
         assertEquals(mMetrics.counter("upstream.web.rate-withheld").getCount(), withheld);
-        assertEquals(mRates.standings().get(0).withheld(), withheld);
-        assertEquals(mRates.standings().get(0).here(), sent);
+        assertEquals(mRates.statuses().get(0).withheld(), withheld);
+        assertEquals(mRates.statuses().get(0).here(), sent);
     }
 
     @Test
@@ -280,7 +280,7 @@
         press(2000, ASKER);
         double seconds = 0;
         for (int call = 0; call < 100; call++) {
-            seconds += mRates.returnMillis(List.of(UPSTREAM)) / 1000.0 / 100;
+            seconds += mRates.retryAfterMillis(List.of(UPSTREAM)) / 1000.0 / 100;
         }
         double ahead = 1000.0 / STEP_MILLIS - 5;
         assertEquals(seconds, ahead / 5 / 2, ahead / 5 / 4);
@@ -300,18 +300,18 @@
 
     @Test
     public void whatIsSentAndWhatChangesIsToBeReportedOnce() {
-        mRates.tryTake(UPSTREAM, ASKER);
-        assertFalse(mRates.unreported(), "it names no rate");
+        mRates.tryAcquire(UPSTREAM, ASKER);
+        assertFalse(mRates.hasUnreportedChanges(), "it names no rate");
         answer(AnnouncedRate.of(5));
-        assertTrue(mRates.unreported(), "a rate that was named");
+        assertTrue(mRates.hasUnreportedChanges(), "a rate that was named");
         mRates.report();
         answer(AnnouncedRate.of(5));
-        assertFalse(mRates.unreported(), "the same rate");
+        assertFalse(mRates.hasUnreportedChanges(), "the same rate");
         mTime.pass(5000);
-        assertTrue(mRates.tryTake(UPSTREAM, ASKER));
-        assertTrue(mRates.unreported(), "a request that was sent");
+        assertTrue(mRates.tryAcquire(UPSTREAM, ASKER));
+        assertTrue(mRates.hasUnreportedChanges(), "a request that was sent");
         mRates.report();
         answer(AnnouncedRate.NONE);
-        assertTrue(mRates.unreported(), "a rate that ended");
+        assertTrue(mRates.hasUnreportedChanges(), "a rate that ended");
     }
 }
