--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/cluster/PeerExchange.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/cluster/PeerExchange.java
@@ -22,7 +22,7 @@
 import org.troutpier.daemon.peer.PeerMessage;
 import org.troutpier.daemon.quarantine.CrashReport;
 import org.troutpier.daemon.route.CurrentConfiguration;
-import org.troutpier.daemon.serving.ReportedUse;
+import org.troutpier.daemon.serving.EngineUsageReconciler;
 
 /**
  * Tells the other routers of this one's load and receives theirs, as the {@link RelayPlan} says;
@@ -262,19 +262,19 @@
      *
      * @return all where routers tell each other directly; those of its hall at a relay; none else
      */
-    public ReportedUse.Scope askedEngines() {
-        return new ReportedUse.Scope() {
+    public EngineUsageReconciler.Scope askedEngines() {
+        return new EngineUsageReconciler.Scope() {
 
             /** {@inheritDoc} */
             @Override
-            public boolean asks(UpstreamEntry engine) {
+            public boolean polls(UpstreamEntry engine) {
                 RelayPlan plan = mPlan;
                 return plan.direct() || plan.relay() && engine.hall().equals(mNode.hall());
             }
 
             /** {@inheritDoc} */
             @Override
-            public boolean tells() {
+            public boolean sharesResults() {
                 return mPlan.relay();
             }
         };
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/Verdicts.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/AttemptEnds.java
@@ -4,10 +4,10 @@
 import org.troutpier.daemon.upstream.AttemptEnd;
 
 /** Tells what the head of an answer says of its attempt. Stateless and thread safe. */
-final class Verdicts {
+final class AttemptEnds {
 
     /** Not to be instantiated. */
-    private Verdicts() {}
+    private AttemptEnds() {}
 
     /**
      * Tells how an attempt ended whose head is no success.
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/CrashGuard.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/CrashGuard.java
@@ -119,7 +119,7 @@
      * @param content what the request asks for
      * @return whether it is in quarantine
      */
-    boolean withholds(RequestContent content) {
+    boolean isQuarantined(RequestContent content) {
         boolean withheld = known(content) && mQuarantine.holds(content.fingerprint());
         if (withheld) {
             mWithheld.inc();
@@ -143,7 +143,7 @@
      *
      * @param content what the request asks for
      */
-    void ranWhole(RequestContent content) {
+    void recordCompletion(RequestContent content) {
         if (known(content)) {
             mQuarantine.ranWhole(content.fingerprint());
         }
@@ -158,7 +158,8 @@
      *     to go on, {@link #SETTLED_MILLIS} after it is known to have ended, and after {@link
      *     #JUDGED_MILLIS} at the latest where nothing is known
      */
-    void lost(UpstreamEntry upstream, RequestFingerprint request, Consumer<Boolean> judged) {
+    void attributeLoss(
+            UpstreamEntry upstream, RequestFingerprint request, Consumer<Boolean> judged) {
         UpstreamIncarnation start = upstream.incarnation();
         if (mEndedStarts.contains(start, mLoop.millis())) {
             mQuarantine.crashed(request, start);
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/ReportedUse.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/EngineUsageReconciler.java
@@ -26,7 +26,7 @@
  * <p>It answers the seconds after a loss of power of all routers, and routers that are cut from
  * each other. Without it engines were filled beyond their memory and preempted what they ran.
  */
-public final class ReportedUse {
+public final class EngineUsageReconciler {
 
     /** How often engines are asked, milliseconds. */
     private static final long LOOK_MILLIS = 400;
@@ -41,7 +41,7 @@
     private static final long WATCH_MILLIS = 12_000;
 
     /** Logs when engines begin to be asked. */
-    private static final Logger LOGGER = LogManager.getLogger(ReportedUse.class);
+    private static final Logger LOGGER = LogManager.getLogger(EngineUsageReconciler.class);
 
     /** The traffic loop. */
     private final TrafficLoop mLoop;
@@ -79,14 +79,14 @@
          * @param engine the engine
          * @return whether it does now
          */
-        boolean asks(UpstreamEntry engine);
+        boolean polls(UpstreamEntry engine);
 
         /**
          * Returns whether this router tells the others what it learns.
          *
          * @return whether it does now; false where each asks for itself
          */
-        default boolean tells() {
+        default boolean sharesResults() {
             return false;
         }
     }
@@ -101,7 +101,7 @@
      * @param engines asks engines
      * @param scope which engines this router asks
      */
-    public ReportedUse(
+    public EngineUsageReconciler(
             TrafficLoop loop,
             UpstreamDirectory directory,
             UpstreamLoads loads,
@@ -130,7 +130,7 @@
      * of it. In a fleet whose 58 routers all start for the first time, each asked 42 engines some
      * ten times: 22,000 questions about nothing. Any thread may call it.
      */
-    public void firstStart() {
+    public void skipInitialPolling() {
         mLoop.execute(() -> mUntil = Math.min(mUntil, mLoop.millis()));
     }
 
@@ -155,7 +155,9 @@
      */
     private void look(boolean ask) {
         List<UpstreamEntry> engines =
-                mDirectory.usable(UpstreamEntry.Role.DECODE).stream().filter(mScope::asks).toList();
+                mDirectory.usable(UpstreamEntry.Role.DECODE).stream()
+                        .filter(mScope::polls)
+                        .toList();
         mKnown.keySet()
                 .retainAll(
                         engines.stream()
@@ -203,7 +205,7 @@
         Deque<Long> known = mKnown.get(engine.incarnation());
         if (known != null) {
             long most = known.stream().mapToLong(Long::longValue).max().orElse(0);
-            mLoads.unknown(engine, Math.max(0, used - most), mScope.tells());
+            mLoads.unknown(engine, Math.max(0, used - most), mScope.sharesResults());
         }
     }
 }
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/ExtraCallBudget.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/ExtraCallBudget.java
@@ -77,7 +77,7 @@
      *     too
      * @return the part, small enough that routers that are not known yet break nothing
      */
-    public static double part(int routers) {
+    public static double routerShare(int routers) {
         return 1 / (MORE_ROUTERS * Math.max(LEAST_ROUTERS, routers));
     }
 
@@ -87,7 +87,7 @@
      * @param ratio extra calls for each request
      * @param allowance extra calls in a window without any requests
      */
-    public void limit(double ratio, double allowance) {
+    public void setLimits(double ratio, double allowance) {
         mRatio = ratio * USED_PART;
         mAllowance = allowance;
     }
@@ -98,7 +98,7 @@
      * @param service the service it goes to
      * @param nowMillis the monotonic clock, milliseconds
      */
-    public void request(String service, long nowMillis) {
+    public void recordRequest(String service, long nowMillis) {
         Counts counts = at(service, nowMillis);
         counts.mRequests[(int) (counts.mStep % SLOTS)]++;
     }
@@ -111,7 +111,7 @@
      * @param nowMillis the monotonic clock, milliseconds
      * @return whether it may be made
      */
-    public boolean tryExtra(String service, long nowMillis) {
+    public boolean tryAcquire(String service, long nowMillis) {
         Counts counts = at(service, nowMillis);
         int oldest = (int) ((counts.mStep + 1) % SLOTS);
         int requests = -counts.mRequests[oldest];
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/PlainExecution.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/PlainExecution.java
@@ -284,7 +284,7 @@
                             AttemptEnd.failed(
                                     ResultCode.UPSTREAM_FAILED, "status " + head.status()));
                 }
-                default -> failed(mUpstream, Verdicts.end(head));
+                default -> failed(mUpstream, AttemptEnds.end(head));
             }
         }
 
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/RequestExecution.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/RequestExecution.java
@@ -105,7 +105,7 @@
         request.organisation().ifPresent(organisation -> mTrace.organisation(organisation.id()));
         context.metrics().began();
         caller.onGone(this::callerGone);
-        context.budget().request(service, context.loop().millis());
+        context.budget().recordRequest(service, context.loop().millis());
     }
 
     /**
@@ -257,7 +257,7 @@
         }
         mTrace.content(mContent.fingerprint());
         mContext.crashes()
-                .lost(
+                .attributeLoss(
                         upstream,
                         mContent.fingerprint(),
                         ended -> {
@@ -274,7 +274,7 @@
      * @return whether it must not be run, and has ended
      */
     protected boolean withheld() {
-        if (mOver || !mContext.crashes().withholds(mContent)) {
+        if (mOver || !mContext.crashes().isQuarantined(mContent)) {
             return false;
         }
         mTrace.content(mContent.fingerprint());
@@ -328,7 +328,7 @@
      * @return whether it does; it is taken from the budget then
      */
     protected boolean mayCallOnceMore() {
-        boolean made = mContext.budget().tryExtra(mService, mContext.loop().millis());
+        boolean made = mContext.budget().tryAcquire(mService, mContext.loop().millis());
         mContext.metrics().extraCall(made);
         if (!made) {
             mTrace.step("budget of extra calls is used up");
@@ -369,7 +369,7 @@
      */
     protected void succeeded(UpstreamEntry upstream, String stage, long millis) {
         mContext.loads().succeeded(upstream);
-        mContext.crashes().ranWhole(mContent);
+        mContext.crashes().recordCompletion(mContent);
         mContext.metrics().succeeded(upstream.id(), stage, millis);
     }
 
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/StreamExecution.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/StreamExecution.java
@@ -667,7 +667,7 @@
         /** Goes on after an answer that is no stream. */
         private void refused() {
             UpstreamPort.Head head = mAnswer.head();
-            AttemptEnd end = Verdicts.end(head);
+            AttemptEnd end = AttemptEnds.end(head);
             close();
             if (end.notStarted() && end.leaving()) {
                 mPrompt.ifPresent(prompt -> mStored = prompt);
--- a/troutpier-daemon/src/test/java/org/troutpier/daemon/serving/CrashGuardTest.java
+++ b/troutpier-daemon/src/test/java/org/troutpier/daemon/serving/CrashGuardTest.java
@@ -54,7 +54,7 @@
     }
 
     private void lost(RequestFingerprint request) {
-        mGuard.lost(mUpstream, request, mJudged::add);
+        mGuard.attributeLoss(mUpstream, request, mJudged::add);
     }
 
     private void answer(UpstreamPort.ProbeResult listening) {
@@ -144,7 +144,7 @@
     public void anUpstreamThatIsBackAlreadyUnderItsIdHasEnded() {
         UpstreamEntry first = Entries.startedAt(mUpstream, 1);
         mDirectory.replaceAll(List.of(first));
-        mGuard.lost(first, ONE, mJudged::add);
+        mGuard.attributeLoss(first, ONE, mJudged::add);
         mDirectory.replaceAll(List.of(Entries.startedAt(mUpstream, 2)));
         answer(UpstreamPort.ProbeResult.LISTENING);
         mTime.pass(CrashGuard.JUDGED_MILLIS);
@@ -174,14 +174,14 @@
 
     @Test
     public void whatIsHeldIsWithheldAndNothingElse() {
-        assertFalse(mGuard.withholds(content("/1", new byte[0])));
+        assertFalse(mGuard.isQuarantined(content("/1", new byte[0])));
         end(ONE, 1);
         end(ONE, 2);
-        assertFalse(mGuard.withholds(content("/1", new byte[0])));
+        assertFalse(mGuard.isQuarantined(content("/1", new byte[0])));
         end(ONE, 3);
-        assertTrue(mGuard.withholds(content("/1", new byte[0])));
-        assertFalse(mGuard.withholds(content("/2", new byte[0])));
-        assertFalse(mGuard.withholds(content("/1", new byte[1])));
+        assertTrue(mGuard.isQuarantined(content("/1", new byte[0])));
+        assertFalse(mGuard.isQuarantined(content("/2", new byte[0])));
+        assertFalse(mGuard.isQuarantined(content("/1", new byte[1])));
     }
 
     @Test
@@ -190,15 +190,15 @@
         end(held, 1);
         end(held, 2);
         end(held, 3);
-        assertTrue(mGuard.withholds(content("/3", new byte[] {1})));
-        assertFalse(mGuard.withholds(content("/3", new byte[] {2})));
+        assertTrue(mGuard.isQuarantined(content("/3", new byte[] {1})));
+        assertFalse(mGuard.isQuarantined(content("/3", new byte[] {2})));
     }
 
     @Test
     public void whatRanWholeIsClearedByItsNameOnly() {
         end(ONE, 1);
         end(TWO, 1);
-        mGuard.ranWhole(content("/1", new byte[0]));
+        mGuard.recordCompletion(content("/1", new byte[0]));
         assertEquals(held(ONE), 0);
         assertEquals(held(TWO), 1);
     }
--- a/troutpier-daemon/src/test/java/org/troutpier/daemon/serving/ExecutionTest.java
+++ b/troutpier-daemon/src/test/java/org/troutpier/daemon/serving/ExecutionTest.java
@@ -205,7 +205,7 @@
 
     @Test
     public void aPrefillEngineThatIsSilentIsGivenUpByTheTimeItShouldTake() {
-        mContext.budget().limit(0, 1);
+        mContext.budget().setLimits(0, 1);
         for (int reading = 0; reading < 3; reading++) {
             mContext.demand().read("service", 5000, 100, mTime.millis());
         }
@@ -248,7 +248,7 @@
 
     @Test
     public void anEngineThatWasReplacedIsNoAttemptAndItsPromptIsUsedElsewhere() {
-        mContext.budget().limit(0, 1);
+        mContext.budget().setLimits(0, 1);
         UpstreamEntry prefill = Entries.prefill("p");
         mDirectory.replaceAll(List.of(prefill, Entries.decode("a"), Entries.decode("b")));
         stream();
@@ -284,7 +284,7 @@
 
     @Test
     public void aRunWhoseAnswerWasLostGoesOnWhereItsPromptIs() {
-        mContext.budget().limit(0, 10);
+        mContext.budget().setLimits(0, 10);
         UpstreamEntry prefill = Entries.prefill("p");
         mDirectory.replaceAll(List.of(prefill, Entries.decode("a"), Entries.decode("b")));
         stream(Route.Kind.RESUMABLE_STREAM);
@@ -302,7 +302,7 @@
 
     @Test
     public void aStreamThatGoesOnNeedsRoomForWhatWasMadeToo() {
-        mContext.budget().limit(0, 10);
+        mContext.budget().setLimits(0, 10);
         mDirectory.replaceAll(List.of(Entries.decode("a"), Entries.decode("b")));
         stream(Route.Kind.RESUMABLE_STREAM);
         UpstreamPort.RunListener run = mPort.mRuns.get(0).mListener;
@@ -319,7 +319,7 @@
 
     @Test
     public void aPromptThatASilentEngineMayNeverHaveFetchedIsReadElsewhere() {
-        mContext.budget().limit(0, 10);
+        mContext.budget().setLimits(0, 10);
         UpstreamEntry prefill = Entries.prefill("p");
         mDirectory.replaceAll(List.of(prefill, Entries.decode("a"), Entries.decode("b")));
         stream(Route.Kind.RESUMABLE_STREAM, 2);
@@ -334,7 +334,7 @@
 
     @Test
     public void anEngineThatLosesEveryAnswerIsLeft() {
-        mContext.budget().limit(0, 10);
+        mContext.budget().setLimits(0, 10);
         mDirectory.replaceAll(List.of(Entries.decode("a"), Entries.decode("b")));
         stream(Route.Kind.RESUMABLE_STREAM);
         for (int run = 0; run <= KeptPrompt.MOST_REPEATS; run++) {
@@ -356,7 +356,7 @@
 
     @Test
     public void aLostRunEndsTruthfullyWhereItsEngineIsGone() {
-        mContext.budget().limit(0, 10);
+        mContext.budget().setLimits(0, 10);
         mDirectory.replaceAll(List.of(Entries.decode("a")));
         stream(Route.Kind.RESUMABLE_STREAM);
         mPort.mFull.add(Entries.decode("a").incarnation());
@@ -440,8 +440,9 @@
     @Test
     public void theBudgetsPartsOfAllRoutersStayWithinTheWhole() {
         for (int routers = 1; routers < 200; routers++) {
-            assertTrue(routers * ExtraCallBudget.part(routers) <= 1, "routers " + routers);
-            assertTrue((routers + 2) * ExtraCallBudget.part(routers) <= 1, "late " + routers);
+            assertTrue(routers * ExtraCallBudget.routerShare(routers) <= 1, "routers " + routers);
+            assertTrue(
+                    (routers + 2) * ExtraCallBudget.routerShare(routers) <= 1, "late " + routers);
         }
     }
 
@@ -470,7 +471,7 @@
 
     @Test
     public void aRepeatableRequestOfAnEarlierStartGoesOnElsewhereAtOnce() {
-        mContext.budget().limit(0, 10);
+        mContext.budget().setLimits(0, 10);
         UpstreamEntry upstream = started(Entries.plain("a", "hall-a"));
         mDirectory.replaceAll(List.of(upstream));
         new PlainExecution(mContext, request(), route(Route.Kind.REPEATABLE, 2), "service", mCaller)
@@ -483,7 +484,7 @@
 
     @Test
     public void aStreamOfAnEarlierStartGoesOnElsewhereAndReadsItsPromptAnew() {
-        mContext.budget().limit(0, 10);
+        mContext.budget().setLimits(0, 10);
         UpstreamEntry prefill = Entries.prefill("p");
         UpstreamEntry engine = started(Entries.decode("a"));
         mDirectory.replaceAll(List.of(prefill, engine));
@@ -503,7 +504,7 @@
 
     @Test
     public void aPromptThatAnEarlierStartReadIsNotAskedForByItsHandle() {
-        mContext.budget().limit(0, 10);
+        mContext.budget().setLimits(0, 10);
         UpstreamEntry prefill = started(Entries.prefill("p"));
         mDirectory.replaceAll(List.of(prefill, Entries.decode("a"), Entries.decode("b")));
         stream(Route.Kind.RESUMABLE_STREAM, 2);
@@ -604,7 +605,7 @@
     public void aSilentCallIsKeptWhereTheOtherUpstreamIsAtItsRate() {
         UpstreamEntry silent = Entries.plain("silent", "hall-a");
         UpstreamEntry need = Entries.plain("need", "hall-b");
-        mContext.budget().limit(0, 1);
+        mContext.budget().setLimits(0, 1);
         mDirectory.replaceAll(List.of(silent, need));
         fill(need);
         repeatable();
--- a/troutpier-daemon/src/test/java/org/troutpier/daemon/serving/ExtraCallBudgetTest.java
+++ b/troutpier-daemon/src/test/java/org/troutpier/daemon/serving/ExtraCallBudgetTest.java
@@ -18,17 +18,17 @@
         ExtraCallBudget budget = new ExtraCallBudget(0.2, 2, WINDOW);
         int made = 0;
         for (int call = 0; call < 10; call++) {
-            made += budget.tryExtra("s", 100 + call) ? 1 : 0;
+            made += budget.tryAcquire("s", 100 + call) ? 1 : 0;
         }
         assertEquals(made, 2);
-        assertTrue(budget.tryExtra("s", 100 + 2 * WINDOW));
+        assertTrue(budget.tryAcquire("s", 100 + 2 * WINDOW));
     }
 
     @Test
     public void oneServiceDoesNotSpendForAnother() {
         ExtraCallBudget budget = new ExtraCallBudget(0.2, 1, WINDOW);
-        assertTrue(budget.tryExtra("s", 0));
-        assertTrue(budget.tryExtra("t", 0));
+        assertTrue(budget.tryAcquire("s", 0));
+        assertTrue(budget.tryAcquire("t", 0));
     }
 
     @Test
@@ -53,9 +53,9 @@
         for (int step = 0; step < 20_000; step++) {
             now += random.nextInt(random.nextInt(50) == 0 ? 3000 : 40);
             if (random.nextInt(3) > 0) {
-                budget.request("s", now);
+                budget.recordRequest("s", now);
                 requests.add(now);
-            } else if (budget.tryExtra("s", now)) {
+            } else if (budget.tryAcquire("s", now)) {
                 extra.add(now);
                 long from = now - WINDOW;
                 long made = extra.stream().filter(at -> at > from).count();
--- a/troutpier-daemon/src/test/java/org/troutpier/daemon/serving/ReportedUseTest.java
+++ b/troutpier-daemon/src/test/java/org/troutpier/daemon/serving/ReportedUseTest.java
@@ -59,24 +59,25 @@
         mReports = new FakeReports();
     }
 
-    private ReportedUse learn(ReportedUse.Scope scope) {
+    private EngineUsageReconciler learn(EngineUsageReconciler.Scope scope) {
         UpstreamDirectory directory = new UpstreamDirectory(mTime.control(), mTime::millis);
         directory.replaceAll(List.of(mEngine));
-        ReportedUse use = new ReportedUse(mTime.loop(), directory, mLoads, mPeers, mReports, scope);
+        EngineUsageReconciler use =
+                new EngineUsageReconciler(mTime.loop(), directory, mLoads, mPeers, mReports, scope);
         use.start();
         return use;
     }
 
     /** A scope in which one router asks for the others. */
-    private static ReportedUse.Scope forOthers(boolean asks) {
-        return new ReportedUse.Scope() {
+    private static EngineUsageReconciler.Scope forOthers(boolean asks) {
+        return new EngineUsageReconciler.Scope() {
             @Override
-            public boolean asks(UpstreamEntry engine) {
+            public boolean polls(UpstreamEntry engine) {
                 return asks;
             }
 
             @Override
-            public boolean tells() {
+            public boolean sharesResults() {
                 return asks;
             }
         };
@@ -144,8 +145,8 @@
     /** Engines were asked for twelve seconds after each start before. */
     @Test
     public void whereNothingRanBeforeNoEngineIsAskedUntilARouterIsLost() {
-        ReportedUse use = learn(engine -> true);
-        use.firstStart();
+        EngineUsageReconciler use = learn(engine -> true);
+        use.skipInitialPolling();
         mTime.pass(1);
         int before = mReports.mAsked;
         mTime.pass(2000);
