--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/cluster/LoadReporter.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/cluster/LoadReporter.java
@@ -102,14 +102,14 @@
                     mLoads.onUrgentChange(this::report);
                     mLoads.onChange(mPace::changed);
                     mLoads.onTokensAdded(mPace::grown);
-                    mRoles.onChanging(() -> mLoop.execute(this::rolesChange));
+                    mRoles.onChangingEngines(() -> mLoop.execute(this::rolesChange));
                     repeat();
                 });
     }
 
     /** Takes the engines that change their role. */
     private void rolesChange() {
-        mLoads.setChangingEngines(mRoles.changing());
+        mLoads.setChangingEngines(mRoles.changingEngines());
         report();
     }
 
@@ -149,9 +149,9 @@
                 new LoadReport(
                         mConfiguration.version(),
                         1,
-                        mRoles.holds(),
+                        mRoles.holdsLease(),
                         mPlaces.waitingTokens(),
-                        mRoles.changing(),
+                        mRoles.changingEngines(),
                         mLoads.refusingEngines(),
                         uses,
                         mDemand.publish(mLoop.millis()),
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/role/EngineOrders.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/role/EngineRoleClient.java
@@ -5,7 +5,7 @@
 import org.troutpier.daemon.directory.UpstreamEntry;
 
 /** Orders engines to change their role. Implementations are thread safe. */
-public interface EngineOrders {
+public interface EngineRoleClient {
 
     /**
      * Asks an engine how it stands.
@@ -24,8 +24,8 @@
      * @param expectedOrders how many orders it must have taken, so that a late order is void
      * @return what is known of the order; never fails
      */
-    CompletableFuture<Outcome> order(
-            UpstreamEntry engine, UpstreamEntry.Role role, Right lease, long expectedOrders);
+    CompletableFuture<Outcome> changeRole(
+            UpstreamEntry engine, UpstreamEntry.Role role, LeaseGrant lease, long expectedOrders);
 
     /**
      * The right to order. Immutable and thread safe.
@@ -33,7 +33,7 @@
      * @param holder the instance that holds the lease
      * @param fencingToken rises with every holder
      */
-    record Right(String holder, long fencingToken) {}
+    record LeaseGrant(String holder, long fencingToken) {}
 
     /**
      * How an engine stands. Immutable and thread safe.
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/role/RoleController.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/role/RoleController.java
@@ -26,11 +26,11 @@
 import org.troutpier.daemon.rows.RowStore;
 
 /**
- * Keeps the engines' roles in step with the load. Confined to the control thread; {@link #holds()}
- * and {@link #changing()} are thread safe. Invariants: orders are given only under the lease; all
- * changes that are under way for a service began together and are to the same role; an order whose
- * fate is unknown is only ever repeated, never followed by another, until the engine's report tells
- * what came of it.
+ * Keeps the engines' roles in step with the load. Confined to the control thread; {@link
+ * #holdsLease()} and {@link #changingEngines()} are thread safe. Invariants: orders are given only
+ * under the lease; all changes that are under way for a service began together and are to the same
+ * role; an order whose fate is unknown is only ever repeated, never followed by another, until the
+ * engine's report tells what came of it.
  */
 public final class RoleController {
 
@@ -74,7 +74,7 @@
     private final BooleanSupplier mContends;
 
     /** Gives orders. */
-    private final EngineOrders mOrders;
+    private final EngineRoleClient mOrders;
 
     /** The right to give orders. */
     private final RoleLease mLease;
@@ -159,7 +159,7 @@
      *     is four calls to the store for each router, and all but one of their writes are in
      *     conflict; one router of each hall is enough
      */
-    public record Candidacy(RowStore store, long leaseMillis, BooleanSupplier contends) {}
+    public record LeaseOptions(RowStore store, long leaseMillis, BooleanSupplier contends) {}
 
     /**
      * Creates a controller.
@@ -178,8 +178,8 @@
             UpstreamDirectory directory,
             PeerLoads peers,
             Function<String, Demand> ownDemand,
-            EngineOrders orders,
-            Candidacy candidacy) {
+            EngineRoleClient orders,
+            LeaseOptions candidacy) {
         mContends = candidacy.contends();
         mNode = node;
         mConfiguration = configuration;
@@ -201,7 +201,7 @@
      *
      * @return whether it holds the lease
      */
-    public boolean holds() {
+    public boolean holdsLease() {
         return mHolds;
     }
 
@@ -210,7 +210,7 @@
      *
      * @return their ids
      */
-    public Set<UpstreamIncarnation> changing() {
+    public Set<UpstreamIncarnation> changingEngines() {
         return mChanging;
     }
 
@@ -232,7 +232,7 @@
         } else {
             mServices.forEach(this::watch);
         }
-        changing(
+        changingEngines(
                 mServices.values().stream()
                         .flatMap(service -> service.mChanges.stream())
                         .filter(change -> change.mOrdersBefore >= 0)
@@ -260,7 +260,7 @@
      *
      * @param action the action, run on the control thread
      */
-    public void onChanging(Runnable action) {
+    public void onChangingEngines(Runnable action) {
         mNode.control().execute(() -> mOnChanging = action);
     }
 
@@ -269,7 +269,7 @@
      *
      * @param changing their ids
      */
-    private void changing(Set<UpstreamIncarnation> changing) {
+    private void changingEngines(Set<UpstreamIncarnation> changing) {
         if (!changing.equals(mChanging)) {
             mChanging = changing;
             mOnChanging.run();
@@ -495,7 +495,7 @@
      * @param change the change
      * @param report how the engine stands
      */
-    private void reported(Change change, EngineOrders.EngineReport report) {
+    private void reported(Change change, EngineRoleClient.EngineReport report) {
         boolean taken = change.mOrdersBefore >= 0 && report.orders() > change.mOrdersBefore;
         if (taken || report.changing() || report.role() == change.mRole) {
             change.mTaken = true;
@@ -507,14 +507,14 @@
         change.mOrdersBefore = report.orders();
         change.mCalling = true;
         UpstreamEntry engine = change.mEngine;
-        EngineOrders.Right right = mLease.right();
+        EngineRoleClient.LeaseGrant right = mLease.right();
         LOGGER.info(
                 "order engine={} role={} token={} ordersBefore={}",
                 engine.id(),
                 change.mRole,
                 right.fencingToken(),
                 report.orders());
-        mOrders.order(engine, change.mRole, right, report.orders())
+        mOrders.changeRole(engine, change.mRole, right, report.orders())
                 .thenAccept(
                         outcome ->
                                 mNode.control()
@@ -533,7 +533,7 @@
      * @param change the change
      * @param outcome what is known
      */
-    private void ordered(Change change, EngineOrders.Outcome outcome) {
+    private void ordered(Change change, EngineRoleClient.Outcome outcome) {
         LOGGER.info("order engine={} outcome={}", change.mEngine.id(), outcome);
         switch (outcome) {
             case TAKEN, ALREADY -> change.mTaken = true;
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/role/RoleLease.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/role/RoleLease.java
@@ -132,8 +132,8 @@
      *
      * @return the right; only to be used while {@link #mayOrder()}
      */
-    EngineOrders.Right right() {
-        return new EngineOrders.Right(instance(), mToken);
+    EngineRoleClient.LeaseGrant right() {
+        return new EngineRoleClient.LeaseGrant(instance(), mToken);
     }
 
     /**
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/BackOffAwareOrders.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/BackOffAwareRoleClient.java
@@ -5,17 +5,18 @@
 import org.troutpier.common.result.ResultCode;
 import org.troutpier.common.result.TroutpierException;
 import org.troutpier.daemon.directory.UpstreamEntry;
-import org.troutpier.daemon.role.EngineOrders;
+import org.troutpier.daemon.role.EngineRoleClient;
 
 /**
  * Orders engines and asks for their reports, except those that have asked for a back-off. Thread
  * safe if both parts are.
  *
- * @param orders carries out what the engines want
+ * @param client forwards calls to the engines
  * @param backOffMillis returns for how long an engine wants no call, milliseconds
  */
-public record BackOffAwareOrders(EngineOrders orders, ToLongFunction<UpstreamEntry> backOffMillis)
-        implements EngineOrders {
+public record BackOffAwareRoleClient(
+        EngineRoleClient client, ToLongFunction<UpstreamEntry> backOffMillis)
+        implements EngineRoleClient {
 
     /** {@inheritDoc} */
     @Override
@@ -27,15 +28,15 @@
                             ResultCode.UPSTREAM_RATE,
                             engine.id() + " asked for a back-off of " + left + " ms"));
         }
-        return orders.report(engine);
+        return client.report(engine);
     }
 
     /** {@inheritDoc} */
     @Override
-    public CompletableFuture<Outcome> order(
-            UpstreamEntry engine, UpstreamEntry.Role role, Right lease, long expectedOrders) {
+    public CompletableFuture<Outcome> changeRole(
+            UpstreamEntry engine, UpstreamEntry.Role role, LeaseGrant lease, long expectedOrders) {
         return backOffMillis.applyAsLong(engine) > 0
                 ? CompletableFuture.completedFuture(Outcome.REFUSED)
-                : orders.order(engine, role, lease, expectedOrders);
+                : client.changeRole(engine, role, lease, expectedOrders);
     }
 }
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/EngineUsageReconciler.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/EngineUsageReconciler.java
@@ -12,7 +12,7 @@
 import org.troutpier.daemon.cluster.PeerLoads;
 import org.troutpier.daemon.directory.UpstreamDirectory;
 import org.troutpier.daemon.directory.UpstreamEntry;
-import org.troutpier.daemon.role.EngineOrders;
+import org.troutpier.daemon.role.EngineRoleClient;
 
 /**
  * Learns from the engines themselves what runs there that no router tells of: runs of routers that
@@ -56,7 +56,7 @@
     private final PeerLoads mPeers;
 
     /** Asks engines. */
-    private final EngineOrders mEngines;
+    private final EngineRoleClient mEngines;
 
     /** Which engines this router asks. */
     private final Scope mScope;
@@ -106,7 +106,7 @@
             UpstreamDirectory directory,
             UpstreamLoads loads,
             PeerLoads peers,
-            EngineOrders engines,
+            EngineRoleClient engines,
             Scope scope) {
         mScope = scope;
         mLoop = loop;
--- a/troutpier-daemon/src/test/java/org/troutpier/daemon/role/RoleControllerTest.java
+++ b/troutpier-daemon/src/test/java/org/troutpier/daemon/role/RoleControllerTest.java
@@ -44,7 +44,7 @@
     private RoleController mController;
 
     /** Engines that take each order and then take their time. */
-    private static final class FakeOrders implements EngineOrders {
+    private static final class FakeOrders implements EngineRoleClient {
         final List<UpstreamIncarnation> mOrdered = new ArrayList<>();
         final List<Long> mExpected = new ArrayList<>();
 
@@ -64,8 +64,11 @@
         }
 
         @Override
-        public CompletableFuture<Outcome> order(
-                UpstreamEntry engine, UpstreamEntry.Role role, Right lease, long expectedOrders) {
+        public CompletableFuture<Outcome> changeRole(
+                UpstreamEntry engine,
+                UpstreamEntry.Role role,
+                LeaseGrant lease,
+                long expectedOrders) {
             mOrdered.add(engine.incarnation());
             mExpected.add(expectedOrders);
             return CompletableFuture.completedFuture(Outcome.TAKEN);
@@ -99,7 +102,7 @@
                         new PeerLoads(),
                         service -> Demand.NONE,
                         mOrders,
-                        new RoleController.Candidacy(mStore, TERM, () -> true));
+                        new RoleController.LeaseOptions(mStore, TERM, () -> true));
         mController.start();
     }
 
@@ -127,7 +130,7 @@
     private void orderOne() {
         mTime.pass(4 * TERM);
         assertEquals(mOrders.mOrdered, List.of(UpstreamIncarnation.of("e1")));
-        assertEquals(mController.changing(), Set.of(UpstreamIncarnation.of("e1")));
+        assertEquals(mController.changingEngines(), Set.of(UpstreamIncarnation.of("e1")));
     }
 
     @Test
@@ -135,7 +138,7 @@
         orderOne();
         list(UpstreamEntry.Role.DECODE);
         mTime.pass(1000);
-        assertTrue(mController.changing().isEmpty());
+        assertTrue(mController.changingEngines().isEmpty());
     }
 
     @Test
@@ -143,11 +146,11 @@
         orderOne();
         mStore.mAway = true;
         mTime.pass(2 * TERM);
-        assertFalse(mController.holds());
-        assertEquals(mController.changing(), Set.of(UpstreamIncarnation.of("e1")));
+        assertFalse(mController.holdsLease());
+        assertEquals(mController.changingEngines(), Set.of(UpstreamIncarnation.of("e1")));
         list(UpstreamEntry.Role.DECODE);
         mTime.pass(1000);
-        assertTrue(mController.changing().isEmpty());
+        assertTrue(mController.changingEngines().isEmpty());
         assertEquals(mOrders.mOrdered.size(), 1);
     }
 
@@ -156,7 +159,7 @@
         orderOne();
         mStore.mAway = true;
         mTime.pass(CHANGE_AT_MOST);
-        assertTrue(mController.changing().isEmpty());
+        assertTrue(mController.changingEngines().isEmpty());
     }
 
     /** Its orders are counted from the start, so the next one expects none before it. */
@@ -167,7 +170,7 @@
         mDirectory.change(again.id(), Optional.of(engine("e1~1", UpstreamEntry.Role.PREFILL)));
         mDirectory.change(again.id(), Optional.of(again));
         mTime.pass(1000);
-        assertTrue(mController.changing().isEmpty());
+        assertTrue(mController.changingEngines().isEmpty());
         mTime.pass(4 * TERM);
         assertEquals(mOrders.mOrdered.get(1), again.incarnation());
         assertEquals(mOrders.mExpected, List.of(0L, 0L));
--- a/troutpier-daemon/src/test/java/org/troutpier/daemon/serving/ReportedUseTest.java
+++ b/troutpier-daemon/src/test/java/org/troutpier/daemon/serving/ReportedUseTest.java
@@ -19,7 +19,7 @@
 import org.troutpier.daemon.directory.UpstreamEntry;
 import org.troutpier.daemon.node.ManualTime;
 import org.troutpier.daemon.organisation.UseReport;
-import org.troutpier.daemon.role.EngineOrders;
+import org.troutpier.daemon.role.EngineRoleClient;
 
 /** What is learnt of runs that no router tells of. */
 public final class ReportedUseTest {
@@ -33,7 +33,7 @@
     private FakeReports mReports;
 
     /** An engine that reports what the test says. */
-    private static final class FakeReports implements EngineOrders {
+    private static final class FakeReports implements EngineRoleClient {
         long mUsed;
         int mAsked;
 
@@ -45,8 +45,11 @@
         }
 
         @Override
-        public CompletableFuture<Outcome> order(
-                UpstreamEntry engine, UpstreamEntry.Role role, Right lease, long expectedOrders) {
+        public CompletableFuture<Outcome> changeRole(
+                UpstreamEntry engine,
+                UpstreamEntry.Role role,
+                LeaseGrant lease,
+                long expectedOrders) {
             throw new IllegalStateException("nothing is ordered here");
         }
     }
