--- a/troutpier-cli/src/test/java/org/troutpier/cli/QuarantineCommandTest.java
+++ b/troutpier-cli/src/test/java/org/troutpier/cli/QuarantineCommandTest.java
@@ -33,9 +33,9 @@
     @BeforeMethod
     void start() {
         mQuarantine = new Quarantine(SETTINGS, () -> 0, new MetricRegistry());
-        mQuarantine.crashed(HELD, UpstreamIncarnation.of("engine-1"));
-        mQuarantine.crashed(HELD, UpstreamIncarnation.of("engine-2"));
-        mQuarantine.crashed(SUSPECT, UpstreamIncarnation.of("engine-2"));
+        mQuarantine.recordCrash(HELD, UpstreamIncarnation.of("engine-1"));
+        mQuarantine.recordCrash(HELD, UpstreamIncarnation.of("engine-2"));
+        mQuarantine.recordCrash(SUSPECT, UpstreamIncarnation.of("engine-2"));
         mRouter = new RouterStandin(new QuarantineHandler(SETTINGS, mQuarantine));
     }
 
@@ -64,7 +64,7 @@
     @Test
     public void aRequestIsClearedByItsShortNameAndTheToken() {
         assertEquals(run("secret", "--clear", HELD.shortName()), "cleared: 1\nexit 0");
-        assertFalse(mQuarantine.holds(HELD));
+        assertFalse(mQuarantine.isQuarantined(HELD));
         assertEquals(run("secret", "--clear", "00000000"), "cleared: 0\nexit 1");
     }
 
@@ -80,6 +80,6 @@
         String told = run("another", "--clear", HELD.shortName());
         assertTrue(told.contains("TP-102 clearing needs the token"), told);
         assertTrue(told.endsWith("exit 1"), told);
-        assertTrue(mQuarantine.holds(HELD));
+        assertTrue(mQuarantine.isQuarantined(HELD));
     }
 }
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/cluster/QuarantineTable.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/cluster/QuarantineTable.java
@@ -124,8 +124,8 @@
                 TablePaces.quarantine(mSettings.knownMillis()),
                 this,
                 new TableExchange.ForWholeTable(pages));
-        mQuarantine.onFound(report -> mNode.control().execute(() -> found(report)));
-        mQuarantine.onMerged(report -> mNode.control().execute(() -> store(report)));
+        mQuarantine.onLocalChange(report -> mNode.control().execute(() -> found(report)));
+        mQuarantine.onMergedChange(report -> mNode.control().execute(() -> store(report)));
         mNode.control().every(this::clean, CLEAN_MILLIS);
     }
 
@@ -147,7 +147,7 @@
      * @param report what is known
      */
     private void store(CrashReport report) {
-        boolean nearly = mSettings.nearlyHolds(report.record());
+        boolean nearly = mSettings.isNearThreshold(report.record());
         if (nearly || mStored.containsKey(report.request())) {
             mWanted.merge(report.request(), report.record(), CrashRecord::merge);
             write();
@@ -311,7 +311,7 @@
                         .orElse(CrashRecord.NONE);
         note(request, row.version(), record);
         CrashReport report = new CrashReport(request, record);
-        mTraffic.execute(() -> mQuarantine.learn(report));
+        mTraffic.execute(() -> mQuarantine.merge(report));
     }
 
     /**
@@ -359,7 +359,7 @@
     private void dropped(RequestFingerprint request) {
         if (mStored.remove(request) != null) {
             LOGGER.info("quarantine row deleted content={}", request);
-            mTraffic.execute(() -> mQuarantine.forget(request));
+            mTraffic.execute(() -> mQuarantine.remove(request));
         }
     }
 
@@ -397,7 +397,7 @@
      * @return whether it is
      */
     private boolean old(Stored stored) {
-        return ageMillis(stored) > mSettings.rememberedMillis(stored.record());
+        return ageMillis(stored) > mSettings.retentionMillis(stored.record());
     }
 
     /**
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/quarantine/Quarantine.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/quarantine/Quarantine.java
@@ -96,7 +96,7 @@
      *
      * @param teller takes each report, on the traffic loop
      */
-    public void onFound(Consumer<CrashReport> teller) {
+    public void onLocalChange(Consumer<CrashReport> teller) {
         mTeller = teller;
     }
 
@@ -106,7 +106,7 @@
      *
      * @param listener takes each report, on the traffic loop
      */
-    public void onMerged(Consumer<CrashReport> listener) {
+    public void onMergedChange(Consumer<CrashReport> listener) {
         mMerged = listener;
     }
 
@@ -126,7 +126,7 @@
      * @param outline the outline
      * @return whether one may be; always if one is
      */
-    public boolean mayKnow(String outline) {
+    public boolean mightContain(String outline) {
         return mOutlines.contains(outline);
     }
 
@@ -136,7 +136,7 @@
      * @param request the request
      * @return whether it is in quarantine
      */
-    public boolean holds(RequestFingerprint request) {
+    public boolean isQuarantined(RequestFingerprint request) {
         return mQuarantined.contains(request, mMillis.getAsLong());
     }
 
@@ -146,7 +146,7 @@
      * @param request the request
      * @param upstream the start that ended
      */
-    public void crashed(RequestFingerprint request, UpstreamIncarnation upstream) {
+    public void recordCrash(RequestFingerprint request, UpstreamIncarnation upstream) {
         CrashRecord before = record(request);
         CrashRecord after = before.with(upstream);
         if (after.equals(before)) {
@@ -166,7 +166,7 @@
      *
      * @param request the request
      */
-    public void ranWhole(RequestFingerprint request) {
+    public void recordCompletion(RequestFingerprint request) {
         clear(request, "ran whole");
     }
 
@@ -222,7 +222,7 @@
      *
      * @param report what it told
      */
-    public void learn(CrashReport report) {
+    public void merge(CrashReport report) {
         CrashRecord before = record(report.request());
         CrashRecord after = before.merge(report.record());
         if (after.equals(before)) {
@@ -239,7 +239,7 @@
      *
      * @param request the request
      */
-    public void forget(RequestFingerprint request) {
+    public void remove(RequestFingerprint request) {
         mSuspects.remove(request);
         mQuarantined.remove(request);
     }
@@ -252,14 +252,14 @@
      */
     private void keep(RequestFingerprint request, CrashRecord record) {
         long now = mMillis.getAsLong();
-        boolean held = holds(request);
-        forget(request);
+        boolean held = isQuarantined(request);
+        remove(request);
         if (mOutlines.size() > MOST_SUSPECTS + MOST_QUARANTINED) {
             mOutlines.clear();
-            records().keySet().forEach(each -> mOutlines.add(each.outline()));
+            records().keySet().forEach(each -> mOutlines.add(each.coarseHash()));
         }
-        mOutlines.add(request.outline());
-        if (!mSettings.holds(record)) {
+        mOutlines.add(request.coarseHash());
+        if (!mSettings.isQuarantined(record)) {
             mSuspects.put(request, record, now);
             return;
         }
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/quarantine/QuarantineHandler.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/quarantine/QuarantineHandler.java
@@ -38,7 +38,7 @@
      * @param generation how often it was cleared
      * @param ended the upstreams that ended under it since
      */
-    public record Listed(
+    public record Entry(
             String content, String fingerprint, boolean held, int generation, List<String> ended) {}
 
     /**
@@ -69,7 +69,7 @@
      *
      * @return each of them
      */
-    private List<Listed> listed() {
+    private List<Entry> listed() {
         return mQuarantine.records().entrySet().stream()
                 .map(each -> listed(each.getKey(), each.getValue()))
                 .toList();
@@ -82,11 +82,11 @@
      * @param record what is known of it
      * @return the request as it is shown
      */
-    private Listed listed(RequestFingerprint request, CrashRecord record) {
-        return new Listed(
+    private Entry listed(RequestFingerprint request, CrashRecord record) {
+        return new Entry(
                 request.shortName(),
                 request.value(),
-                mQuarantine.holds(request),
+                mQuarantine.isQuarantined(request),
                 record.generation(),
                 record.ended().stream().map(Object::toString).toList());
     }
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/quarantine/QuarantineSettings.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/quarantine/QuarantineSettings.java
@@ -58,7 +58,7 @@
      * @param record the upstreams that ended under it
      * @return whether there are as many as put it into quarantine
      */
-    public boolean holds(CrashRecord record) {
+    public boolean isQuarantined(CrashRecord record) {
         return record.ended().size() >= crashes;
     }
 
@@ -68,7 +68,7 @@
      * @param record the upstreams that ended under it
      * @return whether it does, or has been put there
      */
-    public boolean nearlyHolds(CrashRecord record) {
+    public boolean isNearThreshold(CrashRecord record) {
         return record.ended().size() >= crashes - 1;
     }
 
@@ -78,8 +78,8 @@
      * @param record the upstreams that ended under it
      * @return milliseconds
      */
-    public long rememberedMillis(CrashRecord record) {
-        return holds(record) ? heldMillis() : SUSPECT_MILLIS;
+    public long retentionMillis(CrashRecord record) {
+        return isQuarantined(record) ? heldMillis() : SUSPECT_MILLIS;
     }
 
     /**
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/quarantine/RequestFingerprint.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/quarantine/RequestFingerprint.java
@@ -53,7 +53,8 @@
      * @return the fingerprint
      */
     public static RequestFingerprint of(String host, String target, byte[] body) {
-        return new RequestFingerprint(outline(host, target, body.length) + half(Tokens.hash(body)));
+        return new RequestFingerprint(
+                coarseHash(host, target, body.length) + half(Tokens.hash(body)));
     }
 
     /**
@@ -64,7 +65,7 @@
      * @param bodyLength the body's length, bytes
      * @return what the fingerprint begins with
      */
-    public static String outline(String host, String target, int bodyLength) {
+    public static String coarseHash(String host, String target, int bodyLength) {
         return half(Tokens.hash(host + SEPARATOR + target + SEPARATOR + bodyLength));
     }
 
@@ -83,7 +84,7 @@
      *
      * @return what the fingerprint begins with
      */
-    String outline() {
+    String coarseHash() {
         return value.substring(0, HALF_DIGITS);
     }
 
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/CrashGuard.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/CrashGuard.java
@@ -120,7 +120,7 @@
      * @return whether it is in quarantine
      */
     boolean isQuarantined(RequestContent content) {
-        boolean withheld = known(content) && mQuarantine.holds(content.fingerprint());
+        boolean withheld = known(content) && mQuarantine.isQuarantined(content.fingerprint());
         if (withheld) {
             mWithheld.inc();
         }
@@ -135,7 +135,7 @@
      * @return whether it may be
      */
     private boolean known(RequestContent content) {
-        return !mQuarantine.isEmpty() && mQuarantine.mayKnow(content.outline());
+        return !mQuarantine.isEmpty() && mQuarantine.mightContain(content.coarseHash());
     }
 
     /**
@@ -145,7 +145,7 @@
      */
     void recordCompletion(RequestContent content) {
         if (known(content)) {
-            mQuarantine.ranWhole(content.fingerprint());
+            mQuarantine.recordCompletion(content.fingerprint());
         }
     }
 
@@ -162,7 +162,7 @@
             UpstreamEntry upstream, RequestFingerprint request, Consumer<Boolean> judged) {
         UpstreamIncarnation start = upstream.incarnation();
         if (mEndedStarts.contains(start, mLoop.millis())) {
-            mQuarantine.crashed(request, start);
+            mQuarantine.recordCrash(request, start);
             new Loss(request, judged).ended();
         } else if (mChecks.containsKey(start)) {
             mChecks.get(start).mLate.add(new Loss(request, judged));
@@ -286,7 +286,7 @@
             mEnds.inc();
             LOGGER.warn("upstream ended id={} requests={}", start, mLost.size());
             mLost.forEach(Loss::ended);
-            mLost.forEach(loss -> mQuarantine.crashed(loss.mRequest, start));
+            mLost.forEach(loss -> mQuarantine.recordCrash(loss.mRequest, start));
         }
     }
 }
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/RequestContent.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/RequestContent.java
@@ -31,10 +31,10 @@
      *
      * @return the outline
      */
-    String outline() {
+    String coarseHash() {
         if (mOutline == null) {
             int length = mRequest.body().length;
-            mOutline = RequestFingerprint.outline(mRequest.host(), mRequest.target(), length);
+            mOutline = RequestFingerprint.coarseHash(mRequest.host(), mRequest.target(), length);
         }
         return mOutline;
     }
--- a/troutpier-daemon/src/test/java/org/troutpier/daemon/cluster/QuarantineTableTest.java
+++ b/troutpier-daemon/src/test/java/org/troutpier/daemon/cluster/QuarantineTableTest.java
@@ -51,12 +51,12 @@
 
         void crash(int... upstreams) {
             for (int upstream : upstreams) {
-                mQuarantine.crashed(GUILTY, UpstreamIncarnation.of("upstream-" + upstream));
+                mQuarantine.recordCrash(GUILTY, UpstreamIncarnation.of("upstream-" + upstream));
             }
         }
 
         boolean holds() {
-            return mQuarantine.holds(GUILTY);
+            return mQuarantine.isQuarantined(GUILTY);
         }
     }
 
@@ -168,7 +168,7 @@
         }
         for (Router router : routers) {
             CrashRecord found = router.mQuarantine.records().get(GUILTY);
-            routers.forEach(each -> each.mQuarantine.learn(new CrashReport(GUILTY, found)));
+            routers.forEach(each -> each.mQuarantine.merge(new CrashReport(GUILTY, found)));
         }
         mTime.pass(SETTINGS.knownMillis());
         assertTrue(router("later").holds());
--- a/troutpier-daemon/src/test/java/org/troutpier/daemon/quarantine/QuarantineTest.java
+++ b/troutpier-daemon/src/test/java/org/troutpier/daemon/quarantine/QuarantineTest.java
@@ -26,7 +26,7 @@
         mNow = 0;
         mTold = new ArrayList<>();
         mQuarantine = quarantine();
-        mQuarantine.onFound(mTold::add);
+        mQuarantine.onLocalChange(mTold::add);
     }
 
     private Quarantine quarantine() {
@@ -43,7 +43,7 @@
 
     private void crash(int request, int... upstreams) {
         for (int upstream : upstreams) {
-            mQuarantine.crashed(request(request), upstream(upstream));
+            mQuarantine.recordCrash(request(request), upstream(upstream));
         }
     }
 
@@ -51,10 +51,10 @@
     public void theThirdUpstreamThatEndsPutsARequestIntoQuarantine() {
         assertTrue(mQuarantine.isEmpty());
         crash(1, 1, 2, 2);
-        assertFalse(mQuarantine.holds(request(1)));
+        assertFalse(mQuarantine.isQuarantined(request(1)));
         crash(1, 3);
-        assertTrue(mQuarantine.holds(request(1)));
-        assertFalse(mQuarantine.holds(request(2)));
+        assertTrue(mQuarantine.isQuarantined(request(1)));
+        assertFalse(mQuarantine.isQuarantined(request(2)));
         assertEquals(mTold.size(), 3);
     }
 
@@ -62,20 +62,20 @@
     public void endsThatDifferentRoutersSawCountTogether() {
         crash(1, 1);
         Quarantine other = quarantine();
-        other.crashed(request(1), upstream(2));
-        other.onFound(mQuarantine::learn);
-        other.crashed(request(1), upstream(3));
-        assertTrue(mQuarantine.holds(request(1)));
+        other.recordCrash(request(1), upstream(2));
+        other.onLocalChange(mQuarantine::merge);
+        other.recordCrash(request(1), upstream(3));
+        assertTrue(mQuarantine.isQuarantined(request(1)));
     }
 
     @Test
     public void aRequestThatRanWholeIsClearedEverywhere() {
         crash(1, 1, 2);
         Quarantine other = quarantine();
-        mTold.forEach(other::learn);
-        mQuarantine.ranWhole(request(1));
-        other.learn(mTold.get(mTold.size() - 1));
-        other.crashed(request(1), upstream(3));
+        mTold.forEach(other::merge);
+        mQuarantine.recordCompletion(request(1));
+        other.merge(mTold.get(mTold.size() - 1));
+        other.recordCrash(request(1), upstream(3));
         crash(1, 3);
         assertEquals(other.records().get(request(1)).ended(), Set.of(upstream(3)));
         assertEquals(mQuarantine.records(), other.records());
@@ -85,7 +85,7 @@
     public void aRequestThatRanWholeAndOfWhichNothingIsKnownIsNotTold() {
         crash(1, 1);
         mTold.clear();
-        mQuarantine.ranWhole(request(2));
+        mQuarantine.recordCompletion(request(2));
         assertEquals(mTold, List.of());
     }
 
@@ -97,7 +97,7 @@
         assertEquals(mQuarantine.clear(request(1).shortName().substring(0, 4)), 0);
         assertEquals(mQuarantine.clear("no such name"), 0);
         assertEquals(mQuarantine.clear(request(1).shortName()), 1);
-        assertFalse(mQuarantine.holds(request(1)));
+        assertFalse(mQuarantine.isQuarantined(request(1)));
         assertEquals(mTold.get(mTold.size() - 1).record().ended(), Set.of());
     }
 
@@ -105,9 +105,9 @@
     public void theTimeInQuarantineEnds() {
         crash(1, 1, 2, 3);
         mNow = 60_000;
-        assertTrue(mQuarantine.holds(request(1)));
+        assertTrue(mQuarantine.isQuarantined(request(1)));
         mNow++;
-        assertFalse(mQuarantine.holds(request(1)));
+        assertFalse(mQuarantine.isQuarantined(request(1)));
         assertTrue(mQuarantine.isEmpty());
     }
 
@@ -117,13 +117,13 @@
         for (int request = 2; request < 10_000; request++) {
             crash(request, request);
         }
-        assertTrue(mQuarantine.holds(request(1)));
+        assertTrue(mQuarantine.isQuarantined(request(1)));
         assertTrue(mQuarantine.records().size() < 3000);
         assertFalse(mQuarantine.records().containsKey(request(2)));
         assertTrue(mQuarantine.records().containsKey(request(9999)));
-        assertTrue(mQuarantine.mayKnow(request(1).outline()));
-        assertTrue(mQuarantine.mayKnow(request(9999).outline()));
-        assertFalse(mQuarantine.mayKnow(request(2).outline()));
+        assertTrue(mQuarantine.mightContain(request(1).coarseHash()));
+        assertTrue(mQuarantine.mightContain(request(9999).coarseHash()));
+        assertFalse(mQuarantine.mightContain(request(2).coarseHash()));
     }
 
     @Test
@@ -132,13 +132,13 @@
             crash(request, 1, 2, 3);
         }
         assertEquals(mQuarantine.records().size(), Quarantine.MOST_QUARANTINED);
-        assertTrue(mQuarantine.holds(request(999)));
+        assertTrue(mQuarantine.isQuarantined(request(999)));
     }
 
     @Test
     public void whatTheStoreNoLongerHasIsForgotten() {
         crash(1, 1, 2, 3);
-        mQuarantine.forget(request(1));
+        mQuarantine.remove(request(1));
         assertTrue(mQuarantine.isEmpty());
     }
 }
--- a/troutpier-daemon/src/test/java/org/troutpier/daemon/quarantine/RequestFingerprintTest.java
+++ b/troutpier-daemon/src/test/java/org/troutpier/daemon/quarantine/RequestFingerprintTest.java
@@ -33,10 +33,11 @@
 
     @Test
     public void theOutlineLeavesOutTheBodyButForItsLength() {
-        assertEquals(of("h", "/a", "body").outline(), RequestFingerprint.outline("h", "/a", 4));
-        assertEquals(of("h", "/a", "Body").outline(), of("h", "/a", "body").outline());
-        assertNotEquals(of("h", "/a", "bod").outline(), of("h", "/a", "body").outline());
-        assertNotEquals(of("h", "/b", "body").outline(), of("h", "/a", "body").outline());
+        assertEquals(
+                of("h", "/a", "body").coarseHash(), RequestFingerprint.coarseHash("h", "/a", 4));
+        assertEquals(of("h", "/a", "Body").coarseHash(), of("h", "/a", "body").coarseHash());
+        assertNotEquals(of("h", "/a", "bod").coarseHash(), of("h", "/a", "body").coarseHash());
+        assertNotEquals(of("h", "/b", "body").coarseHash(), of("h", "/a", "body").coarseHash());
     }
 
     @Test
--- a/troutpier-daemon/src/test/java/org/troutpier/daemon/serving/CrashGuardTest.java
+++ b/troutpier-daemon/src/test/java/org/troutpier/daemon/serving/CrashGuardTest.java
@@ -169,7 +169,7 @@
     }
 
     private void end(RequestFingerprint request, int number) {
-        mQuarantine.crashed(request, UpstreamIncarnation.of("other-" + number));
+        mQuarantine.recordCrash(request, UpstreamIncarnation.of("other-" + number));
     }
 
     @Test
