--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/cluster/LoadReporter.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/cluster/LoadReporter.java
@@ -99,24 +99,24 @@
     public void start() {
         mLoop.execute(
                 () -> {
-                    mLoads.onUrgent(this::report);
-                    mLoads.onChanged(mPace::changed);
-                    mLoads.onGrown(mPace::grown);
-                    mRoles.onChanging(() -> mLoop.execute(this::rolesChange));
+                    mLoads.onUrgentChange(this::report);
+                    mLoads.onChange(mPace::changed);
+                    mLoads.onTokensAdded(mPace::grown);
+                    mRoles.onChangingEngines(() -> mLoop.execute(this::rolesChange));
                     repeat();
                 });
     }
 
     /** Takes the engines that change their role. */
     private void rolesChange() {
-        mLoads.changing(mRoles.changing());
+        mLoads.setChangingEngines(mRoles.changingEngines());
         report();
     }
 
     /** Reports if there is something new to tell. */
     private void look() {
-        Map<UpstreamIncarnation, UpstreamUse> uses = mLoads.uses();
-        if (!uses.equals(mReported) || mRates.unreported()) {
+        Map<UpstreamIncarnation, UpstreamUse> uses = mLoads.usage();
+        if (!uses.equals(mReported) || mRates.hasUnreportedChanges()) {
             report(uses);
         }
     }
@@ -133,7 +133,7 @@
 
     /** Reports now. */
     private void report() {
-        report(mLoads.uses());
+        report(mLoads.usage());
     }
 
     /**
@@ -149,10 +149,10 @@
                 new LoadReport(
                         mConfiguration.version(),
                         1,
-                        mRoles.holds(),
+                        mRoles.holdsLease(),
                         mPlaces.waitingTokens(),
-                        mRoles.changing(),
-                        mLoads.refusing(),
+                        mRoles.changingEngines(),
+                        mLoads.refusingEngines(),
                         uses,
                         mDemand.publish(mLoop.millis()),
                         mOrganisations.report(),
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/CrashGuard.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/CrashGuard.java
@@ -119,8 +119,8 @@
      * @param content what the request asks for
      * @return whether it is in quarantine
      */
-    boolean withholds(LazyFingerprint content) {
-        boolean withheld = known(content) && mQuarantine.holds(content.get());
+    boolean isQuarantined(LazyFingerprint content) {
+        boolean withheld = known(content) && mQuarantine.isQuarantined(content.get());
         if (withheld) {
             mWithheld.inc();
         }
@@ -135,7 +135,7 @@
      * @return whether it may be
      */
     private boolean known(LazyFingerprint content) {
-        return !mQuarantine.isEmpty() && mQuarantine.mayKnow(content.outline());
+        return !mQuarantine.isEmpty() && mQuarantine.mightContain(content.coarseHash());
     }
 
     /**
@@ -143,9 +143,9 @@
      *
      * @param content what the request asks for
      */
-    void ranWhole(LazyFingerprint content) {
+    void recordCompletion(LazyFingerprint content) {
         if (known(content)) {
-            mQuarantine.ranWhole(content.get());
+            mQuarantine.recordCompletion(content.get());
         }
     }
 
@@ -158,10 +158,10 @@
      *     to go on, {@link #SETTLED_MILLIS} after it is known to have ended, and after {@link
      *     #JUDGED_MILLIS} at the latest where nothing is known
      */
-    void lost(UpstreamEntry upstream, RequestFingerprint request, Consumer<Boolean> judged) {
+    void attributeLoss(UpstreamEntry upstream, RequestFingerprint request, Consumer<Boolean> judged) {
         UpstreamIncarnation start = upstream.incarnation();
         if (mEndedStarts.contains(start, mLoop.millis())) {
-            mQuarantine.crashed(request, start);
+            mQuarantine.recordCrash(request, start);
             new Loss(request, judged).ended();
         } else if (mChecks.containsKey(start)) {
             mChecks.get(start).mLate.add(new Loss(request, judged));
@@ -245,7 +245,7 @@
 
         /** Asks the upstream. */
         void ask() {
-            mPort.check(mUpstream, this::answered);
+            mPort.probe(mUpstream, this::answered);
         }
 
         /**
@@ -253,9 +253,9 @@
          *
          * @param listening whether it listens
          */
-        private void answered(UpstreamPort.Listening listening) {
+        private void answered(UpstreamPort.ProbeResult listening) {
             boolean restarted = mDirectory.restarted(mUpstream.incarnation());
-            if (restarted || listening == UpstreamPort.Listening.NO) {
+            if (restarted || listening == UpstreamPort.ProbeResult.NOT_LISTENING) {
                 ended();
             } else {
                 alive();
@@ -285,7 +285,7 @@
             mEnds.inc();
             LOGGER.warn("upstream ended id={} requests={}", start, mLost.size());
             mLost.forEach(Loss::ended);
-            mLost.forEach(loss -> mQuarantine.crashed(loss.mRequest, start));
+            mLost.forEach(loss -> mQuarantine.recordCrash(loss.mRequest, start));
         }
     }
 }
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/ReportedUse.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/EngineUsageReconciler.java
@@ -12,7 +12,7 @@
 import org.troutpier.daemon.cluster.PeerLoads;
 import org.troutpier.daemon.directory.UpstreamDirectory;
 import org.troutpier.daemon.directory.UpstreamEntry;
-import org.troutpier.daemon.role.EngineOrders;
+import org.troutpier.daemon.role.EngineRoleClient;
 
 /**
  * Learns from the engines themselves what runs there that no router tells of: runs of routers that
@@ -26,7 +26,7 @@
  * <p>It answers the seconds after a loss of power of all routers, and routers that are cut from
  * each other. Without it engines were filled beyond their memory and preempted what they ran.
  */
-public final class ReportedUse {
+public final class EngineUsageReconciler {
 
     /** How often engines are asked, milliseconds. */
     private static final long LOOK_MILLIS = 400;
@@ -41,7 +41,7 @@
     private static final long WATCH_MILLIS = 12_000;
 
     /** Logs when engines begin to be asked. */
-    private static final Logger LOGGER = LogManager.getLogger(ReportedUse.class);
+    private static final Logger LOGGER = LogManager.getLogger(EngineUsageReconciler.class);
 
     /** The traffic loop. */
     private final TrafficLoop mLoop;
@@ -56,7 +56,7 @@
     private final PeerLoads mPeers;
 
     /** Asks engines. */
-    private final EngineOrders mEngines;
+    private final EngineRoleClient mEngines;
 
     /** Which engines this router asks. */
     private final Scope mScope;
@@ -79,14 +79,14 @@
          * @param engine the engine
          * @return whether it does now
          */
-        boolean asks(UpstreamEntry engine);
+        boolean polls(UpstreamEntry engine);
 
         /**
          * Returns whether this router tells the others what it learns.
          *
          * @return whether it does now; false where each asks for itself
          */
-        default boolean tells() {
+        default boolean sharesResults() {
             return false;
         }
     }
@@ -101,12 +101,12 @@
      * @param engines asks engines
      * @param scope which engines this router asks
      */
-    public ReportedUse(
+    public EngineUsageReconciler(
             TrafficLoop loop,
             UpstreamDirectory directory,
             UpstreamLoads loads,
             PeerLoads peers,
-            EngineOrders engines,
+            EngineRoleClient engines,
             Scope scope) {
         mScope = scope;
         mLoop = loop;
@@ -130,7 +130,7 @@
      * of it. In a fleet whose 58 routers all start for the first time, each asked 42 engines some
      * ten times: 22,000 questions about nothing. Any thread may call it.
      */
-    public void firstStart() {
+    public void skipInitialPolling() {
         mLoop.execute(() -> mUntil = Math.min(mUntil, mLoop.millis()));
     }
 
@@ -155,7 +155,7 @@
      */
     private void look(boolean ask) {
         List<UpstreamEntry> engines =
-                mDirectory.usable(UpstreamEntry.Role.DECODE).stream().filter(mScope::asks).toList();
+                mDirectory.usable(UpstreamEntry.Role.DECODE).stream().filter(mScope::polls).toList();
         mKnown.keySet()
                 .retainAll(
                         engines.stream()
@@ -203,7 +203,7 @@
         Deque<Long> known = mKnown.get(engine.incarnation());
         if (known != null) {
             long most = known.stream().mapToLong(Long::longValue).max().orElse(0);
-            mLoads.unknown(engine, Math.max(0, used - most), mScope.tells());
+            mLoads.unknown(engine, Math.max(0, used - most), mScope.sharesResults());
         }
     }
 }
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/RequestExecution.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/RequestExecution.java
@@ -105,7 +105,7 @@
         request.organisation().ifPresent(organisation -> mTrace.organisation(organisation.id()));
         context.metrics().began();
         caller.onGone(this::callerGone);
-        context.budget().request(service, context.loop().millis());
+        context.budget().recordRequest(service, context.loop().millis());
     }
 
     /**
@@ -261,7 +261,7 @@
         }
         mTrace.content(mContent.get());
         mContext.crashGuard()
-                .lost(
+                .attributeLoss(
                         upstream,
                         mContent.get(),
                         ended -> {
@@ -278,7 +278,7 @@
      * @return whether it must not be run, and has ended
      */
     protected boolean withheld() {
-        if (mOver || !mContext.crashGuard().withholds(mContent)) {
+        if (mOver || !mContext.crashGuard().isQuarantined(mContent)) {
             return false;
         }
         mTrace.content(mContent.get());
@@ -332,7 +332,7 @@
      * @return whether it does; it is taken from the budget then
      */
     protected boolean mayCallOnceMore() {
-        boolean made = mContext.budget().tryExtra(mService, mContext.loop().millis());
+        boolean made = mContext.budget().tryAcquire(mService, mContext.loop().millis());
         mContext.metrics().extraCall(made);
         if (!made) {
             mTrace.step("budget of extra calls is used up");
@@ -373,7 +373,7 @@
      */
     protected void succeeded(UpstreamEntry upstream, String stage, long millis) {
         mContext.loads().succeeded(upstream);
-        mContext.crashGuard().ranWhole(mContent);
+        mContext.crashGuard().recordCompletion(mContent);
         mContext.metrics().succeeded(upstream.id(), stage, millis);
     }
 
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/ReservationAllocator.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/ReservationAllocator.java
@@ -111,7 +111,7 @@
          * @param engine where it is
          * @param place the place; empty where engines do not set places aside
          */
-        void granted(UpstreamEntry engine, Optional<UpstreamPort.Place> place);
+        void granted(UpstreamEntry engine, Optional<UpstreamPort.Reservation> place);
 
         /**
          * Called when no place was found in time.
@@ -281,7 +281,7 @@
             }
             for (UpstreamEntry engine : mLoads.byTokens(engines, mAsked)) {
                 boolean full = mFullUntil.getOrDefault(engine.incarnation(), now) > now;
-                if (!full && hasRoom(engine) && mAdmission.tryTake(engine, mWanted.asker())) {
+                if (!full && hasRoom(engine) && mAdmission.tryAcquire(engine, mWanted.asker())) {
                     ask(engine);
                     return;
                 }
@@ -330,7 +330,7 @@
          * @return whether to ask it; where nobody else's use is known the engine alone decides
          */
         private boolean hasRoom(UpstreamEntry engine) {
-            if (!mLoads.peersHeard()) {
+            if (!mLoads.hasPeerReports()) {
                 return true;
             }
             boolean slot = mLoads.calls(engine) < engine.slots();
@@ -358,14 +358,14 @@
             if (mWanted.placeMillis() == 0) {
                 mOver = true;
                 charge();
-                mLoads.take(engine, mWanted.promptTokens());
+                mLoads.reserve(engine, mWanted.promptTokens());
                 mListener.granted(engine, Optional.empty());
                 return;
             }
             mAsked.add(engine.incarnation());
             int millis = Math.min(PLACE_MILLIS, mWanted.placeMillis());
-            long tokens = mLoads.peersHeard() ? mWanted.promptTokens() : mWanted.mostTokens();
-            mLoads.take(engine, mWanted.promptTokens());
+            long tokens = mLoads.hasPeerReports() ? mWanted.promptTokens() : mWanted.mostTokens();
+            mLoads.reserve(engine, mWanted.promptTokens());
             mPort.reserve(engine, tokens, millis, new Answer(engine));
         }
 
@@ -375,7 +375,7 @@
         }
 
         /** Receives an engine's answer. Confined to the traffic loop. */
-        private final class Answer implements UpstreamPort.ResultListener<UpstreamPort.Place> {
+        private final class Answer implements UpstreamPort.ResultListener<UpstreamPort.Reservation> {
 
             /** Who answers. */
             private final UpstreamEntry mEngine;
@@ -395,12 +395,12 @@
             /** {@inheritDoc} */
             @Override
             public void onNotice(UpstreamNotice notice, UpstreamPort.Verdict verdict) {
-                mAdmission.received(mEngine, notice);
+                mAdmission.recordNotice(mEngine, notice);
             }
 
             /** {@inheritDoc} */
             @Override
-            public void onResult(UpstreamPort.Place place) {
+            public void onResult(UpstreamPort.Reservation place) {
                 if (mOver) {
                     mLoads.end(mEngine, mWanted.promptTokens());
                     mPort.release(mEngine, place);
@@ -420,7 +420,7 @@
                 if (end.leaving()) {
                     mLoads.replaced(mEngine);
                 } else if (end.unreachable()) {
-                    mAdmission.giveBack(mEngine, mAskedAt);
+                    mAdmission.refund(mEngine, mAskedAt);
                     mLoads.failed(mEngine, true, "no place: " + end.detail());
                 }
                 next();
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/StreamExecution.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/StreamExecution.java
@@ -187,7 +187,7 @@
      * @param engine where it is
      * @param place the place; empty where engines do not set places aside
      */
-    private void take(UpstreamEntry engine, Optional<UpstreamPort.Place> place) {
+    private void take(UpstreamEntry engine, Optional<UpstreamPort.Reservation> place) {
         mPlace.take(engine, place);
         mContext.pacer().granted(mContext.loop().millis());
         mTrace.step("place@" + engine.id() + " known " + mContext.loads().tokens(engine));
@@ -286,7 +286,7 @@
             run(Optional.empty());
             return;
         }
-        Optional<UpstreamEntry> admitted = mContext.admission().takeFirst(engines, asker());
+        Optional<UpstreamEntry> admitted = mContext.admission().acquireFirst(engines, asker());
         if (admitted.isEmpty()) {
             mTrace.step("no prefill engine takes a call now");
             run(Optional.empty());
@@ -344,7 +344,7 @@
         mRelay.beginRun();
         UpstreamPort.RunPlan plan =
                 UpstreamPort.RunPlan.plain(leftMillis(), priority())
-                        .withPlace(mPlace.use())
+                        .withReservation(mPlace.use())
                         .withResumeAfter(mRelay.last());
         mRun = new StreamRun(engine, prompt);
         mRun.begin(prompt.map(plan::withPrompt).orElse(plan));
@@ -451,7 +451,7 @@
 
         /** {@inheritDoc} */
         @Override
-        public void granted(UpstreamEntry engine, Optional<UpstreamPort.Place> place) {
+        public void granted(UpstreamEntry engine, Optional<UpstreamPort.Reservation> place) {
             mContext.metrics().predicted("place", mPredictedMillis, mPlace.searchedMillis());
             take(engine, place);
             read();
@@ -484,7 +484,7 @@
 
         /** {@inheritDoc} */
         @Override
-        public void granted(UpstreamEntry engine, Optional<UpstreamPort.Place> place) {
+        public void granted(UpstreamEntry engine, Optional<UpstreamPort.Reservation> place) {
             take(engine, place);
             mKept.repeated();
             mTrace.step("prompt still there");
@@ -667,7 +667,7 @@
         /** Goes on after an answer that is no stream. */
         private void refused() {
             UpstreamPort.Head head = mAnswer.head();
-            AttemptEnd end = Verdicts.end(head);
+            AttemptEnd end = AttemptEnds.end(head);
             close();
             if (end.notStarted() && end.leaving()) {
                 mPrompt.ifPresent(prompt -> mStored = prompt);
--- a/troutpier-daemon/src/test/java/org/troutpier/daemon/serving/CrashGuardTest.java
+++ b/troutpier-daemon/src/test/java/org/troutpier/daemon/serving/CrashGuardTest.java
@@ -37,7 +37,7 @@
     private List<Boolean> mJudged;
 
     /** The checks that are not answered yet. */
-    private List<Consumer<UpstreamPort.Listening>> mAsked;
+    private List<Consumer<UpstreamPort.ProbeResult>> mAsked;
 
     @BeforeMethod
     void start() {
@@ -54,10 +54,10 @@
     }
 
     private void lost(RequestFingerprint request) {
-        mGuard.lost(mUpstream, request, mJudged::add);
+        mGuard.attributeLoss(mUpstream, request, mJudged::add);
     }
 
-    private void answer(UpstreamPort.Listening listening) {
+    private void answer(UpstreamPort.ProbeResult listening) {
         mAsked.remove(0).accept(listening);
     }
 
@@ -72,7 +72,7 @@
         lost(ONE);
         lost(TWO);
         assertEquals(mAsked.size(), 1);
-        answer(UpstreamPort.Listening.NO);
+        answer(UpstreamPort.ProbeResult.NOT_LISTENING);
         assertEquals(mJudged, List.of());
         mTime.pass(CrashGuard.SETTLED_MILLIS);
         assertEquals(mJudged, List.of(true, true));
@@ -83,7 +83,7 @@
     @Test
     public void whatIsToldLaterIsHeldAgainstItWithoutAskingAgain() {
         lost(ONE);
-        answer(UpstreamPort.Listening.NO);
+        answer(UpstreamPort.ProbeResult.NOT_LISTENING);
         lost(TWO);
         assertEquals(mAsked.size(), 0);
         assertEquals(held(TWO), 1);
@@ -94,7 +94,7 @@
     @Test
     public void aLostAnswerOfAnUpstreamThatListensIsNobodysGuilt() {
         lost(ONE);
-        answer(UpstreamPort.Listening.YES);
+        answer(UpstreamPort.ProbeResult.LISTENING);
         assertEquals(mJudged, List.of(false));
         assertTrue(mQuarantine.isEmpty());
     }
@@ -103,9 +103,9 @@
     public void anAnswerFromBeforeALossSaysNothingOfIt() {
         lost(ONE);
         lost(TWO);
-        answer(UpstreamPort.Listening.YES);
+        answer(UpstreamPort.ProbeResult.LISTENING);
         assertEquals(mJudged, List.of(false));
-        answer(UpstreamPort.Listening.NO);
+        answer(UpstreamPort.ProbeResult.NOT_LISTENING);
         mTime.pass(CrashGuard.JUDGED_MILLIS);
         assertEquals(mJudged, List.of(false, true));
         assertEquals(held(ONE), 0);
@@ -117,7 +117,7 @@
         lost(ONE);
         mTime.pass(CrashGuard.JUDGED_MILLIS);
         assertEquals(mJudged, List.of(false));
-        answer(UpstreamPort.Listening.UNKNOWN);
+        answer(UpstreamPort.ProbeResult.UNKNOWN);
         assertEquals(mJudged, List.of(false));
         assertTrue(mQuarantine.isEmpty());
     }
@@ -126,7 +126,7 @@
     public void anEndThatIsKnownLateIsStillHeldAgainstIt() {
         lost(ONE);
         mTime.pass(CrashGuard.JUDGED_MILLIS);
-        answer(UpstreamPort.Listening.NO);
+        answer(UpstreamPort.ProbeResult.NOT_LISTENING);
         assertEquals(mJudged, List.of(false));
         assertEquals(held(ONE), 1);
     }
@@ -144,9 +144,9 @@
     public void anUpstreamThatIsBackAlreadyUnderItsIdHasEnded() {
         UpstreamEntry first = TestUpstreams.startedAt(mUpstream, 1);
         mDirectory.replaceAll(List.of(first));
-        mGuard.lost(first, ONE, mJudged::add);
+        mGuard.attributeLoss(first, ONE, mJudged::add);
         mDirectory.replaceAll(List.of(TestUpstreams.startedAt(mUpstream, 2)));
-        answer(UpstreamPort.Listening.YES);
+        answer(UpstreamPort.ProbeResult.LISTENING);
         mTime.pass(CrashGuard.JUDGED_MILLIS);
         assertEquals(mJudged, List.of(true));
         assertEquals(held(ONE), 1);
@@ -169,19 +169,19 @@
     }
 
     private void end(RequestFingerprint request, int number) {
-        mQuarantine.crashed(request, UpstreamIncarnation.of("other-" + number));
+        mQuarantine.recordCrash(request, UpstreamIncarnation.of("other-" + number));
     }
 
     @Test
     public void whatIsHeldIsWithheldAndNothingElse() {
-        assertFalse(mGuard.withholds(content("/1", new byte[0])));
+        assertFalse(mGuard.isQuarantined(content("/1", new byte[0])));
         end(ONE, 1);
         end(ONE, 2);
-        assertFalse(mGuard.withholds(content("/1", new byte[0])));
+        assertFalse(mGuard.isQuarantined(content("/1", new byte[0])));
         end(ONE, 3);
-        assertTrue(mGuard.withholds(content("/1", new byte[0])));
-        assertFalse(mGuard.withholds(content("/2", new byte[0])));
-        assertFalse(mGuard.withholds(content("/1", new byte[1])));
+        assertTrue(mGuard.isQuarantined(content("/1", new byte[0])));
+        assertFalse(mGuard.isQuarantined(content("/2", new byte[0])));
+        assertFalse(mGuard.isQuarantined(content("/1", new byte[1])));
     }
 
     @Test
@@ -190,15 +190,15 @@
         end(held, 1);
         end(held, 2);
         end(held, 3);
-        assertTrue(mGuard.withholds(content("/3", new byte[] {1})));
-        assertFalse(mGuard.withholds(content("/3", new byte[] {2})));
+        assertTrue(mGuard.isQuarantined(content("/3", new byte[] {1})));
+        assertFalse(mGuard.isQuarantined(content("/3", new byte[] {2})));
     }
 
     @Test
     public void whatRanWholeIsClearedByItsNameOnly() {
         end(ONE, 1);
         end(TWO, 1);
-        mGuard.ranWhole(content("/1", new byte[0]));
+        mGuard.recordCompletion(content("/1", new byte[0]));
         assertEquals(held(ONE), 0);
         assertEquals(held(TWO), 1);
     }
--- a/troutpier-daemon/src/test/java/org/troutpier/daemon/serving/ExecutionTest.java
+++ b/troutpier-daemon/src/test/java/org/troutpier/daemon/serving/ExecutionTest.java
@@ -153,7 +153,7 @@
     /** Nothing is under way at any upstream; how calls ended may still be told. */
     private void assertNothingHeld() {
         mContext.loads()
-                .uses()
+                .usage()
                 .forEach(
                         (upstream, use) -> {
                             assertEquals(use.calls(), 0, upstream.toString());
@@ -207,7 +207,7 @@
 
     @Test
     public void aPrefillEngineThatIsSilentIsGivenUpByTheTimeItShouldTake() {
-        mContext.budget().limit(0, 1);
+        mContext.budget().setLimits(0, 1);
         for (int reading = 0; reading < 3; reading++) {
             mContext.demand().read("service", 5000, 100, mTime.millis());
         }
@@ -256,7 +256,7 @@
 
     @Test
     public void anEngineThatWasReplacedIsNoAttemptAndItsPromptIsUsedElsewhere() {
-        mContext.budget().limit(0, 1);
+        mContext.budget().setLimits(0, 1);
         UpstreamEntry prefill = TestUpstreams.prefill("p");
         mDirectory.replaceAll(
                 List.of(prefill, TestUpstreams.decode("a"), TestUpstreams.decode("b")));
@@ -293,7 +293,7 @@
 
     @Test
     public void aRunWhoseAnswerWasLostGoesOnWhereItsPromptIs() {
-        mContext.budget().limit(0, 10);
+        mContext.budget().setLimits(0, 10);
         UpstreamEntry prefill = TestUpstreams.prefill("p");
         mDirectory.replaceAll(
                 List.of(prefill, TestUpstreams.decode("a"), TestUpstreams.decode("b")));
@@ -312,7 +312,7 @@
 
     @Test
     public void aStreamThatGoesOnNeedsRoomForWhatWasMadeToo() {
-        mContext.budget().limit(0, 10);
+        mContext.budget().setLimits(0, 10);
         mDirectory.replaceAll(List.of(TestUpstreams.decode("a"), TestUpstreams.decode("b")));
         stream(Route.Kind.RESUMABLE_STREAM);
         UpstreamPort.RunListener run = mPort.mRuns.get(0).mListener;
@@ -329,7 +329,7 @@
 
     @Test
     public void aPromptThatASilentEngineMayNeverHaveFetchedIsReadElsewhere() {
-        mContext.budget().limit(0, 10);
+        mContext.budget().setLimits(0, 10);
         UpstreamEntry prefill = TestUpstreams.prefill("p");
         mDirectory.replaceAll(
                 List.of(prefill, TestUpstreams.decode("a"), TestUpstreams.decode("b")));
@@ -345,7 +345,7 @@
 
     @Test
     public void anEngineThatLosesEveryAnswerIsLeft() {
-        mContext.budget().limit(0, 10);
+        mContext.budget().setLimits(0, 10);
         mDirectory.replaceAll(List.of(TestUpstreams.decode("a"), TestUpstreams.decode("b")));
         stream(Route.Kind.RESUMABLE_STREAM);
         for (int run = 0; run <= KeptPrompt.MOST_REPEATS; run++) {
@@ -367,7 +367,7 @@
 
     @Test
     public void aLostRunEndsTruthfullyWhereItsEngineIsGone() {
-        mContext.budget().limit(0, 10);
+        mContext.budget().setLimits(0, 10);
         mDirectory.replaceAll(List.of(TestUpstreams.decode("a")));
         stream(Route.Kind.RESUMABLE_STREAM);
         mPort.mFull.add(TestUpstreams.decode("a").incarnation());
@@ -406,7 +406,7 @@
     public void aCallerThatLeavesEndsTheRunAndFreesTheMemory() {
         mDirectory.replaceAll(List.of(TestUpstreams.decode("a")));
         stream();
-        assertEquals(mContext.loads().uses().size(), 1);
+        assertEquals(mContext.loads().usage().size(), 1);
         mCaller.leave();
         assertTrue(mPort.mRuns.get(0).mAborted);
         assertNothingHeld();
@@ -453,8 +453,8 @@
     @Test
     public void theBudgetsPartsOfAllRoutersStayWithinTheWhole() {
         for (int routers = 1; routers < 200; routers++) {
-            assertTrue(routers * ExtraCallBudget.part(routers) <= 1, "routers " + routers);
-            assertTrue((routers + 2) * ExtraCallBudget.part(routers) <= 1, "late " + routers);
+            assertTrue(routers * ExtraCallBudget.routerShare(routers) <= 1, "routers " + routers);
+            assertTrue((routers + 2) * ExtraCallBudget.routerShare(routers) <= 1, "late " + routers);
         }
     }
 
@@ -484,7 +484,7 @@
 
     @Test
     public void aRepeatableRequestOfAnEarlierStartGoesOnElsewhereAtOnce() {
-        mContext.budget().limit(0, 10);
+        mContext.budget().setLimits(0, 10);
         UpstreamEntry upstream = started(TestUpstreams.plain("a", "hall-a"));
         mDirectory.replaceAll(List.of(upstream));
         new PlainExecution(mContext, request(), route(Route.Kind.REPEATABLE, 2), "service", mCaller)
@@ -497,7 +497,7 @@
 
     @Test
     public void aStreamOfAnEarlierStartGoesOnElsewhereAndReadsItsPromptAnew() {
-        mContext.budget().limit(0, 10);
+        mContext.budget().setLimits(0, 10);
         UpstreamEntry prefill = TestUpstreams.prefill("p");
         UpstreamEntry engine = started(TestUpstreams.decode("a"));
         mDirectory.replaceAll(List.of(prefill, engine));
@@ -517,7 +517,7 @@
 
     @Test
     public void aPromptThatAnEarlierStartReadIsNotAskedForByItsHandle() {
-        mContext.budget().limit(0, 10);
+        mContext.budget().setLimits(0, 10);
         UpstreamEntry prefill = started(TestUpstreams.prefill("p"));
         mDirectory.replaceAll(
                 List.of(prefill, TestUpstreams.decode("a"), TestUpstreams.decode("b")));
@@ -578,11 +578,11 @@
     /** Sends an upstream more than it takes, and has it name its rate. */
     private void fill(UpstreamEntry upstream) {
         for (int call = 0; call < 20; call++) {
-            mContext.admission().rates().tryTake(upstream, new Asker(0, Asker.NOBODY));
+            mContext.admission().rates().tryAcquire(upstream, new Asker(0, Asker.NOBODY));
         }
         mContext.admission()
                 .rates()
-                .heard(upstream, AnnouncedRate.of(1), UpstreamPort.Verdict.SUCCESS, 0);
+                .recordAnnouncement(upstream, AnnouncedRate.of(1), UpstreamPort.Verdict.SUCCESS, 0);
     }
 
     private void repeatable() {
@@ -619,7 +619,7 @@
     public void aSilentCallIsKeptWhereTheOtherUpstreamIsAtItsRate() {
         UpstreamEntry silent = TestUpstreams.plain("silent", "hall-a");
         UpstreamEntry need = TestUpstreams.plain("need", "hall-b");
-        mContext.budget().limit(0, 1);
+        mContext.budget().setLimits(0, 1);
         mDirectory.replaceAll(List.of(silent, need));
         fill(need);
         repeatable();
--- a/troutpier-daemon/src/test/java/org/troutpier/daemon/serving/ReportedUseTest.java
+++ b/troutpier-daemon/src/test/java/org/troutpier/daemon/serving/ReportedUseTest.java
@@ -19,7 +19,7 @@
 import org.troutpier.daemon.directory.UpstreamEntry;
 import org.troutpier.daemon.node.ManualTime;
 import org.troutpier.daemon.organisation.UseReport;
-import org.troutpier.daemon.role.EngineOrders;
+import org.troutpier.daemon.role.EngineRoleClient;
 
 /** What is learnt of runs that no router tells of. */
 public final class ReportedUseTest {
@@ -33,7 +33,7 @@
     private FakeReports mReports;
 
     /** An engine that reports what the test says. */
-    private static final class FakeReports implements EngineOrders {
+    private static final class FakeReports implements EngineRoleClient {
         long mUsed;
         int mAsked;
 
@@ -45,8 +45,8 @@
         }
 
         @Override
-        public CompletableFuture<Outcome> order(
-                UpstreamEntry engine, UpstreamEntry.Role role, Right lease, long expectedOrders) {
+        public CompletableFuture<Outcome> changeRole(
+                UpstreamEntry engine, UpstreamEntry.Role role, LeaseGrant lease, long expectedOrders) {
             throw new IllegalStateException("nothing is ordered here");
         }
     }
@@ -59,24 +59,24 @@
         mReports = new FakeReports();
     }
 
-    private ReportedUse learn(ReportedUse.Scope scope) {
+    private EngineUsageReconciler learn(EngineUsageReconciler.Scope scope) {
         UpstreamDirectory directory = new UpstreamDirectory(mTime.control(), mTime::millis);
         directory.replaceAll(List.of(mEngine));
-        ReportedUse use = new ReportedUse(mTime.loop(), directory, mLoads, mPeers, mReports, scope);
+        EngineUsageReconciler use = new EngineUsageReconciler(mTime.loop(), directory, mLoads, mPeers, mReports, scope);
         use.start();
         return use;
     }
 
     /** A scope in which one router asks for the others. */
-    private static ReportedUse.Scope forOthers(boolean asks) {
-        return new ReportedUse.Scope() {
+    private static EngineUsageReconciler.Scope forOthers(boolean asks) {
+        return new EngineUsageReconciler.Scope() {
             @Override
-            public boolean asks(UpstreamEntry engine) {
+            public boolean polls(UpstreamEntry engine) {
                 return asks;
             }
 
             @Override
-            public boolean tells() {
+            public boolean sharesResults() {
                 return asks;
             }
         };
@@ -89,10 +89,10 @@
         learn(forOthers(true));
         mTime.pass(500);
         mLoads.begin(mEngine, 5000);
-        assertEquals(mLoads.uses().get(mEngine.incarnation()), UpstreamUse.of(1, 35_000));
+        assertEquals(mLoads.usage().get(mEngine.incarnation()), UpstreamUse.of(1, 35_000));
         assertEquals(mLoads.tokens(mEngine), 35_000);
         mTime.pass(15_000);
-        assertEquals(mLoads.uses().get(mEngine.incarnation()), UpstreamUse.of(1, 5000));
+        assertEquals(mLoads.usage().get(mEngine.incarnation()), UpstreamUse.of(1, 5000));
     }
 
     @Test
@@ -101,7 +101,7 @@
         mReports.mUsed = 30_000;
         mTime.pass(500);
         assertEquals(mLoads.tokens(mEngine), 30_000);
-        assertEquals(mLoads.uses(), Map.of());
+        assertEquals(mLoads.usage(), Map.of());
     }
 
     @Test
@@ -144,8 +144,8 @@
     /** Engines were asked for twelve seconds after each start before. */
     @Test
     public void whereNothingRanBeforeNoEngineIsAskedUntilARouterIsLost() {
-        ReportedUse use = learn(engine -> true);
-        use.firstStart();
+        EngineUsageReconciler use = learn(engine -> true);
+        use.skipInitialPolling();
         mTime.pass(1);
         int before = mReports.mAsked;
         mTime.pass(2000);
--- a/troutpier-daemon/src/test/java/org/troutpier/daemon/serving/ReservationAllocatorTest.java
+++ b/troutpier-daemon/src/test/java/org/troutpier/daemon/serving/ReservationAllocatorTest.java
@@ -90,7 +90,7 @@
                         ASKER, PROMPT, MOST, MARGIN, MEMORY, 2000, waitMillis, standing, engines),
                 new ReservationAllocator.Listener() {
                     @Override
-                    public void granted(UpstreamEntry engine, Optional<UpstreamPort.Place> place) {
+                    public void granted(UpstreamEntry engine, Optional<UpstreamPort.Reservation> place) {
                         mGranted = engine;
                     }
 
@@ -204,7 +204,7 @@
         mPort.mHoldsBack = true;
         ReservationAllocator.Search search = find(200);
         search.stop();
-        mPort.mWaiting.onResult(new UpstreamPort.Place("late"));
+        mPort.mWaiting.onResult(new UpstreamPort.Reservation("late"));
         assertEquals(mPort.mReleased, List.of("late"));
         assertNull(mGranted);
     }
@@ -245,7 +245,7 @@
                     new ReservationAllocator.Listener() {
                         @Override
                         public void granted(
-                                UpstreamEntry engine, Optional<UpstreamPort.Place> place) {
+                                UpstreamEntry engine, Optional<UpstreamPort.Reservation> place) {
                             order.add(standing);
                         }
 
@@ -290,7 +290,7 @@
                         () -> List.of(mFirst)),
                 new ReservationAllocator.Listener() {
                     @Override
-                    public void granted(UpstreamEntry engine, Optional<UpstreamPort.Place> place) {
+                    public void granted(UpstreamEntry engine, Optional<UpstreamPort.Reservation> place) {
                         order.add(organisation);
                     }
 
@@ -302,13 +302,13 @@
     @Test
     public void anEngineAtItsRateIsNotAskedAndARefusedPlaceCounts() {
         for (int call = 0; call < 20; call++) {
-            mRates.tryTake(mFirst, ASKER);
+            mRates.tryAcquire(mFirst, ASKER);
         }
-        mRates.heard(mFirst, AnnouncedRate.of(1), UpstreamPort.Verdict.SUCCESS, 0);
-        mRates.heard(mSecond, AnnouncedRate.of(1), UpstreamPort.Verdict.SUCCESS, 0);
+        mRates.recordAnnouncement(mFirst, AnnouncedRate.of(1), UpstreamPort.Verdict.SUCCESS, 0);
+        mRates.recordAnnouncement(mSecond, AnnouncedRate.of(1), UpstreamPort.Verdict.SUCCESS, 0);
         mPort.mFull.add(mSecond.incarnation());
         find(0);
         assertEquals(mPort.mAsked, List.of(mSecond));
-        assertEquals(mRates.standings().get(1).here(), 1);
+        assertEquals(mRates.statuses().get(1).here(), 1);
     }
 }
