--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/cluster/Demand.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/cluster/Demand.java
@@ -23,10 +23,10 @@
         double runMillis,
         double outputTokens,
         double runs,
-        ReadingPace reading) {
+        PrefillLatencyModel reading) {
 
     /** No demand. */
-    public static final Demand NONE = new Demand(0, 0, 0, 0, 0, 0, ReadingPace.NONE);
+    public static final Demand NONE = new Demand(0, 0, 0, 0, 0, 0, PrefillLatencyModel.NONE);
 
     /**
      * After which time a sum has decayed to 1/e, milliseconds: two bursts, so that one burst alone
@@ -44,7 +44,7 @@
      * @return the sums
      */
     static Demand ofRequest(double promptTokens) {
-        return new Demand(promptTokens, 1, 0, 0, 0, 0, ReadingPace.NONE);
+        return new Demand(promptTokens, 1, 0, 0, 0, 0, PrefillLatencyModel.NONE);
     }
 
     /**
@@ -56,7 +56,13 @@
     static Demand ofRun(DemandMeter.CompletedRun run) {
         double mean = run.promptTokens() + run.outputTokens() / 2.0;
         return new Demand(
-                0, 0, mean * run.millis(), run.millis(), run.outputTokens(), 1, ReadingPace.NONE);
+                0,
+                0,
+                mean * run.millis(),
+                run.millis(),
+                run.outputTokens(),
+                1,
+                PrefillLatencyModel.NONE);
     }
 
     /**
@@ -65,7 +71,7 @@
      * @param reading the reading
      * @return the sums
      */
-    static Demand ofReading(ReadingPace reading) {
+    static Demand ofReading(PrefillLatencyModel reading) {
         return new Demand(0, 0, 0, 0, 0, 0, reading);
     }
 
@@ -109,7 +115,7 @@
      *
      * @return whether runs are measured
      */
-    public boolean measured() {
+    public boolean hasEnoughRuns() {
         return runs >= LEAST_RUNS;
     }
 
@@ -127,7 +133,7 @@
      *
      * @return tokens; 0 for unknown
      */
-    public double promptTokensOfRequest() {
+    public double meanPromptTokens() {
         return requests > 0 ? promptTokens / requests : 0;
     }
 
@@ -136,7 +142,7 @@
      *
      * @return tokens times milliseconds; 0 for unknown
      */
-    public double memoryTimeOfRun() {
+    public double meanMemoryTime() {
         return runs > 0 ? memoryTime / runs : 0;
     }
 
@@ -145,7 +151,7 @@
      *
      * @return milliseconds; 0 for unknown
      */
-    public double millisOfRun() {
+    public double meanRunMillis() {
         return runs > 0 ? runMillis / runs : 0;
     }
 
@@ -154,7 +160,7 @@
      *
      * @return tokens; 0 for unknown
      */
-    public double outputTokensOfRun() {
+    public double meanOutputTokens() {
         return runs > 0 ? outputTokens / runs : 0;
     }
 }
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/cluster/DemandMeter.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/cluster/DemandMeter.java
@@ -37,7 +37,7 @@
      * @param promptTokens its prompt's length
      * @param now the monotonic clock, milliseconds
      */
-    public void came(String service, long promptTokens, long now) {
+    public void recordRequest(String service, long promptTokens, long now) {
         add(service, Demand.ofRequest(promptTokens), now);
     }
 
@@ -48,7 +48,7 @@
      * @param run the run
      * @param now the monotonic clock, milliseconds
      */
-    public void ran(String service, CompletedRun run, long now) {
+    public void recordRun(String service, CompletedRun run, long now) {
         add(service, Demand.ofRun(run), now);
     }
 
@@ -60,9 +60,9 @@
      * @param millis how long it took
      * @param now the monotonic clock, milliseconds
      */
-    public void read(String service, long tokens, long millis, long now) {
+    public void recordPrefill(String service, long tokens, long millis, long now) {
         if (tokens >= LEAST_PACED && millis > 0) {
-            add(service, Demand.ofReading(ReadingPace.of(tokens, millis)), now);
+            add(service, Demand.ofReading(PrefillLatencyModel.of(tokens, millis)), now);
         }
     }
 
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/cluster/ReadingPace.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/cluster/PrefillLatencyModel.java
@@ -16,11 +16,11 @@
  * @param tokensMillis the sum of the products of their tokens and their time
  */
 @JsonFormat(shape = JsonFormat.Shape.ARRAY)
-public record ReadingPace(
+public record PrefillLatencyModel(
         double count, double tokens, double millis, double tokensSquared, double tokensMillis) {
 
     /** No reading. */
-    public static final ReadingPace NONE = new ReadingPace(0, 0, 0, 0, 0);
+    public static final PrefillLatencyModel NONE = new PrefillLatencyModel(0, 0, 0, 0, 0);
 
     /** How many readings tell the two figures apart. */
     private static final double LEAST_COUNT = 5;
@@ -41,8 +41,8 @@
      * @param millis how long it took
      * @return the sums
      */
-    static ReadingPace of(double tokens, double millis) {
-        return new ReadingPace(1, tokens, millis, tokens * tokens, tokens * millis);
+    static PrefillLatencyModel of(double tokens, double millis) {
+        return new PrefillLatencyModel(1, tokens, millis, tokens * tokens, tokens * millis);
     }
 
     /**
@@ -51,8 +51,8 @@
      * @param other the other's
      * @return the sum
      */
-    ReadingPace plus(ReadingPace other) {
-        return new ReadingPace(
+    PrefillLatencyModel plus(PrefillLatencyModel other) {
+        return new PrefillLatencyModel(
                 count + other.count,
                 tokens + other.tokens,
                 millis + other.millis,
@@ -66,8 +66,8 @@
      * @param left which part is left
      * @return the decayed sums
      */
-    ReadingPace times(double left) {
-        return new ReadingPace(
+    PrefillLatencyModel times(double left) {
+        return new PrefillLatencyModel(
                 count * left,
                 tokens * left,
                 millis * left,
@@ -80,7 +80,7 @@
      *
      * @return whether the pace is measured
      */
-    public boolean measured() {
+    public boolean hasEnoughSamples() {
         return count >= LEAST_COUNT && millis > 0;
     }
 
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/decision/RoleInvestment.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/decision/RoleInvestment.java
@@ -121,7 +121,7 @@
         }
         boolean idle = demand.requests() < 1;
         mAsked = idle ? 0 : mAsked + passed;
-        boolean measured = demand.measured() && demand.reading().measured();
+        boolean measured = demand.hasEnoughRuns() && demand.reading().hasEnoughSamples();
         if (!idle && measured && mAsked >= LEVELLED_MILLIS) {
             mSpare = RoleLevelling.spare(staffing, demand, mAsked);
             if (mSpare > 0) {
@@ -201,7 +201,7 @@
         double decoding = prefill > 1 ? served(prefill - 1, decode + 1, staffing, demand) : 0;
         mLostReading = Math.max(0, mLostReading + (reading - now) * passed);
         mLostDecoding = Math.max(0, mLostDecoding + (decoding - now) * passed);
-        double missing = Math.max(mChangeMillis, staffing.switchMillis() + demand.millisOfRun());
+        double missing = Math.max(mChangeMillis, staffing.switchMillis() + demand.meanRunMillis());
         double madeLeft = SplitCapacity.made(decode - 1, staffing.memoryTokens(), demand);
         if (reading > now && mLostReading >= price(now, decode, madeLeft, missing)) {
             return Step.MORE_PREFILL;
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/decision/RoleLevelling.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/decision/RoleLevelling.java
@@ -56,6 +56,6 @@
             RoleInvestment.Staffing staffing, Demand demand, double askedMillis) {
         double seen = 1 - Math.exp(-askedMillis / Demand.DECAY_MILLIS);
         double perMilli = demand.requestsPerMilli() / seen;
-        return Math.max(demand.memoryTimeOfRun(), staffing.usedTokens() / perMilli);
+        return Math.max(demand.meanMemoryTime(), staffing.usedTokens() / perMilli);
     }
 }
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/decision/SplitCapacity.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/decision/SplitCapacity.java
@@ -46,7 +46,7 @@
      */
     static double read(int prefill, Demand demand) {
         double pace = demand.reading().tokensPerMilli() * USABLE_PACE;
-        return prefill * pace / demand.promptTokensOfRequest();
+        return prefill * pace / demand.meanPromptTokens();
     }
 
     /**
@@ -58,7 +58,7 @@
      * @return requests a millisecond
      */
     static double made(int decode, long memoryTokens, Demand demand) {
-        return made(decode, memoryTokens, demand.memoryTimeOfRun());
+        return made(decode, memoryTokens, demand.meanMemoryTime());
     }
 
     /**
@@ -85,8 +85,7 @@
     private static double readByDecode(int decode, long memoryTokens, Demand demand) {
         double each = made(1, memoryTokens, demand);
         double readMillis =
-                demand.promptTokensOfRequest()
-                        / (demand.reading().tokensPerMilli() * READ_BY_DECODE);
+                demand.meanPromptTokens() / (demand.reading().tokensPerMilli() * READ_BY_DECODE);
         return decode * each / (1 + each * readMillis);
     }
 }
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/DecodePlace.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/DecodePlace.java
@@ -128,7 +128,7 @@
                         used,
                         mTraits.memoryTokens() - marginTokens(),
                         waiting,
-                        mContext.demanded(mService).millisOfRun());
+                        mContext.demanded(mService).meanRunMillis());
         return forecast.millis(mPromptTokens);
     }
 
@@ -140,7 +140,7 @@
     private double marginTokens() {
         return mContext.margin()
                 .tokens(
-                        mContext.demanded(mService).outputTokensOfRun(),
+                        mContext.demanded(mService).meanOutputTokens(),
                         mMostTokens - mPromptTokens,
                         mTraits.memoryTokens());
     }
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/PromptReading.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/PromptReading.java
@@ -162,7 +162,7 @@
         close();
         long now = mContext.loop().millis();
         if (mPrompt.alone()) {
-            mContext.demand().read(mPrompt.service(), mPrompt.tokens(), now - mStart, now);
+            mContext.demand().recordPrefill(mPrompt.service(), mPrompt.tokens(), now - mStart, now);
         }
         if (mPredictedMillis > 0) {
             mContext.readingExcess().took(now - mStart - mPredictedMillis);
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/StreamExecution.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/StreamExecution.java
@@ -102,7 +102,7 @@
         }
         mComesBack = comesBack();
         if (!mComesBack) {
-            mContext.demand().came(mService, promptTokens(), mContext.loop().millis());
+            mContext.demand().recordRequest(mService, promptTokens(), mContext.loop().millis());
         }
         search();
     }
@@ -655,7 +655,7 @@
             succeeded(mUpstream, "stream", millis());
             long output = mRelay.events() * mEngine.eventTokens();
             mContext.demand()
-                    .ran(
+                    .recordRun(
                             mService,
                             new DemandMeter.CompletedRun(promptTokens(), output, millis()),
                             mContext.loop().millis());
--- a/troutpier-daemon/src/test/java/org/troutpier/daemon/cluster/ReadingPaceTest.java
+++ b/troutpier-daemon/src/test/java/org/troutpier/daemon/cluster/PrefillLatencyModelTest.java
@@ -5,14 +5,14 @@
 import org.testng.annotations.Test;
 
 /** How the pace of reading is told from the fixed time of a call. */
-public final class ReadingPaceTest {
+public final class PrefillLatencyModelTest {
 
     private static final String SERVICE = "notes";
 
-    private static ReadingPace read(int fixedMillis, long... prompts) {
+    private static PrefillLatencyModel read(int fixedMillis, long... prompts) {
         DemandMeter meter = new DemandMeter();
         for (long prompt : prompts) {
-            meter.read(SERVICE, prompt, fixedMillis + prompt / 50, 1000);
+            meter.recordPrefill(SERVICE, prompt, fixedMillis + prompt / 50, 1000);
         }
         meter.publish(1000);
         return meter.published(SERVICE).reading();
@@ -20,7 +20,7 @@
 
     @Test
     public void theFixedTimeOfACallIsNoReading() {
-        ReadingPace pace = read(60, 2000, 3000, 4000, 6000, 5000, 2500);
+        PrefillLatencyModel pace = read(60, 2000, 3000, 4000, 6000, 5000, 2500);
         assertEquals(pace.tokensPerMilli(), 50, 0.1);
         assertEquals(pace.fixedMillis(), 60, 0.5);
         assertEquals(pace.predictedMillis(10_000), 260, 1);
@@ -28,7 +28,7 @@
 
     @Test
     public void promptsOfOneLengthTellOnlyTheQuotient() {
-        ReadingPace pace = read(50, 5000, 5000, 5000, 5000, 5000, 5000);
+        PrefillLatencyModel pace = read(50, 5000, 5000, 5000, 5000, 5000, 5000);
         assertEquals(pace.tokensPerMilli(), 5000 / 150.0, 0.1);
         assertEquals(pace.fixedMillis(), 0, 0.1);
     }
@@ -36,7 +36,7 @@
     @Test
     public void aFewReadingsTellOnlyTheQuotient() {
         assertEquals(read(50, 2000, 6000).tokensPerMilli(), 8000 / 260.0, 0.1);
-        assertEquals(ReadingPace.NONE.tokensPerMilli(), 0.0);
-        assertEquals(ReadingPace.NONE.predictedMillis(1000), 0.0);
+        assertEquals(PrefillLatencyModel.NONE.tokensPerMilli(), 0.0);
+        assertEquals(PrefillLatencyModel.NONE.predictedMillis(1000), 0.0);
     }
 }
--- a/troutpier-daemon/src/test/java/org/troutpier/daemon/decision/RoleInvestmentTest.java
+++ b/troutpier-daemon/src/test/java/org/troutpier/daemon/decision/RoleInvestmentTest.java
@@ -7,7 +7,7 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 import org.troutpier.daemon.cluster.Demand;
-import org.troutpier.daemon.cluster.ReadingPace;
+import org.troutpier.daemon.cluster.PrefillLatencyModel;
 import org.troutpier.daemon.decision.RoleInvestment.Staffing;
 import org.troutpier.daemon.decision.RoleInvestment.Step;
 
@@ -39,7 +39,7 @@
                 requests * millis,
                 requests * output,
                 requests,
-                new ReadingPace(10, 10 * PACE, 10, 10 * PACE * PACE, 10 * PACE));
+                new PrefillLatencyModel(10, 10 * PACE, 10, 10 * PACE * PACE, 10 * PACE));
     }
 
     private static Demand load(double perSecond) {
@@ -79,7 +79,7 @@
 
     @Test
     public void nothingChangesUnderALoadThatIsNotMeasuredYet() {
-        Demand asked = new Demand(6400, 2, 0, 0, 0, 0, ReadingPace.NONE);
+        Demand asked = new Demand(6400, 2, 0, 0, 0, 0, PrefillLatencyModel.NONE);
         assertEquals(lasting(staffing(3, 3), asked, 10_000), Step.STAY);
     }
 
--- a/troutpier-daemon/src/test/java/org/troutpier/daemon/serving/ExecutionTest.java
+++ b/troutpier-daemon/src/test/java/org/troutpier/daemon/serving/ExecutionTest.java
@@ -207,7 +207,7 @@
     public void aPrefillEngineThatIsSilentIsGivenUpByTheTimeItShouldTake() {
         mContext.budget().limit(0, 1);
         for (int reading = 0; reading < 3; reading++) {
-            mContext.demand().read("service", 5000, 100, mTime.millis());
+            mContext.demand().recordPrefill("service", 5000, 100, mTime.millis());
         }
         mContext.demand().publish(mTime.millis());
         mDirectory.replaceAll(
