--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/cluster/PeerExchange.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/cluster/PeerExchange.java
@@ -345,7 +345,7 @@
                         || mPlan.reportTo().filter(relay -> same(relay, from)).isPresent();
         if (expected) {
             boolean news =
-                    mLoads.heard(
+                    mLoads.update(
                             from.incarnation(),
                             from.hall(),
                             load.scope(),
@@ -471,7 +471,7 @@
                         this::points,
                         router -> mLinks.connected(router) && !mWatch.suspected(router));
         mLoads.count(mRelay.counted());
-        mLoads.sum(mNode.millis());
+        mLoads.aggregate(mNode.millis());
         mWatch.expect(expected(), mNode.millis());
         boolean anotherRelay = !before.reportTo().equals(mPlan.reportTo());
         if (anotherRelay) {
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/cluster/PeerLoads.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/cluster/PeerLoads.java
@@ -19,16 +19,16 @@
 
 /**
  * What the other routers said of their load and demand. Changes are confined to the control thread;
- * {@link #use}, {@link #demand}, {@link #organisations()}, {@link #rate}, {@link #changing}, {@link
- * #refusing}, {@link #waitingTokens()}, {@link #routers()} and {@link #roleHolder()} are thread
- * safe and answer as of the last {@link #sum}. Invariants: a report counts until {@link
- * #BELIEVED_MILLIS} after it was heard; only reports of the scopes that are counted count, so that
+ * {@link #upstreamUse}, {@link #demand}, {@link #organisations()}, {@link #rate}, {@link #isChangingRole}, {@link
+ * #isRefusing}, {@link #waitingTokens()}, {@link #routers()} and {@link #hasRoleHolder()} are thread
+ * safe and answer as of the last {@link #aggregate}. Invariants: a report counts until {@link
+ * #REPORT_TTL_MILLIS} after it was heard; only reports of the scopes that are counted count, so that
  * no router's load is counted twice.
  */
 public final class PeerLoads implements OthersUse, OthersRates {
 
     /** How long a report counts, milliseconds: three of the longest pauses between two. */
-    public static final long BELIEVED_MILLIS = 1500;
+    public static final long REPORT_TTL_MILLIS = 1500;
 
     /** What routers used that have fallen silent. */
     private final RetainedUse mRetained;
@@ -97,7 +97,7 @@
     }
 
     /**
-     * Takes a report. It shows once {@link #sum} was called.
+     * Takes a report. It shows once {@link #aggregate} was called.
      *
      * @param from who sent it
      * @param hall the sender's hall
@@ -106,7 +106,7 @@
      * @param now the monotonic clock, milliseconds
      * @return whether it says something new of the load
      */
-    public boolean heard(
+    public boolean update(
             Incarnation from, HallId hall, ReportScope scope, LoadReport report, long now) {
         mNews = true;
         Heard before = mHeard.get(from);
@@ -169,7 +169,7 @@
      *
      * @param now the monotonic clock, milliseconds
      */
-    public void sum(long now) {
+    public void aggregate(long now) {
         mNews = false;
         dropOld(now);
         mSum = new Summed(LoadReport.NONE.plus(reports(mCounted, null, now)), now);
@@ -182,7 +182,7 @@
      */
     void refresh(long now) {
         if (dropOld(now) || mNews) {
-            sum(now);
+            aggregate(now);
         }
     }
 
@@ -193,7 +193,7 @@
      * @return whether there was any
      */
     private boolean dropOld(long now) {
-        return drop((router, heard) -> now - heard.at() > BELIEVED_MILLIS);
+        return drop((router, heard) -> now - heard.at() > REPORT_TTL_MILLIS);
     }
 
     /**
@@ -261,7 +261,7 @@
      * @param upstream the upstream
      * @return the sum
      */
-    public UpstreamUse use(UpstreamIncarnation upstream) {
+    public UpstreamUse upstreamUse(UpstreamIncarnation upstream) {
         return mSum.report().uses().getOrDefault(upstream, UpstreamUse.NONE);
     }
 
@@ -271,7 +271,7 @@
      * @param engine the engine
      * @return whether one said so lately
      */
-    public boolean changing(UpstreamIncarnation engine) {
+    public boolean isChangingRole(UpstreamIncarnation engine) {
         return mSum.report().changing().contains(engine);
     }
 
@@ -281,7 +281,7 @@
      * @param engine the engine
      * @return whether one said so
      */
-    public boolean refusing(UpstreamIncarnation engine) {
+    public boolean isRefusing(UpstreamIncarnation engine) {
         return mSum.report().refusing().contains(engine);
     }
 
@@ -329,7 +329,7 @@
      *
      * @return whether one said so lately
      */
-    public boolean roleHolder() {
+    public boolean hasRoleHolder() {
         return mSum.report().roleHolder();
     }
 }
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/peer/PeerMesh.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/peer/PeerMesh.java
@@ -64,7 +64,7 @@
      * Connections may go silent for good without a reset; a load that was told counts for this long
      * at the other side, which then believes engines to be freer than they are.
      */
-    static final long SILENT_MILLIS = PeerLoads.BELIEVED_MILLIS;
+    static final long SILENT_MILLIS = PeerLoads.REPORT_TTL_MILLIS;
 
     /** How often it is told on a connection that messages are heard, milliseconds. */
     static final long HEARD_MILLIS = SILENT_MILLIS / 3;
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/UpstreamLoads.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/UpstreamLoads.java
@@ -305,7 +305,8 @@
      * @return tokens
      */
     long toldTokens(UpstreamEntry engine) {
-        return load(engine.incarnation()).mTokens + mPeers.use(engine.incarnation()).tokens();
+        return load(engine.incarnation()).mTokens
+                + mPeers.upstreamUse(engine.incarnation()).tokens();
     }
 
     /**
@@ -329,7 +330,8 @@
      * @return the count
      */
     public int calls(UpstreamEntry upstream) {
-        return load(upstream.incarnation()).mCalls + mPeers.use(upstream.incarnation()).calls();
+        return load(upstream.incarnation()).mCalls
+                + mPeers.upstreamUse(upstream.incarnation()).calls();
     }
 
     /**
@@ -500,7 +502,7 @@
      * @param now the clock, milliseconds
      */
     private void judge(UpstreamEntry upstream, long now) {
-        UpstreamUse others = mPeers.use(upstream.incarnation());
+        UpstreamUse others = mPeers.upstreamUse(upstream.incarnation());
         Load load = load(upstream.incarnation());
         int failed = others.failed() + (int) Math.round(load.mFailedLately.sum(now));
         if (failed == 0) {
@@ -558,7 +560,7 @@
                 entry ->
                         tried.contains(entry.incarnation())
                                 || mChanging.contains(entry.incarnation())
-                                || mPeers.changing(entry.incarnation()));
+                                || mPeers.isChangingRole(entry.incarnation()));
         left.forEach(entry -> judge(entry, now));
         List<UpstreamEntry> there = new ArrayList<>(left);
         there.removeIf(entry -> load(entry.incarnation()).passedOverUntil(entry) > now);
@@ -591,7 +593,7 @@
      * @return whether it is
      */
     private boolean refuses(UpstreamIncarnation id, long now) {
-        return load(id).mRefusingUntil > now || mPeers.refusing(id);
+        return load(id).mRefusingUntil > now || mPeers.isRefusing(id);
     }
 
     /**
--- a/troutpier-daemon/src/test/java/org/troutpier/daemon/cluster/LimitSimulation.java
+++ b/troutpier-daemon/src/test/java/org/troutpier/daemon/cluster/LimitSimulation.java
@@ -273,7 +273,7 @@
         Map<Integer, UseReport> sums = new HashMap<>();
         mGroups.forEach(
                 (number, group) -> {
-                    group.mLoads.sum(mNow);
+                    group.mLoads.aggregate(mNow);
                     sums.put(number, group.mLoads.organisations());
                 });
         for (Router router : mAll) {
@@ -298,7 +298,7 @@
                             Map.of(),
                             told.use(),
                             Map.of());
-            group.mLoads.heard(told.from(), HALL, ReportScope.OWN, report, mNow);
+            group.mLoads.update(told.from(), HALL, ReportScope.OWN, report, mNow);
             group.mHeard.put(told.from(), told.use());
         }
     }
--- a/troutpier-daemon/src/test/java/org/troutpier/daemon/cluster/PeerExchangeTest.java
+++ b/troutpier-daemon/src/test/java/org/troutpier/daemon/cluster/PeerExchangeTest.java
@@ -288,7 +288,8 @@
         for (Router router : living) {
             int others = living.size() - 1;
             assertEquals(router.mLoads.routers(), others, "routers at " + router.mSelf);
-            assertEquals(router.mLoads.use(ENGINE).calls(), others, "calls at " + router.mSelf);
+            assertEquals(
+                    router.mLoads.upstreamUse(ENGINE).calls(), others, "calls at " + router.mSelf);
         }
     }
 
@@ -403,7 +404,8 @@
         assertEquals(asked(living()), MANY);
         for (Router router : living()) {
             int calls = router == changed ? MANY - 1 : MANY - 2 + changed.mCalls;
-            assertEquals(router.mLoads.use(ENGINE).calls(), calls, "calls at " + router.mSelf);
+            assertEquals(
+                    router.mLoads.upstreamUse(ENGINE).calls(), calls, "calls at " + router.mSelf);
         }
     }
 
@@ -417,7 +419,8 @@
         assertEquals(asked(mates), mates.size());
         for (Router router : mates) {
             int calls = MANY - 2 + changed.mCalls;
-            assertEquals(router.mLoads.use(ENGINE).calls(), calls, "calls at " + router.mSelf);
+            assertEquals(
+                    router.mLoads.upstreamUse(ENGINE).calls(), calls, "calls at " + router.mSelf);
         }
     }
 
--- a/troutpier-daemon/src/test/java/org/troutpier/daemon/serving/FailingEnginesTest.java
+++ b/troutpier-daemon/src/test/java/org/troutpier/daemon/serving/FailingEnginesTest.java
@@ -120,13 +120,13 @@
             List<LoadReport> others = new ArrayList<>(reports);
             others.remove(router);
             mPeers.get(router)
-                    .heard(
+                    .update(
                             new Incarnation("relay~1"),
                             Entries.HALL,
                             ReportScope.OWN,
                             LoadReport.NONE.plus(others),
                             mTime.millis());
-            mPeers.get(router).sum(mTime.millis());
+            mPeers.get(router).aggregate(mTime.millis());
         }
     }
 }
--- a/troutpier-daemon/src/test/java/org/troutpier/daemon/serving/PlaceAllocatorTest.java
+++ b/troutpier-daemon/src/test/java/org/troutpier/daemon/serving/PlaceAllocatorTest.java
@@ -118,8 +118,8 @@
                         Map.of());
         Incarnation peer = new Incarnation("peer~1");
         assertEquals(peer.instance(), new InstanceId("peer"));
-        mPeers.heard(peer, Entries.HALL, ReportScope.OWN, report, mTime.millis());
-        mPeers.sum(mTime.millis());
+        mPeers.update(peer, Entries.HALL, ReportScope.OWN, report, mTime.millis());
+        mPeers.aggregate(mTime.millis());
     }
 
     @Test
--- a/troutpier-daemon/src/test/java/org/troutpier/daemon/serving/ReportedUseTest.java
+++ b/troutpier-daemon/src/test/java/org/troutpier/daemon/serving/ReportedUseTest.java
@@ -124,8 +124,8 @@
                         Map.of(),
                         UseReport.NONE,
                         Map.of());
-        mPeers.heard(PEER, Entries.HALL, ReportScope.OWN, report, mTime.millis());
-        mPeers.sum(mTime.millis());
+        mPeers.update(PEER, Entries.HALL, ReportScope.OWN, report, mTime.millis());
+        mPeers.aggregate(mTime.millis());
     }
 
     @Test
@@ -152,7 +152,7 @@
         assertEquals(mReports.mAsked, before);
         told(1000);
         mTime.pass(2500);
-        mPeers.sum(mTime.millis());
+        mPeers.aggregate(mTime.millis());
         mTime.pass(1000);
         assertTrue(mReports.mAsked > before);
     }
@@ -187,7 +187,7 @@
         mTime.pass(1000);
         assertEquals(mReports.mAsked, asked);
         mTime.pass(2000);
-        mPeers.sum(mTime.millis());
+        mPeers.aggregate(mTime.millis());
         mReports.mUsed = 40_000;
         mTime.pass(2000);
         assertTrue(mReports.mAsked > asked);
--- a/troutpier-daemon/src/test/java/org/troutpier/daemon/serving/UpstreamLoadsTest.java
+++ b/troutpier-daemon/src/test/java/org/troutpier/daemon/serving/UpstreamLoadsTest.java
@@ -65,11 +65,11 @@
                         Map.of(),
                         UseReport.NONE,
                         Map.of());
-        mPeers.heard(
+        mPeers.update(
                 new Incarnation("peer~1"), Entries.HALL, ReportScope.OWN, report, mTime.millis());
-        mPeers.sum(mTime.millis());
+        mPeers.aggregate(mTime.millis());
         assertEquals(pick().get(), mFar);
-        mPeers.sum(mTime.millis() + 10_000);
+        mPeers.aggregate(mTime.millis() + 10_000);
         assertEquals(pick().get(), mNear);
     }
 
@@ -138,9 +138,9 @@
                         Map.of(),
                         UseReport.NONE,
                         Map.of());
-        mPeers.heard(
+        mPeers.update(
                 new Incarnation("peer~1"), Entries.HALL, ReportScope.OWN, report, mTime.millis());
-        mPeers.sum(mTime.millis());
+        mPeers.aggregate(mTime.millis());
         assertEquals(mLoads.byTokens(List.of(idle, busy), Set.of()), List.of(busy));
     }
 
