--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/cluster/ConfigurationCodec.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/cluster/ConfigurationDecoder.java
@@ -3,7 +3,7 @@
 import org.troutpier.daemon.route.RoutingConfiguration;
 
 /** Reads a configuration as the operator wrote it. Implementations are thread safe. */
-public interface ConfigurationCodec {
+public interface ConfigurationDecoder {
 
     /**
      * Reads a configuration.
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/cluster/MemberRegistry.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/cluster/MemberRegistry.java
@@ -119,7 +119,7 @@
      * the row of a router that started again was in conflict with the one of its earlier start.
      */
     public void start() {
-        TableExchange.ForPages pages = new TableExchange.ForPages(mExchange.tables(), TABLE);
+        TableExchange.PageSharer pages = new TableExchange.PageSharer(mExchange.tables(), TABLE);
         pages.follow(mNode, mStore, PACE, this, pages);
     }
 
@@ -192,7 +192,7 @@
             }
         }
         if (!current) {
-            long millis = TablePaces.restoreMillis();
+            long millis = TablePollTimings.restoreMillis();
             LOGGER.info("router registers again inMillis={}", millis);
             mNode.control().later(this::register, millis);
         }
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/cluster/PeerExchange.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/cluster/PeerExchange.java
@@ -62,13 +62,13 @@
     private final CurrentConfiguration mConfiguration;
 
     /** Reads configurations of others. */
-    private final ConfigurationCodec mCodec;
+    private final ConfigurationDecoder mCodec;
 
     /** What the others said. */
     private final PeerLoads mLoads;
 
     /** Takes what other routers tell once. */
-    private final NoticeListener mNotices;
+    private final PeerNoticeListener mNotices;
 
     /** Who the others are. */
     private final Membership mMembership;
@@ -139,9 +139,9 @@
             Address address,
             PeerLinks.Opener opener,
             CurrentConfiguration configuration,
-            ConfigurationCodec codec,
+            ConfigurationDecoder codec,
             PeerLoads loads,
-            NoticeListener notices) {
+            PeerNoticeListener notices) {
         mNotices = notices;
         mNode = node;
         mConfiguration = configuration;
@@ -226,7 +226,7 @@
      *
      * @param key the part of its prompt that is its own
      */
-    public void refused(String key) {
+    public void announceRefusal(String key) {
         mRelay.refused(List.of(key), true);
     }
 
@@ -235,7 +235,7 @@
      *
      * @param report what is known of it
      */
-    public void crashed(CrashReport report) {
+    public void announceCrash(CrashReport report) {
         mRelay.crashed(List.of(report), true);
     }
 
@@ -244,7 +244,7 @@
      *
      * @param upstream its start
      */
-    public void leaving(UpstreamIncarnation upstream) {
+    public void announceLeaving(UpstreamIncarnation upstream) {
         mRelay.leaving(List.of(upstream), true);
     }
 
@@ -253,7 +253,7 @@
      *
      * @return whether it does; true before it knows of any other
      */
-    public boolean reader() {
+    public boolean isTableReader() {
         return mPlan.reader();
     }
 
@@ -262,7 +262,7 @@
      *
      * @return all where routers tell each other directly; those of its hall at a relay; none else
      */
-    public ReportedUse.Scope askedEngines() {
+    public ReportedUse.Scope engineQueryScope() {
         return new ReportedUse.Scope() {
 
             /** {@inheritDoc} */
@@ -287,7 +287,7 @@
      * @param known runs on the control thread once it is known; never where the relay does not
      *     answer
      */
-    public void refresh(Runnable known) {
+    public void refreshLoads(Runnable known) {
         PeerMessage question = new PeerMessage.LoadAsked();
         boolean asked =
                 mPlan.reportTo()
@@ -316,13 +316,13 @@
         } else if (message instanceof PeerMessage.Configuration offered) {
             take(from, offered);
         } else if (message instanceof PeerMessage.Refused refused) {
-            mNotices.refused(refused.keys());
+            mNotices.onRequestsRefused(refused.keys());
             handOn(from, here -> mRelay.refused(refused.keys(), here));
         } else if (message instanceof PeerMessage.Crashed crashed) {
-            mNotices.crashed(crashed.reports());
+            mNotices.onUpstreamsCrashed(crashed.reports());
             handOn(from, here -> mRelay.crashed(crashed.reports(), here));
         } else if (message instanceof PeerMessage.Leaving leaving) {
-            mNotices.leaving(leaving.upstreams());
+            mNotices.onUpstreamsLeaving(leaving.upstreams());
             handOn(from, here -> mRelay.leaving(leaving.upstreams(), here));
         } else if (message instanceof PeerMessage.Page page) {
             mTables.heard(page.page());
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/cluster/PeerLoads.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/cluster/PeerLoads.java
@@ -19,11 +19,11 @@
 
 /**
  * What the other routers said of their load and demand. Changes are confined to the control thread;
- * {@link #upstreamUse}, {@link #demand}, {@link #organisations()}, {@link #rate}, {@link #isChangingRole}, {@link
- * #isRefusing}, {@link #waitingTokens()}, {@link #routers()} and {@link #hasRoleHolder()} are thread
- * safe and answer as of the last {@link #aggregate}. Invariants: a report counts until {@link
- * #REPORT_TTL_MILLIS} after it was heard; only reports of the scopes that are counted count, so that
- * no router's load is counted twice.
+ * {@link #upstreamUse}, {@link #demand}, {@link #organisations()}, {@link #rate}, {@link
+ * #isChangingRole}, {@link #isRefusing}, {@link #waitingTokens()}, {@link #routers()} and {@link
+ * #hasRoleHolder()} are thread safe and answer as of the last {@link #aggregate}. Invariants: a
+ * report counts until {@link #REPORT_TTL_MILLIS} after it was heard; only reports of the scopes
+ * that are counted count, so that no router's load is counted twice.
  */
 public final class PeerLoads implements OthersUse, OthersRates {
 
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/cluster/QuarantineTable.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/cluster/QuarantineTable.java
@@ -117,13 +117,13 @@
 
     /** Follows the table, and tells what this router finds out from now on. */
     public void start() {
-        TableExchange.ForPages pages = new TableExchange.ForPages(mExchange.tables(), TABLE);
+        TableExchange.PageSharer pages = new TableExchange.PageSharer(mExchange.tables(), TABLE);
         pages.follow(
                 mNode,
                 mStore,
-                TablePaces.quarantine(mSettings.knownMillis()),
+                TablePollTimings.quarantine(mSettings.knownMillis()),
                 this,
-                new TableExchange.ForWholeTable(pages));
+                new TableExchange.RequestingSharer(pages));
         mQuarantine.onFound(report -> mNode.control().execute(() -> found(report)));
         mQuarantine.onMerged(report -> mNode.control().execute(() -> store(report)));
         mNode.control().every(this::clean, CLEAN_MILLIS);
@@ -135,7 +135,7 @@
      * @param report what is known
      */
     private void found(CrashReport report) {
-        mExchange.crashed(report);
+        mExchange.announceCrash(report);
         store(report);
     }
 
@@ -255,13 +255,13 @@
      */
     @Override
     public void restored() {
-        if (mExchange.reader()) {
+        if (mExchange.isTableReader()) {
             mStored.forEach(
                     (request, stored) ->
                             mWanted.merge(request, stored.record(), CrashRecord::merge));
         }
         mStored.clear();
-        mNode.control().later(this::write, TablePaces.restoreMillis());
+        mNode.control().later(this::write, TablePollTimings.restoreMillis());
     }
 
     /**
@@ -375,7 +375,7 @@
 
     /** Deletes rows that are too old or too many, if this router reads for its hall. */
     private void clean() {
-        if (!mExchange.reader()) {
+        if (!mExchange.isTableReader()) {
             return;
         }
         List<RequestFingerprint> oldest = new ArrayList<>(mStored.keySet());
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/cluster/TableExchange.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/cluster/TableExchange.java
@@ -79,7 +79,7 @@
      * @param exchange the exchange
      * @param table the table
      */
-    public record ForPages(TableExchange exchange, String table) implements TableFollower.Sharer {
+    public record PageSharer(TableExchange exchange, String table) implements TableFollower.Sharer {
 
         /** {@inheritDoc} */
         @Override
@@ -117,7 +117,7 @@
      *
      * @param pages shares the pages
      */
-    public record ForWholeTable(ForPages pages) implements TableFollower.Sharer {
+    public record RequestingSharer(PageSharer pages) implements TableFollower.Sharer {
 
         /** {@inheritDoc} */
         @Override
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/cluster/TablePaces.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/cluster/TablePollTimings.java
@@ -7,7 +7,7 @@
  * How tables are followed that one router of each hall reads for the others, by the time in which a
  * change must be acted on. Not to be instantiated; stateless and thread safe.
  */
-public final class TablePaces {
+public final class TablePollTimings {
 
     /**
      * Which part of the time in which a configuration must be in force one call waits for a change:
@@ -73,7 +73,7 @@
     private static final long RESTORE_MILLIS = 3000;
 
     /** Not to be instantiated. */
-    private TablePaces() {}
+    private TablePollTimings() {}
 
     /**
      * Draws when rows are written again that a copy of the store lacks.
--- a/troutpier-daemon/src/test/java/org/troutpier/daemon/cluster/LoneRouter.java
+++ b/troutpier-daemon/src/test/java/org/troutpier/daemon/cluster/LoneRouter.java
@@ -14,7 +14,7 @@
 import org.troutpier.daemon.route.CurrentConfiguration;
 
 /** A router that no other reaches: it notes to whom it would connect and hears nothing. */
-final class LoneRouter implements PeerLinks, NoticeListener {
+final class LoneRouter implements PeerLinks, PeerNoticeListener {
 
     /** Where each router would be reached. */
     static final Address ADDRESS = new Address("127.0.0.1", 1);
@@ -55,11 +55,11 @@
     public void sendAll(Collection<Incarnation> to, PeerMessage message) {}
 
     @Override
-    public void refused(List<String> keys) {}
+    public void onRequestsRefused(List<String> keys) {}
 
     @Override
-    public void crashed(List<CrashReport> reports) {}
+    public void onUpstreamsCrashed(List<CrashReport> reports) {}
 
     @Override
-    public void leaving(List<UpstreamIncarnation> upstreams) {}
+    public void onUpstreamsLeaving(List<UpstreamIncarnation> upstreams) {}
 }
--- a/troutpier-daemon/src/test/java/org/troutpier/daemon/cluster/PeerExchangeTest.java
+++ b/troutpier-daemon/src/test/java/org/troutpier/daemon/cluster/PeerExchangeTest.java
@@ -135,19 +135,20 @@
                             mConfiguration,
                             bytes -> VERSION_ONE,
                             mLoads,
-                            new NoticeListener() {
+                            new PeerNoticeListener() {
                                 @Override
-                                public void refused(List<String> keys) {
+                                public void onRequestsRefused(List<String> keys) {
                                     mRefused.addAll(keys);
                                 }
 
                                 @Override
-                                public void crashed(List<CrashReport> reports) {
+                                public void onUpstreamsCrashed(List<CrashReport> reports) {
                                     mCrashed.addAll(reports);
                                 }
 
                                 @Override
-                                public void leaving(List<UpstreamIncarnation> upstreams) {
+                                public void onUpstreamsLeaving(
+                                        List<UpstreamIncarnation> upstreams) {
                                     mLeaving.addAll(upstreams);
                                 }
                             });
@@ -192,7 +193,8 @@
         /** Follows a table whose store answers this router, or does not. */
         private void follow(VersionedRows rows) {
             mStore = new FakeRowStore(rows);
-            TableExchange.ForPages pages = new TableExchange.ForPages(mExchange.tables(), TABLE);
+            TableExchange.PageSharer pages =
+                    new TableExchange.PageSharer(mExchange.tables(), TABLE);
             TableFollower follower =
                     new TableFollower(
                             mControl,
@@ -200,7 +202,7 @@
                             TABLE,
                             new TableFollower.Pace(1, 700, 1050, 400),
                             mKeys,
-                            new TableExchange.ForWholeTable(pages),
+                            new TableExchange.RequestingSharer(pages),
                             mTime::millis);
             mExchange.tables().follow(TABLE, follower);
             follower.start();
@@ -391,7 +393,7 @@
     private int asked(Collection<Router> routers) {
         int[] answers = {0};
         for (Router router : routers) {
-            router.mControl.execute(() -> router.mExchange.refresh(() -> answers[0]++));
+            router.mControl.execute(() -> router.mExchange.refreshLoads(() -> answers[0]++));
         }
         mTime.pass(2 * ROUND_TRIP_MILLIS);
         return answers[0];
@@ -456,12 +458,12 @@
                 new CrashReport(
                         RequestFingerprint.of("host", "/path", new byte[0]),
                         new CrashRecord(0, Set.of(ENGINE)));
-        assertReachesAllAtOnce(report, PeerExchange::crashed, router -> router.mCrashed);
+        assertReachesAllAtOnce(report, PeerExchange::announceCrash, router -> router.mCrashed);
     }
 
     @Test
     public void anUpstreamThatSaysThatItLeavesIsReportedToAllAtOnce() {
-        assertReachesAllAtOnce(ENGINE, PeerExchange::leaving, router -> router.mLeaving);
+        assertReachesAllAtOnce(ENGINE, PeerExchange::announceLeaving, router -> router.mLeaving);
     }
 
     @Test
@@ -476,7 +478,7 @@
                 Map.of(ENGINE, new RateReport(new NamedRate(3.6, 100), one, List.of(2L)));
         mTime.pass(1000);
         for (Router router : all) {
-            router.mExchange.refresh(() -> {});
+            router.mExchange.refreshLoads(() -> {});
         }
         mTime.pass(20);
         for (Router router : all.subList(0, MANY - 1)) {
@@ -494,7 +496,7 @@
         routers(MANY);
         mTime.pass(2000);
         List<Router> all = List.copyOf(mRouters.values());
-        all.get(MANY - 1).mExchange.refused("key");
+        all.get(MANY - 1).mExchange.announceRefusal("key");
         mTime.pass(500);
         for (Router router : all.subList(0, MANY - 1)) {
             assertTrue(router.mRefused.contains("key"), "told to " + router.mSelf);
@@ -509,7 +511,7 @@
         List<Row> rows = List.of(new Row(TABLE, "", "k", new byte[0], 2, false));
         all.forEach(
                 router ->
-                        new TableExchange.ForPages(router.mExchange.tables(), TABLE)
+                        new TableExchange.PageSharer(router.mExchange.tables(), TABLE)
                                 .read(1, 2, 0, rows));
         mTime.pass(100);
         for (int number = 0; number < MANY; number++) {
--- a/troutpier-daemon/src/test/java/org/troutpier/daemon/cluster/TablePacesTest.java
+++ b/troutpier-daemon/src/test/java/org/troutpier/daemon/cluster/TablePollTimingsTest.java
@@ -6,15 +6,15 @@
 import org.troutpier.daemon.rows.TableFollower.Pace;
 
 /** How often shared tables are read. */
-public final class TablePacesTest {
+public final class TablePollTimingsTest {
 
     @Test
     public void aConfigurationIsReadWithinTheTimeInWhichItMustBeInForce() {
-        assertEquals(TablePaces.configuration(2000), new Pace(700, 0, 1100, 700));
+        assertEquals(TablePollTimings.configuration(2000), new Pace(700, 0, 1100, 700));
     }
 
     @Test
     public void upstreamsAreReadWithinTheTimeInWhichALeavingOneMustGetNoWork() {
-        assertEquals(TablePaces.upstreams(2000), new Pace(1, 700, 1050, 400));
+        assertEquals(TablePollTimings.upstreams(2000), new Pace(1, 700, 1050, 400));
     }
 }
