--- a/troutpier-daemon/src/test/java/org/troutpier/daemon/serving/ReservationAllocatorTest.java
+++ b/troutpier-daemon/src/test/java/org/troutpier/daemon/serving/ReservationAllocatorTest.java
@@ -118,8 +118,8 @@
                         Map.of());
         Incarnation peer = new Incarnation("peer~1");
         assertEquals(peer.instance(), new InstanceId("peer"));
-        mPeers.heard(peer, TestUpstreams.HALL, ReportScope.OWN, report, mTime.millis());
-        mPeers.sum(mTime.millis());
+        mPeers.update(peer, TestUpstreams.HALL, ReportScope.OWN, report, mTime.millis());
+        mPeers.aggregate(mTime.millis());
     }
 
     @Test
--- a/troutpier-daemon/src/test/java/org/troutpier/daemon/serving/UpstreamLoadsTest.java
+++ b/troutpier-daemon/src/test/java/org/troutpier/daemon/serving/UpstreamLoadsTest.java
@@ -65,15 +65,15 @@
                         Map.of(),
                         UseReport.NONE,
                         Map.of());
-        mPeers.heard(
+        mPeers.update(
                 new Incarnation("peer~1"),
                 TestUpstreams.HALL,
                 ReportScope.OWN,
                 report,
                 mTime.millis());
-        mPeers.sum(mTime.millis());
+        mPeers.aggregate(mTime.millis());
         assertEquals(pick().get(), mFar);
-        mPeers.sum(mTime.millis() + 10_000);
+        mPeers.aggregate(mTime.millis() + 10_000);
         assertEquals(pick().get(), mNear);
     }
 
@@ -142,13 +142,13 @@
                         Map.of(),
                         UseReport.NONE,
                         Map.of());
-        mPeers.heard(
+        mPeers.update(
                 new Incarnation("peer~1"),
                 TestUpstreams.HALL,
                 ReportScope.OWN,
                 report,
                 mTime.millis());
-        mPeers.sum(mTime.millis());
+        mPeers.aggregate(mTime.millis());
         assertEquals(mLoads.byTokens(List.of(idle, busy), Set.of()), List.of(busy));
     }
 
