--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/RouterDaemon.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/RouterDaemon.java
@@ -34,7 +34,7 @@
 import org.troutpier.daemon.operator.OperatorFront;
 import org.troutpier.daemon.operator.Operators;
 import org.troutpier.daemon.peer.Membership;
-import org.troutpier.daemon.peer.PeerLogic;
+import org.troutpier.daemon.peer.PeerController;
 import org.troutpier.daemon.peer.PeerMesh;
 import org.troutpier.daemon.placement.PairSelector;
 import org.troutpier.daemon.placement.UpstreamRegistry;
@@ -99,7 +99,7 @@
     private final ConfigurationRegistry mConfigurations;
 
     /** What this router does about the others. */
-    private final PeerLogic mPeers;
+    private final PeerController mPeers;
 
     /** The connections to the other routers. */
     private final PeerMesh mMesh;
@@ -122,14 +122,15 @@
         mMembership = new Membership(self(), mNode.nanos());
         mTable = table();
         mConfigurations = new ConfigurationRegistry(mNode, mTable, mReadiness);
-        mPeers = new PeerLogic(mNode, mMembership, mReadiness, instanceList(), mConfigurations);
+        mPeers =
+                new PeerController(mNode, mMembership, mReadiness, instanceList(), mConfigurations);
         mMesh =
                 new PeerMesh(
                         mNode,
                         settings.peer(),
-                        new PeerMesh.Members(mMembership, mMembership::live),
+                        new PeerMesh.Peers(mMembership, mMembership::live),
                         settings.peerSecret().value(),
-                        mPeers::heard);
+                        mPeers::onMessage);
         ControllerReference holder = new ControllerReference();
         Optional<CoordinatorPermits> coordinator = coordinatorPermits(holder);
         AdmissionController controller = admissionController(coordinator);
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/admission/CoordinatorPermits.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/admission/CoordinatorPermits.java
@@ -7,7 +7,7 @@
 import org.troutpier.common.id.Incarnation;
 import org.troutpier.common.id.UpstreamId;
 import org.troutpier.daemon.node.Node;
-import org.troutpier.daemon.peer.Coordinators;
+import org.troutpier.daemon.peer.CoordinatorSelector;
 import org.troutpier.daemon.peer.Membership;
 import org.troutpier.daemon.peer.Membership.Member;
 import org.troutpier.daemon.peer.PeerMessage;
@@ -436,7 +436,7 @@
                 });
         mAllocations.forEach(
                 (engine, allocation) -> {
-                    allocation.mHeld.keySet().removeIf(mMembership::gone);
+                    allocation.mHeld.keySet().removeIf(mMembership::isGone);
                     serve(engine, allocation);
                 });
     }
@@ -464,7 +464,7 @@
         if (mMembers.isEmpty()) {
             mMembers = mMembership.serving();
         }
-        return Coordinators.of(engine.value(), mMembers);
+        return CoordinatorSelector.select(engine.value(), mMembers);
     }
 
     /**
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/caller/CallerFront.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/caller/CallerFront.java
@@ -21,7 +21,7 @@
 import org.troutpier.common.result.TroutpierException;
 import org.troutpier.daemon.configuration.ConfigurationRegistry;
 import org.troutpier.daemon.node.Readiness;
-import org.troutpier.daemon.peer.PeerLogic;
+import org.troutpier.daemon.peer.PeerController;
 import org.troutpier.daemon.request.Arrival;
 import org.troutpier.daemon.request.CompletionExchange;
 import org.troutpier.daemon.request.CompletionExchange.CompletionOrder;
@@ -68,7 +68,7 @@
     private final Readiness mReadiness;
 
     /** Detects whether the process was just woken. */
-    private final PeerLogic mPeers;
+    private final PeerController mPeers;
 
     /**
      * Creates a front.
@@ -82,7 +82,7 @@
             ExchangeServices services,
             ConfigurationRegistry configurations,
             Readiness readiness,
-            PeerLogic peers) {
+            PeerController peers) {
         mServices = services;
         mConfigurations = configurations;
         mReadiness = readiness;
@@ -147,7 +147,7 @@
      */
     private Checked check(String path, HttpHeaders headers) {
         Optional<String> obstacle = mReadiness.obstacle();
-        if (obstacle.isPresent() || mPeers.stalled()) {
+        if (obstacle.isPresent() || mPeers.isStalled()) {
             throw new TroutpierException(
                     ResultCode.ROUTER_NOT_READY, obstacle.orElse("just woken"));
         }
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/claim/ClaimStore.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/claim/ClaimStore.java
@@ -272,7 +272,7 @@
         ClaimRow row = ClaimSettling.parse(found.value());
         Incarnation holder = row.holder();
         boolean lostHere = holder.equals(mNode.incarnation()) && !mAttempts.contains(row.attempt());
-        boolean gone = lostHere || mMembership.gone(holder);
+        boolean gone = lostHere || mMembership.isGone(holder);
         String fingerprint = wished.row().fingerprint();
         ClaimRules.Decision decision =
                 ClaimRules.decide(row, fingerprint, declared, gone, mWallMillis.getAsLong());
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/cluster/PeerExchange.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/cluster/PeerExchange.java
@@ -31,7 +31,7 @@
  * the control thread. Invariant: nothing here is needed for a promise; a router that receives
  * nobody serves by what it knows itself.
  */
-public final class PeerExchange implements PeerMesh.Hearer {
+public final class PeerExchange implements PeerMesh.MessageListener {
 
     /** The state of a router that runs, in the instance list's words. */
     private static final String ALIVE = "alive";
@@ -137,7 +137,7 @@
     public PeerExchange(
             Node node,
             Address address,
-            PeerLinks.Opener opener,
+            PeerLinks.Factory opener,
             CurrentConfiguration configuration,
             ConfigurationCodec codec,
             PeerLoads loads,
@@ -150,7 +150,7 @@
         Member self = new Member(node.incarnation(), node.hall(), address.toString(), false);
         mMembership = new Membership(self, node.nanos());
         mPlan = RelayPlan.of(self, List.of(self), member -> 0, router -> false);
-        mLinks = opener.open(new PeerMesh.Members(mMembership, () -> mPlan.wanted()), this);
+        mLinks = opener.open(new PeerMesh.Peers(mMembership, () -> mPlan.wanted()), this);
         mRelay = new LoadRelay(node, mLinks, loads, () -> mPlan);
         mTables = new TableExchange(node.hall(), mLinks, () -> mPlan, mRelay::locals);
         node.control().every(this::tick, TICK_MILLIS);
@@ -303,10 +303,10 @@
 
     /** {@inheritDoc} */
     @Override
-    public void heard(Member from, PeerMessage message) {
-        mMembership.heard(from);
+    public void onMessage(Member from, PeerMessage message) {
+        mMembership.recordContact(from);
         mWatch.heard(from.incarnation(), mNode.millis());
-        if (mPlan.relay() && !mLinks.connected(from.incarnation())) {
+        if (mPlan.relay() && !mLinks.isConnected(from.incarnation())) {
             planSoon();
         }
         if (message instanceof PeerMessage.Load load) {
@@ -461,7 +461,7 @@
         mTicks = 0;
         if (mListChanged) {
             mListChanged = false;
-            mMembership.listed(mListed.values().stream().map(PeerExchange::entry).toList());
+            mMembership.updateListed(mListed.values().stream().map(PeerExchange::entry).toList());
         }
         RelayPlan before = mPlan;
         mPlan =
@@ -469,7 +469,7 @@
                         mMembership.self(),
                         mMembership.live(),
                         this::points,
-                        router -> mLinks.connected(router) && !mWatch.suspected(router));
+                        router -> mLinks.isConnected(router) && !mWatch.suspected(router));
         mLoads.count(mRelay.counted());
         mLoads.sum(mNode.millis());
         mWatch.expect(expected(), mNode.millis());
@@ -501,7 +501,7 @@
      */
     private Set<Incarnation> connected() {
         Set<Incarnation> connected = LoadRelay.incarnations(mPlan.wanted());
-        connected.removeIf(router -> !mLinks.connected(router));
+        connected.removeIf(router -> !mLinks.isConnected(router));
         return connected;
     }
 
@@ -511,7 +511,7 @@
      * @param router the router
      */
     private void connectBack(Incarnation router) {
-        if (!mLinks.connected(router)) {
+        if (!mLinks.isConnected(router)) {
             mMembership.live().stream()
                     .filter(member -> member.incarnation().equals(router))
                     .forEach(mLinks::connect);
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/cluster/TableExchange.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/cluster/TableExchange.java
@@ -168,7 +168,7 @@
     private void ask(String table, long version) {
         List<Incarnation> connected = new ArrayList<>();
         for (Member member : mPlan.get().wanted()) {
-            if (mLinks.connected(member.incarnation())) {
+            if (mLinks.isConnected(member.incarnation())) {
                 connected.add(member.incarnation());
             }
         }
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/operator/Inventory.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/operator/Inventory.java
@@ -15,7 +15,7 @@
 import org.troutpier.daemon.configuration.ConfigurationRegistry;
 import org.troutpier.daemon.node.Node;
 import org.troutpier.daemon.peer.Membership;
-import org.troutpier.daemon.peer.PeerLogic;
+import org.troutpier.daemon.peer.PeerController;
 import org.troutpier.daemon.placement.UpstreamRegistry;
 import org.troutpier.daemon.placement.UpstreamState;
 import org.troutpier.daemon.request.ExchangeRegistry;
@@ -47,7 +47,7 @@
     private final ConfigurationRegistry mConfigurations;
 
     /** Provides the versions of the other routers. */
-    private final PeerLogic mPeers;
+    private final PeerController mPeers;
 
     /**
      * Creates an inventory.
@@ -65,7 +65,7 @@
             UpstreamRegistry upstreamRegistry,
             Membership membership,
             ConfigurationRegistry configurations,
-            PeerLogic peers) {
+            PeerController peers) {
         mNode = node;
         mRegistry = registry;
         mUpstreamRegistry = upstreamRegistry;
@@ -210,11 +210,11 @@
      * @return the rows
      */
     private Shown routers() {
-        Map<Incarnation, Long> versions = mPeers.versions();
+        Map<Incarnation, Long> versions = mPeers.configurationVersions();
         List<Map<String, String>> rows = new ArrayList<>();
         for (Membership.Member member : mMembership.live()) {
             boolean self = member.incarnation().equals(mNode.incarnation());
-            boolean heard = self || mMembership.heardLately(member.incarnation());
+            boolean heard = self || mMembership.heardRecently(member.incarnation());
             rows.add(
                     row(
                             "id", member.incarnation().instance(),
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/operator/OperatorFront.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/operator/OperatorFront.java
@@ -29,7 +29,7 @@
 import org.troutpier.daemon.node.Node;
 import org.troutpier.daemon.node.Readiness;
 import org.troutpier.daemon.peer.Membership;
-import org.troutpier.daemon.peer.PeerLogic;
+import org.troutpier.daemon.peer.PeerController;
 
 /**
  * Serves operators: health, counters, events, declarations and commands. Thread safe: it keeps no
@@ -62,7 +62,7 @@
     private final Membership mMembership;
 
     /** Detects whether the process was just woken. */
-    private final PeerLogic mPeers;
+    private final PeerController mPeers;
 
     /** Answers queries and commands. */
     private final CommandHandler mCommands;
@@ -88,7 +88,7 @@
             ConfigurationRegistry configurations,
             ChangeProposer proposer,
             Membership membership,
-            PeerLogic peers,
+            PeerController peers,
             CommandHandler commands,
             String administratorHash) {
         mNode = node;
@@ -126,7 +126,7 @@
         Map<String, Object> health = new LinkedHashMap<>();
         health.put("name", self.incarnation().instance().value());
         health.put("incarnation", self.incarnation().value());
-        health.put("peer", self.peer());
+        health.put("peer", self.address());
         health.put("hall", self.hall().value());
         health.put("state", mReadiness.isStopping() ? "leaving" : "live");
         return Answers.json(200, health);
@@ -139,7 +139,7 @@
      */
     private FullHttpResponse readiness() {
         Optional<String> obstacle =
-                mPeers.stalled() ? Optional.of("just woken") : mReadiness.obstacle();
+                mPeers.isStalled() ? Optional.of("just woken") : mReadiness.obstacle();
         Map<String, Object> body = new LinkedHashMap<>();
         body.put("ready", obstacle.isEmpty());
         body.put("obstacle", obstacle.orElse(""));
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/operator/Operators.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/operator/Operators.java
@@ -3,7 +3,7 @@
 import org.troutpier.daemon.configuration.ConfigurationRegistry;
 import org.troutpier.daemon.node.Node;
 import org.troutpier.daemon.peer.Membership;
-import org.troutpier.daemon.peer.PeerLogic;
+import org.troutpier.daemon.peer.PeerController;
 import org.troutpier.daemon.placement.UpstreamRegistry;
 import org.troutpier.daemon.request.ExchangeRegistry;
 
@@ -30,7 +30,7 @@
             UpstreamRegistry upstreamRegistry,
             Membership membership,
             ConfigurationRegistry declarations,
-            PeerLogic peers) {
+            PeerController peers) {
         return new CommandHandler(
                 node,
                 registry,
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/peer/Coordinators.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/peer/CoordinatorSelector.java
@@ -11,13 +11,13 @@
  * router picks the same one while all see the same members, and when a member goes only what it
  * looked after moves. Stateless and thread safe. A wrong or doubled choice must cost goodput only.
  */
-public final class Coordinators {
+public final class CoordinatorSelector {
 
     /** The hash. */
     private static final Hasher64 HASHER = Hashing.komihash5_0();
 
     /** Not to be instantiated. */
-    private Coordinators() {}
+    private CoordinatorSelector() {}
 
     /**
      * Picks the router that looks after something.
@@ -26,7 +26,7 @@
      * @param members the live members; not empty
      * @return the one with the highest hash
      */
-    public static Incarnation of(String subject, List<Member> members) {
+    public static Incarnation select(String subject, List<Member> members) {
         Incarnation best = null;
         long highest = 0;
         for (Member member : members) {
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/peer/Membership.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/peer/Membership.java
@@ -54,10 +54,10 @@
      *
      * @param incarnation which start of which instance
      * @param hall its hall
-     * @param peer where its peers reach it
+     * @param address where its peers reach it
      * @param leaving whether it takes no new work
      */
-    public record Member(Incarnation incarnation, HallId hall, String peer, boolean leaving) {}
+    public record Member(Incarnation incarnation, HallId hall, String address, boolean leaving) {}
 
     /**
      * Creates the view of a router that knows only itself.
@@ -84,7 +84,7 @@
      *
      * @param instances the list
      */
-    public synchronized void listed(List<InstanceList.Instance> instances) {
+    public synchronized void updateListed(List<InstanceList.Instance> instances) {
         Map<Incarnation, Member> listed = new HashMap<>();
         for (InstanceList.Instance instance : instances) {
             if (instance.router() && !instance.gone()) {
@@ -107,7 +107,7 @@
      *
      * @param member the router
      */
-    public synchronized void heard(Member member) {
+    public synchronized void recordContact(Member member) {
         mHeard.put(member.incarnation(), mNanos.getAsLong());
         mHeardMembers.put(member.incarnation(), member);
         mMissingSince.remove(member.incarnation());
@@ -125,7 +125,7 @@
                 .forEach(member -> live.put(member.incarnation().instance().value(), member));
         long now = mNanos.getAsLong();
         mHeardMembers.values().stream()
-                .filter(member -> heardLately(member.incarnation(), now))
+                .filter(member -> heardRecently(member.incarnation(), now))
                 .sorted((a, b) -> Long.compare(heardAt(a), heardAt(b)))
                 .forEach(member -> live.put(member.incarnation().instance().value(), member));
         live.put(mSelf.incarnation().instance().value(), mSelf);
@@ -149,12 +149,12 @@
      * @param incarnation the incarnation
      * @return whether it is missing from the list and has been silent for the grace
      */
-    public synchronized boolean gone(Incarnation incarnation) {
+    public synchronized boolean isGone(Incarnation incarnation) {
         long now = mNanos.getAsLong();
         boolean alive =
                 incarnation.equals(mSelf.incarnation())
                         || mListed.containsKey(incarnation)
-                        || heardLately(incarnation, now);
+                        || heardRecently(incarnation, now);
         if (alive || !mListSeen) {
             mMissingSince.remove(incarnation);
             return false;
@@ -172,8 +172,8 @@
      * @param incarnation the router
      * @return whether its heartbeat still counts
      */
-    public synchronized boolean heardLately(Incarnation incarnation) {
-        return heardLately(incarnation, mNanos.getAsLong());
+    public synchronized boolean heardRecently(Incarnation incarnation) {
+        return heardRecently(incarnation, mNanos.getAsLong());
     }
 
     /**
@@ -181,7 +181,7 @@
      *
      * @return whether the platform, and so the others, can know of it
      */
-    public synchronized boolean selfListed() {
+    public synchronized boolean isSelfListed() {
         return mListed.containsKey(mSelf.incarnation());
     }
 
@@ -200,7 +200,7 @@
      * @param now the time
      * @return whether its heartbeat still counts
      */
-    private boolean heardLately(Incarnation incarnation, long now) {
+    private boolean heardRecently(Incarnation incarnation, long now) {
         Long at = mHeard.get(incarnation);
         return at != null && now - at < HEARD_NANOS;
     }
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/peer/PeerLogic.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/peer/PeerController.java
@@ -18,10 +18,10 @@
 /**
  * What this router does about the others: heartbeats, following the instance list, answering
  * changes, and fencing itself when it was paused or has lost everybody. Confined to the control
- * thread, but for {@link #stalled()}. Invariant: a router that may have been left out of a change
+ * thread, but for {@link #isStalled()}. Invariant: a router that may have been left out of a change
  * takes no new work until it has read the latest version.
  */
-public final class PeerLogic {
+public final class PeerController {
 
     /** How often heartbeats are sent, milliseconds. */
     private static final long BEAT_MILLIS = 400;
@@ -69,7 +69,7 @@
     private Optional<CoordinatorPermits> mPermits = Optional.empty();
 
     /** Receives the upstreams that the list shows as leaving. */
-    private Leaving mLeaving = (id, leaving) -> {};
+    private LeavingListener mLeaving = (id, leaving) -> {};
 
     /** When the control thread last looked at the clock. */
     private volatile long mTickAt;
@@ -90,7 +90,7 @@
     private final Map<Incarnation, Long> mVersions = new HashMap<>();
 
     /** Receives the upstreams that the list shows as leaving. */
-    public interface Leaving {
+    public interface LeavingListener {
 
         /**
          * Receives one.
@@ -98,7 +98,7 @@
          * @param id the upstream
          * @param leaving whether it is leaving
          */
-        void heard(UpstreamId id, boolean leaving);
+        void onUpstream(UpstreamId id, boolean leaving);
     }
 
     /**
@@ -110,7 +110,7 @@
      * @param instances the platform's list
      * @param configurations the declarations in force
      */
-    public PeerLogic(
+    public PeerController(
             Node node,
             Membership membership,
             Readiness readiness,
@@ -137,7 +137,7 @@
             PeerMesh mesh,
             ChangeProposer proposer,
             Optional<CoordinatorPermits> permits,
-            Leaving leaving) {
+            LeavingListener leaving) {
         mMesh = mesh;
         mProposer = proposer;
         mPermits = permits;
@@ -156,7 +156,7 @@
      *
      * @return whether to take no new work
      */
-    public boolean stalled() {
+    public boolean isStalled() {
         return mNode.nanos().getAsLong() - mTickAt > PAUSE_NANOS;
     }
 
@@ -191,7 +191,7 @@
      * Without a list there is no start, as nothing else says who must know.
      */
     private void begin() {
-        if (!mBegun && mMembership.selfListed() && allKnowThis()) {
+        if (!mBegun && mMembership.isSelfListed() && allKnowThis()) {
             mBegun = true;
             revalidateNow();
         }
@@ -208,8 +208,8 @@
                 .filter(incarnation -> !incarnation.equals(mNode.incarnation()))
                 .allMatch(
                         incarnation ->
-                                mMesh.connected(incarnation)
-                                        && mMembership.heardLately(incarnation));
+                                mMesh.isConnected(incarnation)
+                                        && mMembership.heardRecently(incarnation));
     }
 
     /** Sends a heartbeat to every router. */
@@ -248,11 +248,11 @@
      */
     private void listed(List<InstanceList.Instance> instances) {
         mPlatformAt = mNode.nanos().getAsLong();
-        mMembership.listed(instances);
+        mMembership.updateListed(instances);
         mMesh.connect();
         for (InstanceList.Instance instance : instances) {
             if (!instance.router()) {
-                mLeaving.heard(new UpstreamId(instance.id()), instance.leaving());
+                mLeaving.onUpstream(new UpstreamId(instance.id()), instance.leaving());
             }
         }
     }
@@ -310,7 +310,7 @@
      * @param from who sent it
      * @param message the message
      */
-    public void heard(Member from, PeerMessage message) {
+    public void onMessage(Member from, PeerMessage message) {
         mHadPeers = true;
         mPeersAt = mNode.nanos().getAsLong();
         Incarnation sender = from.incarnation();
@@ -346,10 +346,10 @@
      */
     private void heartbeat(Member from, PeerMessage.Heartbeat beat) {
         mNode.events().clock().observe(beat.stamp());
-        Member now = new Member(from.incarnation(), from.hall(), from.peer(), beat.leaving());
-        mMembership.heard(now);
+        Member now = new Member(from.incarnation(), from.hall(), from.address(), beat.leaving());
+        mMembership.recordContact(now);
         mVersions.put(from.incarnation(), beat.version());
-        mVersions.keySet().removeIf(mMembership::gone);
+        mVersions.keySet().removeIf(mMembership::isGone);
         if (beat.version() > mConfigurations.current().version()) {
             mMesh.send(
                     from.incarnation(), new PeerMessage.Pull(mConfigurations.current().version()));
@@ -409,7 +409,7 @@
      *
      * @return versions by router, this one included
      */
-    public Map<Incarnation, Long> versions() {
+    public Map<Incarnation, Long> configurationVersions() {
         Map<Incarnation, Long> versions = new HashMap<>(mVersions);
         versions.put(mNode.incarnation(), mConfigurations.current().version());
         return versions;
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/peer/PeerLinks.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/peer/PeerLinks.java
@@ -20,7 +20,7 @@
      * @param to the router
      * @return whether messages can be sent
      */
-    boolean connected(Incarnation to);
+    boolean isConnected(Incarnation to);
 
     /**
      * Sends a message.
@@ -41,7 +41,7 @@
     void sendAll(Collection<Incarnation> to, PeerMessage message);
 
     /** Opens links for a router. */
-    interface Opener {
+    interface Factory {
 
         /**
          * Starts to listen.
@@ -50,6 +50,6 @@
          * @param hearer hears messages on the control thread
          * @return the links
          */
-        PeerLinks open(PeerMesh.Members members, PeerMesh.Hearer hearer);
+        PeerLinks open(PeerMesh.Peers members, PeerMesh.MessageListener hearer);
     }
 }
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/peer/PeerMesh.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/peer/PeerMesh.java
@@ -51,13 +51,13 @@
     private final Node mNode;
 
     /** Who the others are. */
-    private final Members mMembers;
+    private final Peers mMembers;
 
     /** Proves the secret. */
     private final PeerSecret mSecret;
 
     /** Receives messages on the control thread. */
-    private final Hearer mHearer;
+    private final MessageListener mHearer;
 
     /**
      * How long a connection that this router opened and sends on may be silent, milliseconds.
@@ -99,7 +99,7 @@
     private record Kind(Counter messages, Counter bytes) {}
 
     /** Receives messages, on the control thread. */
-    public interface Hearer {
+    public interface MessageListener {
 
         /**
          * Receives a message.
@@ -107,16 +107,16 @@
          * @param from who sent it
          * @param message the message
          */
-        void heard(Member from, PeerMessage message);
+        void onMessage(Member from, PeerMessage message);
     }
 
     /**
      * Who the others are and to whom connections are kept. Thread safe if its parts are.
      *
      * @param membership takes note of who was heard
-     * @param wanted whom to be connected to; asked on the control thread
+     * @param connectionTargets whom to be connected to; asked on the control thread
      */
-    public record Members(Membership membership, Supplier<List<Member>> wanted) {}
+    public record Peers(Membership membership, Supplier<List<Member>> connectionTargets) {}
 
     /**
      * Creates and starts a mesh.
@@ -127,7 +127,8 @@
      * @param secret what routers prove to each other that they know
      * @param hearer hears messages on the control thread
      */
-    public PeerMesh(Node node, Address address, Members members, String secret, Hearer hearer) {
+    public PeerMesh(
+            Node node, Address address, Peers members, String secret, MessageListener hearer) {
         mNode = node;
         mMembers = members;
         mSecret = new PeerSecret(secret);
@@ -187,7 +188,7 @@
 
     /** Connects to every router that is wanted and not connected. */
     public void connect() {
-        mMembers.wanted().get().forEach(this::connect);
+        mMembers.connectionTargets().get().forEach(this::connect);
     }
 
     /**
@@ -200,7 +201,7 @@
         if (incarnation.equals(mMembers.membership().self().incarnation())) {
             return;
         }
-        Incarnation before = mOpening.putIfAbsent(member.peer(), incarnation);
+        Incarnation before = mOpening.putIfAbsent(member.address(), incarnation);
         if (before == null) {
             open(member);
         } else if (!before.equals(incarnation) && mReady.containsKey(before)) {
@@ -214,7 +215,7 @@
      * @param member the router to connect to
      */
     private void open(Member member) {
-        Address address = Address.parse(member.peer());
+        Address address = Address.parse(member.address());
         new Bootstrap()
                 .group(mNode.loops())
                 .channel(NioSocketChannel.class)
@@ -240,7 +241,7 @@
                 .addListener(
                         connected -> {
                             if (!connected.isSuccess()) {
-                                mNode.control().execute(() -> mOpening.remove(member.peer()));
+                                mNode.control().execute(() -> mOpening.remove(member.address()));
                             }
                         });
     }
@@ -325,7 +326,7 @@
 
     /** {@inheritDoc} */
     @Override
-    public boolean connected(Incarnation to) {
+    public boolean isConnected(Incarnation to) {
         return mReady.containsKey(to);
     }
 
@@ -353,7 +354,10 @@
             Member self = mMembers.membership().self();
             context.writeAndFlush(
                     new PeerMessage.Hello(
-                            self.incarnation().value(), self.hall().value(), self.peer(), mNonce));
+                            self.incarnation().value(),
+                            self.hall().value(),
+                            self.address(),
+                            mNonce));
         }
 
         /** {@inheritDoc} */
@@ -388,7 +392,7 @@
             mNode.control()
                     .execute(
                             () -> {
-                                mOpening.remove(mMember.peer());
+                                mOpening.remove(mMember.address());
                                 mReady.remove(mMember.incarnation(), context.channel());
                             });
         }
@@ -437,7 +441,7 @@
                 mNode.control()
                         .execute(
                                 () -> {
-                                    mMembers.membership().heard(member);
+                                    mMembers.membership().recordContact(member);
                                     connect();
                                 });
             } else {
@@ -479,7 +483,7 @@
         private void take(PeerMessage message) {
             mHeard.inc();
             Member member = mMember;
-            mNode.control().execute(() -> mHearer.heard(member, message));
+            mNode.control().execute(() -> mHearer.onMessage(member, message));
         }
 
         /** {@inheritDoc} */
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/upstream/OrphanSweeper.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/upstream/OrphanSweeper.java
@@ -6,7 +6,7 @@
 import org.troutpier.common.declaration.UpstreamDeclaration;
 import org.troutpier.common.id.Incarnation;
 import org.troutpier.daemon.node.Node;
-import org.troutpier.daemon.peer.Coordinators;
+import org.troutpier.daemon.peer.CoordinatorSelector;
 import org.troutpier.daemon.peer.Membership;
 import org.troutpier.daemon.placement.UpstreamRegistry;
 import org.troutpier.daemon.placement.UpstreamState;
@@ -72,7 +72,8 @@
         for (UpstreamState state : new ArrayList<>(mUpstreamRegistry.all())) {
             UpstreamDeclaration declared = state.declared();
             boolean mine =
-                    Coordinators.of("sweep " + declared.id(), members).equals(mNode.incarnation());
+                    CoordinatorSelector.select("sweep " + declared.id(), members)
+                            .equals(mNode.incarnation());
             if (declared.role() != Role.SERVICE && mine) {
                 mEngines.holding(declared)
                         .thenAccept(held -> mNode.control().execute(() -> examine(declared, held)));
@@ -107,6 +108,6 @@
             return !mRegistry.carries(held.attempt());
         }
         boolean router = held.owner().indexOf('~') > 0;
-        return router && mMembership.gone(new Incarnation(held.owner()));
+        return router && mMembership.isGone(new Incarnation(held.owner()));
     }
 }
--- a/troutpier-daemon/src/test/java/org/troutpier/daemon/admission/CoordinatorPermitsTest.java
+++ b/troutpier-daemon/src/test/java/org/troutpier/daemon/admission/CoordinatorPermitsTest.java
@@ -108,7 +108,7 @@
         for (Router one : mRouters) {
             for (Router other : mRouters) {
                 if (one != other) {
-                    one.mMembership.heard(other.mMember);
+                    one.mMembership.recordContact(other.mMember);
                 }
             }
         }
@@ -235,7 +235,7 @@
         assertEquals(held(), SLOTS);
         Router coordinator =
                 router(
-                        org.troutpier.daemon.peer.Coordinators.of(
+                        org.troutpier.daemon.peer.CoordinatorSelector.select(
                                 "decode-1", mRouters.get(0).mMembership.serving()));
         int lost = coordinator.mPermits.held(new UpstreamId("decode-1"));
         mRouters.remove(coordinator);
--- a/troutpier-daemon/src/test/java/org/troutpier/daemon/cluster/LoneRouter.java
+++ b/troutpier-daemon/src/test/java/org/troutpier/daemon/cluster/LoneRouter.java
@@ -42,7 +42,7 @@
     }
 
     @Override
-    public boolean connected(Incarnation to) {
+    public boolean isConnected(Incarnation to) {
         return false;
     }
 
--- a/troutpier-daemon/src/test/java/org/troutpier/daemon/cluster/MemberRegistryTest.java
+++ b/troutpier-daemon/src/test/java/org/troutpier/daemon/cluster/MemberRegistryTest.java
@@ -148,7 +148,7 @@
                                     mRows.version(),
                                     false));
             SharedPage page = new SharedPage(TABLE, before, mRows.version(), 0, rows);
-            mRouter.mExchange.heard(reader, new PeerMessage.Page(page));
+            mRouter.mExchange.onMessage(reader, new PeerMessage.Page(page));
             mTime.pass(400);
             assertTrue(mRouter.mConnected.contains(name), "connected to " + mRouter.mConnected);
         }
--- a/troutpier-daemon/src/test/java/org/troutpier/daemon/cluster/PeerExchangeTest.java
+++ b/troutpier-daemon/src/test/java/org/troutpier/daemon/cluster/PeerExchangeTest.java
@@ -112,7 +112,7 @@
         final PeerExchange mExchange;
         final Keys mKeys = new Keys();
         FakeRowStore mStore;
-        PeerMesh.Hearer mHearer;
+        PeerMesh.MessageListener mHearer;
         boolean mDead;
         int mSent;
         int mHeardMessages;
@@ -215,7 +215,7 @@
         }
 
         @Override
-        public boolean connected(Incarnation to) {
+        public boolean isConnected(Incarnation to) {
             Router other = mRouters.get(to);
             if (other == null || other.mDead) {
                 mConnected.remove(to);
@@ -225,7 +225,7 @@
 
         @Override
         public boolean send(Incarnation to, PeerMessage message) {
-            if (!connected(to)) {
+            if (!isConnected(to)) {
                 return false;
             }
             mSent++;
@@ -238,7 +238,7 @@
                                     other.note(message);
                                     other.mHeardMessages++;
                                     other.mControl.execute(
-                                            () -> other.mHearer.heard(mSelf, message));
+                                            () -> other.mHearer.onMessage(mSelf, message));
                                 }
                             },
                             ROUND_TRIP_MILLIS / 2);
@@ -272,7 +272,7 @@
                 new MemberRow(
                         self.incarnation().instance().value(),
                         self.incarnation().value(),
-                        self.peer(),
+                        self.address(),
                         self.hall().value(),
                         10);
         mRouters.values()
--- a/troutpier-daemon/src/test/java/org/troutpier/daemon/peer/MembershipTest.java
+++ b/troutpier-daemon/src/test/java/org/troutpier/daemon/peer/MembershipTest.java
@@ -35,7 +35,7 @@
     }
 
     private boolean gone(String incarnation) {
-        return mMembership.gone(new Incarnation(incarnation));
+        return mMembership.isGone(new Incarnation(incarnation));
     }
 
     @Test
@@ -47,12 +47,12 @@
 
     @Test
     public void aRouterIsGoneOnceItIsMissingAndSilentForTheGrace() {
-        mMembership.listed(List.of(listed("router-2~b", "live")));
-        mMembership.heard(member("router-2~b"));
+        mMembership.updateListed(List.of(listed("router-2~b", "live")));
+        mMembership.recordContact(member("router-2~b"));
         assertFalse(gone("router-2~b"));
         mNow += 10 * SECOND;
         assertFalse(gone("router-2~b"), "the list still shows it");
-        mMembership.listed(List.of(listed("router-2~b", "gone")));
+        mMembership.updateListed(List.of(listed("router-2~b", "gone")));
         assertFalse(gone("router-2~b"), "the grace has begun");
         mNow += 3 * SECOND;
         assertTrue(gone("router-2~b"));
@@ -60,9 +60,9 @@
 
     @Test
     public void aRouterThatIsHeardIsNotGoneWhateverTheListSays() {
-        mMembership.listed(List.of());
+        mMembership.updateListed(List.of());
         for (int beat = 0; beat < 20; beat++) {
-            mMembership.heard(member("router-2~b"));
+            mMembership.recordContact(member("router-2~b"));
             mNow += SECOND;
             assertFalse(gone("router-2~b"));
         }
@@ -70,7 +70,7 @@
 
     @Test
     public void anEarlierStartIsGoneWhenALaterOneRuns() {
-        mMembership.listed(List.of(listed("router-2~c", "live")));
+        mMembership.updateListed(List.of(listed("router-2~c", "live")));
         assertFalse(gone("router-2~b"));
         mNow += 3 * SECOND;
         assertTrue(gone("router-2~b"));
@@ -79,8 +79,8 @@
 
     @Test
     public void theLaterStartOfAnInstanceCounts() {
-        mMembership.listed(List.of(listed("router-2~b", "live")));
-        mMembership.heard(member("router-2~c"));
+        mMembership.updateListed(List.of(listed("router-2~b", "live")));
+        mMembership.recordContact(member("router-2~c"));
         assertEquals(
                 mMembership.live().stream().map(one -> one.incarnation().value()).toList(),
                 List.of("router-1~a", "router-2~c"));
@@ -88,13 +88,13 @@
 
     @Test
     public void thisRouterIsAlwaysLiveAndNeverGone() {
-        mMembership.listed(List.of());
+        mMembership.updateListed(List.of());
         mNow += 100 * SECOND;
         assertEquals(mMembership.live().size(), 1);
         assertFalse(gone("router-1~a"));
-        assertFalse(mMembership.selfListed());
-        mMembership.listed(List.of(listed("router-1~a", "live")));
-        assertTrue(mMembership.selfListed());
+        assertFalse(mMembership.isSelfListed());
+        mMembership.updateListed(List.of(listed("router-1~a", "live")));
+        assertTrue(mMembership.isSelfListed());
     }
 
     @Test
@@ -104,8 +104,8 @@
         List<Member> two = List.of(member("router-1~a"), member("router-3~c"));
         int moved = 0;
         for (int subject = 0; subject < 300; subject++) {
-            Incarnation before = Coordinators.of("engine-" + subject, three);
-            Incarnation after = Coordinators.of("engine-" + subject, two);
+            Incarnation before = CoordinatorSelector.select("engine-" + subject, three);
+            Incarnation after = CoordinatorSelector.select("engine-" + subject, two);
             boolean itsCoordinatorWent = before.value().equals("router-2~b");
             assertTrue(itsCoordinatorWent || before.equals(after));
             moved += itsCoordinatorWent ? 1 : 0;
--- a/troutpier-daemon/src/test/java/org/troutpier/daemon/peer/PeerMeshTest.java
+++ b/troutpier-daemon/src/test/java/org/troutpier/daemon/peer/PeerMeshTest.java
@@ -65,7 +65,7 @@
                     new PeerMesh(
                             node,
                             address,
-                            new PeerMesh.Members(membership, List::of),
+                            new PeerMesh.Peers(membership, List::of),
                             SECRET,
                             (from, message) -> mHeard.add(message));
         }
@@ -123,7 +123,7 @@
         return mOne.onControl(
                 () -> {
                     mOne.mMesh.connect(member);
-                    return mOne.mMesh.connected(member.incarnation());
+                    return mOne.mMesh.isConnected(member.incarnation());
                 });
     }
 
@@ -144,9 +144,10 @@
 
     @Test
     public void aConnectionMadeUnderAnEarlierStartIsMadeAgainUnderTheLater() {
-        Member earlier = new Member(new Incarnation("other~1"), HALL, mOther.mSelf.peer(), false);
+        Member earlier =
+                new Member(new Incarnation("other~1"), HALL, mOther.mSelf.address(), false);
         await("connected", () -> connected(earlier));
-        assertFalse(mOne.onControl(() -> mOne.mMesh.connected(mOther.mSelf.incarnation())));
+        assertFalse(mOne.onControl(() -> mOne.mMesh.isConnected(mOther.mSelf.incarnation())));
         await("connected again", () -> connected(mOther.mSelf));
         assertTrue(
                 mOne.onControl(
@@ -167,12 +168,12 @@
                 .until(
                         () ->
                                 mOne.onControl(
-                                        () -> mOne.mMesh.connected(mOther.mSelf.incarnation())));
+                                        () -> mOne.mMesh.isConnected(mOther.mSelf.incarnation())));
     }
 
     @Test
     public void aConnectionThatGoesSilentWithoutAResetIsMadeAgain() {
-        Address to = Address.parse(mOther.mSelf.peer());
+        Address to = Address.parse(mOther.mSelf.address());
         try (FaultProxy proxy = new FaultProxy(new Address("127.0.0.1", 0), to, mLoops)) {
             Member behind =
                     new Member(mOther.mSelf.incarnation(), HALL, proxy.address().toString(), false);
