--- a/troutpier-cli/src/test/java/org/troutpier/cli/OrganisationsCommandTest.java
+++ b/troutpier-cli/src/test/java/org/troutpier/cli/OrganisationsCommandTest.java
@@ -22,7 +22,7 @@
 import org.troutpier.daemon.organisation.UseReport;
 import org.troutpier.daemon.route.Organisation;
 import org.troutpier.daemon.route.RoutingConfiguration;
-import org.troutpier.daemon.route.UseLimit;
+import org.troutpier.daemon.route.UsageLimit;
 
 /** How operators look at what organisations use. */
 public final class OrganisationsCommandTest {
@@ -59,7 +59,7 @@
                         new PartnerId("coast"),
                         Set.of(KeyHash.of(KEY)),
                         OptionalInt.empty(),
-                        new UseLimit(UseLimit.Unit.TOKENS, 0, 1, 90));
+                        new UsageLimit(UsageLimit.Unit.TOKENS, 0, 1, 90));
         use.configured(
                 new RoutingConfiguration(
                         1,
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/RouterDaemon.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/RouterDaemon.java
@@ -188,7 +188,7 @@
      */
     private Table table() {
         DaemonSettings.PlatformSettings platform = mSettings.platform();
-        return new Table.WithBreaker(
+        return new Table.WithCircuitBreaker(
                 new Table.OverHttp(mNode.calls(), platform.table(), platform.timeoutMillis()),
                 mNode.nanos());
     }
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/claim/ClaimSettling.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/claim/ClaimSettling.java
@@ -118,7 +118,7 @@
      */
     private CompletableFuture<Settled> settle(Claim claim, Function<ClaimRow, ClaimRow> change) {
         ClaimRow next = change.apply(claim.row());
-        return mTable.replace(claim.key(), claim.tag(), Table.json(next))
+        return mTable.replace(claim.key(), claim.tag(), Table.toJson(next))
                 .thenCompose(
                         write ->
                                 write.outcome() == Outcome.WRITTEN
@@ -201,7 +201,7 @@
      * @param wished the claim as it was meant
      */
     private void giveUp(Claim wished) {
-        JsonNode released = Table.json(wished.row().released());
+        JsonNode released = Table.toJson(wished.row().released());
         mTable.insert(wished.key(), released)
                 .thenCompose(
                         write ->
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/claim/ClaimStore.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/claim/ClaimStore.java
@@ -16,7 +16,7 @@
 import org.troutpier.daemon.objectstore.ObjectStore;
 import org.troutpier.daemon.peer.Membership;
 import org.troutpier.daemon.table.Table;
-import org.troutpier.daemon.table.Table.Write;
+import org.troutpier.daemon.table.Table.WriteResult;
 
 /**
  * Takes, settles and gives up claims on keyed requests. Thread safe. Invariant: an answer counts as
@@ -111,7 +111,7 @@
         long safeUntil = safeUntil(declared);
         ClaimRow row = row(declared, fingerprint, 1);
         mAttempts.add(row.attempt());
-        return mTable.insert(rowKey, Table.json(row))
+        return mTable.insert(rowKey, Table.toJson(row))
                 .thenCompose(
                         write ->
                                 settleBegin(
@@ -180,7 +180,7 @@
      * @return what came of it
      */
     private CompletableFuture<ClaimOutcome> settleBegin(
-            ClassDeclaration declared, Claim wished, Write write, int round) {
+            ClassDeclaration declared, Claim wished, WriteResult write, int round) {
         return switch (write.outcome()) {
             case WRITTEN -> CompletableFuture.completedFuture(granted(wished, write.tag()));
             case NOT_SENT -> {
@@ -254,7 +254,7 @@
         if (round >= MOST_ROUNDS) {
             return refused(wished, ResultCode.ALREADY_RUNNING, "the claim changes hands");
         }
-        return mTable.insert(wished.key(), Table.json(wished.row()))
+        return mTable.insert(wished.key(), Table.toJson(wished.row()))
                 .thenCompose(write -> settleBegin(declared, wished, write, round + 1));
     }
 
@@ -309,7 +309,7 @@
         mNode.count("claim.taken-over");
         mNode.events().record("claim-taken-over", wished.key(), "from " + row.holder());
         Claim claim = new Claim(wished.key(), null, next, safeUntil);
-        return mTable.replace(wished.key(), found.tag(), Table.json(next))
+        return mTable.replace(wished.key(), found.tag(), Table.toJson(next))
                 .thenCompose(write -> settleBegin(declared, claim, write, round + 1));
     }
 
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/cluster/MemberRegistry.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/cluster/MemberRegistry.java
@@ -13,10 +13,10 @@
 import org.troutpier.common.settings.Address;
 import org.troutpier.common.settings.Check;
 import org.troutpier.daemon.node.Node;
-import org.troutpier.daemon.rows.RowFaults;
+import org.troutpier.daemon.rows.RowDecoder;
 import org.troutpier.daemon.rows.RowStore;
 import org.troutpier.daemon.rows.RowStore.Row;
-import org.troutpier.daemon.rows.RowStore.RowWrite;
+import org.troutpier.daemon.rows.RowStore.WriteResult;
 import org.troutpier.daemon.rows.StoreVersion;
 import org.troutpier.daemon.rows.TableFollower;
 
@@ -40,7 +40,8 @@
      * each router, calls grew with the square of the routers: the hall's reader reads, and its
      * pages, at most a wait and a pause apart, save the others theirs.
      */
-    private static final TableFollower.Pace PACE = new TableFollower.Pace(3000, 500, 4000, 2000);
+    private static final TableFollower.PollTiming PACE =
+            new TableFollower.PollTiming(3000, 500, 4000, 2000);
 
     /** Logs the registration. */
     private static final Logger LOGGER = LogManager.getLogger(MemberRegistry.class);
@@ -55,7 +56,7 @@
     private final PeerExchange mExchange;
 
     /** Tells of rows that cannot be read. */
-    private final RowFaults mFaults;
+    private final RowDecoder mFaults;
 
     /** Receives how many routers have been there. */
     private final IntConsumer mCount;
@@ -99,7 +100,7 @@
             IntConsumer count,
             Runnable firstStart) {
         mFirstStart = firstStart;
-        mFaults = new RowFaults(node.metrics(), node::millis);
+        mFaults = new RowDecoder(node.metrics(), node::millis);
         mCount = count;
         mNode = node;
         mStore = store;
@@ -135,7 +136,7 @@
      *
      * @param write what is known of it
      */
-    private void written(RowWrite write) {
+    private void written(WriteResult write) {
         switch (write.outcome()) {
             case WRITTEN -> LOGGER.info("router registered version={}", write.version());
             case CONFLICT, OUTDATED -> {
@@ -148,7 +149,7 @@
 
     /** {@inheritDoc} */
     @Override
-    public void restored() {
+    public void onRestored() {
         mRestored = true;
     }
 
@@ -157,13 +158,13 @@
      * earlier starts, or missing until they are written again.
      */
     @Override
-    public void whole(List<Row> rows) {
+    public void onSnapshot(List<Row> rows) {
         if (mRestored) {
             mRestored = false;
             restore(rows);
             return;
         }
-        changed(rows);
+        onChanges(rows);
         if (!mRead) {
             mRead = true;
             if (mVersion == 0) {
@@ -188,7 +189,7 @@
                 mVersion = row.version();
                 current = Arrays.equals(row.value(), mSelf);
             } else if (instance(row).filter(each -> !mSeen.contains(each)).isPresent()) {
-                changed(List.of(row));
+                onChanges(List.of(row));
             }
         }
         if (!current) {
@@ -200,7 +201,7 @@
 
     /** {@inheritDoc} */
     @Override
-    public void changed(List<Row> rows) {
+    public void onChanges(List<Row> rows) {
         rows.forEach(row -> instance(row).ifPresent(instance -> changed(instance, row)));
         mCount.accept(mSeen.size());
     }
@@ -234,7 +235,7 @@
      * @return the router that it is of, or empty where no router has such a key
      */
     private Optional<InstanceId> instance(Row row) {
-        return mFaults.read(row, each -> new InstanceId(each.key()));
+        return mFaults.decode(row, each -> new InstanceId(each.key()));
     }
 
     /**
@@ -244,7 +245,7 @@
      * @return what it says, or empty where it cannot be read or is of another router
      */
     private Optional<MemberRow> member(Row row) {
-        return mFaults.read(
+        return mFaults.decode(
                 row,
                 each -> {
                     MemberRow member = Json.read(each.value(), MemberRow.class);
@@ -256,5 +257,5 @@
 
     /** {@inheritDoc} */
     @Override
-    public void lost() {}
+    public void onStoreUnavailable() {}
 }
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/cluster/PeerExchange.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/cluster/PeerExchange.java
@@ -411,7 +411,8 @@
             return;
         }
         try {
-            mConfiguration.offer(mCodec.decode(offered.encoded()), from.incarnation().value());
+            mConfiguration.adoptIfNewer(
+                    mCodec.decode(offered.encoded()), from.incarnation().value());
         } catch (RuntimeException exception) {
             LOGGER.error("configuration not readable from={}", from.incarnation(), exception);
         }
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/cluster/QuarantineTable.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/cluster/QuarantineTable.java
@@ -19,12 +19,12 @@
 import org.troutpier.daemon.quarantine.Quarantine;
 import org.troutpier.daemon.quarantine.QuarantineSettings;
 import org.troutpier.daemon.quarantine.RequestFingerprint;
-import org.troutpier.daemon.rows.RowFaults;
+import org.troutpier.daemon.rows.RowDecoder;
 import org.troutpier.daemon.rows.RowStore;
 import org.troutpier.daemon.rows.RowStore.Outcome;
 import org.troutpier.daemon.rows.RowStore.Row;
 import org.troutpier.daemon.rows.RowStore.RowPage;
-import org.troutpier.daemon.rows.RowStore.RowWrite;
+import org.troutpier.daemon.rows.RowStore.WriteResult;
 import org.troutpier.daemon.rows.TableFollower;
 
 /**
@@ -69,7 +69,7 @@
     private final Executor mTraffic;
 
     /** Tells of rows that cannot be read. */
-    private final RowFaults mFaults;
+    private final RowDecoder mFaults;
 
     /** The rows as they are known. */
     private final Map<RequestFingerprint, Stored> mStored = new HashMap<>();
@@ -112,7 +112,7 @@
         mSettings = settings;
         mQuarantine = quarantine;
         mTraffic = traffic;
-        mFaults = new RowFaults(node.metrics(), node::millis);
+        mFaults = new RowDecoder(node.metrics(), node::millis);
     }
 
     /** Follows the table, and tells what this router finds out from now on. */
@@ -202,7 +202,7 @@
      * @param record what was written
      * @param write what is known of the write
      */
-    private void written(RequestFingerprint request, CrashRecord record, RowWrite write) {
+    private void written(RequestFingerprint request, CrashRecord record, WriteResult write) {
         switch (write.outcome()) {
             case WRITTEN -> {
                 note(request, write.version(), record);
@@ -244,7 +244,7 @@
             writeLater();
             return;
         }
-        whole(page.rows());
+        onSnapshot(page.rows());
         mWriting = false;
         write();
     }
@@ -254,7 +254,7 @@
      * the copy lacks it.
      */
     @Override
-    public void restored() {
+    public void onRestored() {
         if (mExchange.reader()) {
             mStored.forEach(
                     (request, stored) ->
@@ -269,19 +269,19 @@
      * table may be older.
      */
     @Override
-    public void whole(List<Row> rows) {
+    public void onSnapshot(List<Row> rows) {
         Set<RequestFingerprint> gone = new HashSet<>(mStored.keySet());
         for (Row row : rows) {
             request(row).ifPresent(gone::remove);
         }
         gone.removeIf(request -> ageMillis(mStored.get(request)) <= mSettings.knownMillis());
         gone.forEach(this::dropped);
-        changed(rows);
+        onChanges(rows);
     }
 
     /** {@inheritDoc} */
     @Override
-    public void changed(List<Row> rows) {
+    public void onChanges(List<Row> rows) {
         for (Row row : rows) {
             request(row).ifPresent(request -> take(request, row));
         }
@@ -289,7 +289,7 @@
 
     /** {@inheritDoc} */
     @Override
-    public void lost() {}
+    public void onStoreUnavailable() {}
 
     /**
      * Takes a row, unless a newer one is known. One that another writer left says nothing and is
@@ -307,7 +307,7 @@
             return;
         }
         CrashRecord record =
-                mFaults.read(row, each -> Json.read(each.value(), CrashRecord.class))
+                mFaults.decode(row, each -> Json.read(each.value(), CrashRecord.class))
                         .orElse(CrashRecord.NONE);
         note(request, row.version(), record);
         CrashReport report = new CrashReport(request, record);
@@ -370,7 +370,7 @@
      * @return the request that it is of, or empty where another writer left it
      */
     private Optional<RequestFingerprint> request(Row row) {
-        return mFaults.read(row, each -> new RequestFingerprint(each.key()));
+        return mFaults.decode(row, each -> new RequestFingerprint(each.key()));
     }
 
     /** Deletes rows that are too old or too many, if this router reads for its hall. */
@@ -417,7 +417,7 @@
      * @param stored the row
      */
     private void drop(RequestFingerprint request, Stored stored) {
-        mStore.drop(row(request, new byte[0], stored.version()))
+        mStore.delete(row(request, new byte[0], stored.version()))
                 .thenAccept(
                         write ->
                                 mNode.control()
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/cluster/TableExchange.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/cluster/TableExchange.java
@@ -79,11 +79,12 @@
      * @param exchange the exchange
      * @param table the table
      */
-    public record ForPages(TableExchange exchange, String table) implements TableFollower.Sharer {
+    public record ForPages(TableExchange exchange, String table)
+            implements TableFollower.ChangePublisher {
 
         /** {@inheritDoc} */
         @Override
-        public void read(long after, long version, long unbrokenMillis, List<Row> rows) {
+        public void publish(long after, long version, long unbrokenMillis, List<Row> rows) {
             exchange.share(new SharedPage(table, after, version, unbrokenMillis, rows));
         }
 
@@ -100,9 +101,9 @@
         public TableFollower follow(
                 Node node,
                 RowStore store,
-                TableFollower.Pace pace,
+                TableFollower.PollTiming pace,
                 TableFollower.Listener listener,
-                TableFollower.Sharer sharer) {
+                TableFollower.ChangePublisher sharer) {
             TableFollower follower =
                     new TableFollower(
                             node.control(), store, table, pace, listener, sharer, node::millis);
@@ -117,17 +118,17 @@
      *
      * @param pages shares the pages
      */
-    public record ForWholeTable(ForPages pages) implements TableFollower.Sharer {
+    public record ForWholeTable(ForPages pages) implements TableFollower.ChangePublisher {
 
         /** {@inheritDoc} */
         @Override
-        public void read(long after, long version, long unbrokenMillis, List<Row> rows) {
-            pages.read(after, version, unbrokenMillis, rows);
+        public void publish(long after, long version, long unbrokenMillis, List<Row> rows) {
+            pages.publish(after, version, unbrokenMillis, rows);
         }
 
         /** {@inheritDoc} */
         @Override
-        public void wanted(long version) {
+        public void requestTable(long version) {
             pages.exchange().ask(pages.table(), version);
         }
     }
@@ -186,7 +187,7 @@
     void heard(SharedPage page) {
         TableFollower follower = mFollowers.get(page.table());
         if (follower != null) {
-            follower.shared(page.after(), page.version(), page.unbrokenMillis(), page.rows());
+            follower.applyShared(page.after(), page.version(), page.unbrokenMillis(), page.rows());
         }
     }
 
@@ -199,7 +200,7 @@
     void heard(Incarnation from, PeerMessage.TableAsked asked) {
         TableFollower follower = mFollowers.get(asked.table());
         if (follower != null) {
-            follower.state(asked.version())
+            follower.stateSince(asked.version())
                     .map(state -> new PeerMessage.TableTold(asked.table(), state))
                     .ifPresent(told -> mLinks.send(from, told));
         }
@@ -213,7 +214,7 @@
     void heard(PeerMessage.TableTold told) {
         TableFollower follower = mFollowers.get(told.table());
         if (follower != null) {
-            follower.told(told.state());
+            follower.applyPeerState(told.state());
         }
     }
 }
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/cluster/TablePaces.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/cluster/TablePaces.java
@@ -1,7 +1,7 @@
 package org.troutpier.daemon.cluster;
 
 import java.util.concurrent.ThreadLocalRandom;
-import org.troutpier.daemon.rows.TableFollower.Pace;
+import org.troutpier.daemon.rows.TableFollower.PollTiming;
 
 /**
  * How tables are followed that one router of each hall reads for the others, by the time in which a
@@ -90,8 +90,8 @@
      * @param inForceMillis in which time a configuration must be in force, milliseconds
      * @return the pace
      */
-    public static Pace configuration(int inForceMillis) {
-        return new Pace(
+    public static PollTiming configuration(int inForceMillis) {
+        return new PollTiming(
                 (int) (inForceMillis * CONFIGURATION_WAIT_PART),
                 0,
                 (long) (inForceMillis * CONFIGURATION_SHARED_PART),
@@ -104,8 +104,8 @@
      * @param knownMillis in which time each router must know of one, milliseconds
      * @return the pace
      */
-    public static Pace quarantine(int knownMillis) {
-        return new Pace(
+    public static PollTiming quarantine(int knownMillis) {
+        return new PollTiming(
                 (int) (knownMillis * QUARANTINE_WAIT_PART),
                 (long) (knownMillis * QUARANTINE_PAUSE_PART),
                 (long) (knownMillis * QUARANTINE_SHARED_PART),
@@ -118,8 +118,8 @@
      * @param drainMillis after which time a leaving upstream must get no work, milliseconds
      * @return the pace
      */
-    public static Pace upstreams(int drainMillis) {
-        return new Pace(
+    public static PollTiming upstreams(int drainMillis) {
+        return new PollTiming(
                 1,
                 (long) (drainMillis * DIRECTORY_PAUSE_PART),
                 (long) (drainMillis * DIRECTORY_SHARED_PART),
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/configuration/ChangeProposer.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/configuration/ChangeProposer.java
@@ -23,7 +23,7 @@
 import org.troutpier.daemon.peer.PeerMessage;
 import org.troutpier.daemon.table.Table;
 import org.troutpier.daemon.table.Table.Outcome;
-import org.troutpier.daemon.table.Table.Write;
+import org.troutpier.daemon.table.Table.WriteResult;
 
 /**
  * Carries a change through: prepare at every member, conditional commit, activate at every member.
@@ -275,12 +275,12 @@
      * @param next hears what is known of the write, on the control thread
      */
     private void write(Change change, Consumer<Outcome> next) {
-        JsonNode value = Table.json(change.mNext);
-        CompletableFuture<Write> write =
+        JsonNode value = Table.toJson(change.mNext);
+        CompletableFuture<WriteResult> write =
                 change.mTag == null
                         ? mTable.insert(ConfigurationRegistry.ROW, value)
                         : mTable.replace(ConfigurationRegistry.ROW, change.mTag, value);
-        write.exceptionally(failure -> new Write(Outcome.UNKNOWN, null))
+        write.exceptionally(failure -> new WriteResult(Outcome.UNKNOWN, null))
                 .thenAccept(done -> mNode.control().execute(() -> next.accept(done.outcome())));
     }
 
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/directory/UpstreamDirectory.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/directory/UpstreamDirectory.java
@@ -22,9 +22,9 @@
 
 /**
  * The upstreams that may get work. Changes are confined to the control thread; {@link #usable},
- * {@link #loaded()}, {@link #ageMillis()} and {@link #missing()} are thread safe. Invariant: an
- * entry that the platform lists as draining or no longer lists gets no work, except that an entry
- * which vanished in a time that nobody read is believed until {@link #GRACE_MILLIS} after the
+ * {@link #isLoaded()}, {@link #ageMillis()} and {@link #missingCount()} are thread safe. Invariant:
+ * an entry that the platform lists as draining or no longer lists gets no work, except that an
+ * entry which vanished in a time that nobody read is believed until {@link #GRACE_MILLIS} after the
  * reading went on: the store may have been away, and entries of live upstreams lapse then. Where
  * another router read all the time, the store was not away and a missing entry is gone at once. An
  * upstream that has announced itself that it leaves gets no work whatever its entry, until it
@@ -135,7 +135,7 @@
      *
      * @return the count
      */
-    public int missing() {
+    public int missingCount() {
         return mVanished.size();
     }
 
@@ -144,7 +144,7 @@
      *
      * @return whether the directory can be used
      */
-    public boolean loaded() {
+    public boolean isLoaded() {
         return mLoaded;
     }
 
@@ -189,7 +189,7 @@
      * @param incarnation the start
      * @return whether what that start held is lost
      */
-    public boolean restarted(UpstreamIncarnation incarnation) {
+    public boolean hasRestarted(UpstreamIncarnation incarnation) {
         UpstreamIncarnation now = mStarts.get(incarnation.id());
         return now != null && now.follows(incarnation);
     }
@@ -199,12 +199,12 @@
      *
      * @param listener takes their starts, on the control thread
      */
-    public void onChanged(Consumer<Set<UpstreamIncarnation>> listener) {
+    public void setListener(Consumer<Set<UpstreamIncarnation>> listener) {
         mListener = listener;
     }
 
     /** Records that the store did not answer this router. */
-    public void storeLost() {
+    public void onStoreUnavailable() {
         if (!mAway) {
             LOGGER.warn(
                     "directory store lost entries={} ageMillis={}", mEntries.size(), ageMillis());
@@ -219,7 +219,7 @@
      * @param since since when they have been known without a break, milliseconds on the monotonic
      *     clock
      */
-    public void known(boolean own, long since) {
+    public void onConfirmed(boolean own, long since) {
         if (own && mAway) {
             mAway = false;
             LOGGER.info(
@@ -241,7 +241,7 @@
      * An upstream that was gone before and is listed there gets no work until its entry changes,
      * which that of one that runs soon does.
      */
-    public void restored() {
+    public void onRestored() {
         mGoneBefore.clear();
         mGoneBefore.putAll(mGone.values(mMillis.getAsLong()));
     }
@@ -279,7 +279,7 @@
                         .collect(Collectors.toMap(UpstreamEntry::id, entry -> entry));
         for (UpstreamId known : List.copyOf(mEntries.keySet())) {
             if (unreadable.contains(known)) {
-                unreadable(known);
+                markUnreadable(known);
             } else if (!next.containsKey(known)) {
                 remove(known);
             }
@@ -295,7 +295,7 @@
      * @param id the entry's id
      * @param entry the entry, or empty where it was deleted
      */
-    public void change(UpstreamId id, Optional<UpstreamEntry> entry) {
+    public void update(UpstreamId id, Optional<UpstreamEntry> entry) {
         mGoneBefore.remove(id);
         boolean news = entry.isPresent() ? put(entry.get()) : remove(id);
         if (news) {
@@ -310,7 +310,7 @@
      * @param start the start that leaves, whether it is listed or not
      * @return whether that was not known
      */
-    public boolean leaving(UpstreamIncarnation start) {
+    public boolean markLeaving(UpstreamIncarnation start) {
         boolean news =
                 mLeaving.get(start.id(), mMillis.getAsLong()).filter(start::equals).isEmpty();
         mLeaving.put(start.id(), start, mMillis.getAsLong());
@@ -344,7 +344,7 @@
      *
      * @param id the upstream
      */
-    public void unreadable(UpstreamId id) {
+    public void markUnreadable(UpstreamId id) {
         if (mEntries.containsKey(id) && mUnreadable.add(id)) {
             LOGGER.warn("upstream withheld id={}, its entry cannot be read", id);
             publish();
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/organisation/OrganisationUse.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/organisation/OrganisationUse.java
@@ -22,7 +22,7 @@
 import org.troutpier.daemon.limit.UseSettings;
 import org.troutpier.daemon.route.Organisation;
 import org.troutpier.daemon.route.RoutingConfiguration;
-import org.troutpier.daemon.route.UseLimit;
+import org.troutpier.daemon.route.UsageLimit;
 
 /**
  * Keeps organisations to their limits over all routers: each counts what it admits and reports it
@@ -214,7 +214,7 @@
      */
     private void configured(Organisation organisation) {
         long now = mMillis.getAsLong();
-        double limit = organisation.limit().within(mSettings.windowSeconds());
+        double limit = organisation.limit().allowance(mSettings.windowSeconds());
         Account account = mAccounts.get(organisation.id());
         if (account == null) {
             account = new Account(limit, mSettings.windowMillis());
@@ -245,7 +245,7 @@
         }
         long now = mMillis.getAsLong();
         account.mMeter.asked(cost, now);
-        if (organisation.limit().bounded()) {
+        if (organisation.limit().isLimited()) {
             SharedRoom room = room(account, now);
             if (!room.fits(cost, mRandom)) {
                 return Optional.of(refuse(account, cost, room, now));
@@ -265,9 +265,9 @@
      */
     private SharedRoom room(Account account, long now) {
         double limit = account.mLimit.at(now);
-        UseLimit inForce = account.mOrganisation.limit();
+        UsageLimit inForce = account.mOrganisation.limit();
         double burst = limit > account.mLimit.inForce() ? inForce.burst() : 0;
-        double paced = inForce.within(mSettings.paceSeconds()) - burst;
+        double paced = inForce.allowance(mSettings.paceSeconds()) - burst;
         return new SharedRoom(
                 account.mMeter.recent(now),
                 elsewhere(account.mOrganisation.id()),
@@ -414,7 +414,7 @@
                 (id, account) -> {
                     RecentUse sum = account.mMeter.recent(now);
                     if ((sum.window() > 0 || sum.asked() > 0)
-                            && account.mOrganisation.limit().bounded()) {
+                            && account.mOrganisation.limit().isLimited()) {
                         used.put(id, sum);
                     }
                 });
@@ -442,8 +442,8 @@
      * @return what operators see
      */
     private Standing standing(Account account, long now) {
-        UseLimit limit = account.mOrganisation.limit();
-        boolean bounded = limit.bounded();
+        UsageLimit limit = account.mOrganisation.limit();
+        boolean bounded = limit.isLimited();
         SharedRoom room = room(account, now);
         return new Standing(
                 account.mOrganisation.id().value(),
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/organisation/Requester.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/organisation/Requester.java
@@ -34,13 +34,13 @@
      */
     static Optional<Requester> of(
             RoutingConfiguration configuration, Route route, Optional<KeyHash> key) {
-        if (!configuration.asksForKeys()) {
+        if (!configuration.requiresKeys()) {
             return Optional.of(new Unchecked());
         }
         if (route.open()) {
             return Optional.of(new Anyone());
         }
-        return key.flatMap(configuration::organisation).map(Member::new);
+        return key.flatMap(configuration::findOrganisation).map(Member::new);
     }
 
     /** A caller of a configuration without organisations. */
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/role/RoleController.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/role/RoleController.java
@@ -217,7 +217,7 @@
     /** Looks whether a change is due. */
     private void tick() {
         Optional<RoutingConfiguration> configuration = mConfiguration.current();
-        if (configuration.isEmpty() || !mDirectory.loaded()) {
+        if (configuration.isEmpty() || !mDirectory.isLoaded()) {
             return;
         }
         mLease.tick(mPeers.roleHolder(), mContends.getAsBoolean());
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/role/RoleLease.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/role/RoleLease.java
@@ -6,12 +6,12 @@
 import org.apache.logging.log4j.Logger;
 import org.troutpier.common.http.Json;
 import org.troutpier.daemon.node.Node;
-import org.troutpier.daemon.rows.RowFaults;
+import org.troutpier.daemon.rows.RowDecoder;
 import org.troutpier.daemon.rows.RowStore;
 import org.troutpier.daemon.rows.RowStore.Outcome;
 import org.troutpier.daemon.rows.RowStore.Row;
 import org.troutpier.daemon.rows.RowStore.RowPage;
-import org.troutpier.daemon.rows.RowStore.RowWrite;
+import org.troutpier.daemon.rows.RowStore.WriteResult;
 import org.troutpier.daemon.rows.StoreVersion;
 
 /**
@@ -50,7 +50,7 @@
     private final RowStore mStore;
 
     /** Tells of rows that cannot be read. */
-    private final RowFaults mFaults;
+    private final RowDecoder mFaults;
 
     /** How long the lease lasts without renewal, milliseconds. */
     private final long mTermMillis;
@@ -103,7 +103,7 @@
      * @param termMillis how long the lease lasts without renewal, milliseconds
      */
     RoleLease(Node node, RowStore store, long termMillis) {
-        mFaults = new RowFaults(node.metrics(), node::millis);
+        mFaults = new RowDecoder(node.metrics(), node::millis);
         mNode = node;
         mStore = store;
         mTermMillis = termMillis;
@@ -217,7 +217,7 @@
      * @param sentAt when it was sent, milliseconds
      * @param renewal whether the lease was held already
      */
-    private void written(RowWrite write, long sentAt, boolean renewal) {
+    private void written(WriteResult write, long sentAt, boolean renewal) {
         mCalling = false;
         if (write.outcome() == Outcome.WRITTEN) {
             mVersion = write.version();
@@ -247,7 +247,7 @@
      *     another holder's
      */
     private Optional<Holder> holder(Row row) {
-        return mFaults.read(row, each -> Json.read(each.value(), Holder.class));
+        return mFaults.decode(row, each -> Json.read(each.value(), Holder.class));
     }
 
     /**
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/route/CurrentConfiguration.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/route/CurrentConfiguration.java
@@ -20,7 +20,7 @@
      * @param source where it came from, for the log
      * @return whether it was taken
      */
-    public boolean offer(RoutingConfiguration offered, String source) {
+    public boolean adoptIfNewer(RoutingConfiguration offered, String source) {
         synchronized (this) {
             if (mCurrent != null && offered.version() <= mCurrent.version()) {
                 return false;
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/route/EngineTraits.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/route/EngineTraits.java
@@ -8,16 +8,16 @@
  * @param slots how many requests run at once
  * @param memoryTokens how many tokens the KV cache holds
  * @param eventTokens how many tokens an event of a stream carries at most
- * @param placeMillis how long a reserved place may be kept; 0 where places cannot be reserved
- * @param handleMillis how long a prefill's result is kept
+ * @param reservationMillis how long a reserved place may be kept; 0 where places cannot be reserved
+ * @param kvHandleMillis how long a prefill's result is kept
  * @param switchMillis how long a change of role takes once the engine is empty
  */
 public record EngineTraits(
         int slots,
         long memoryTokens,
         int eventTokens,
-        int placeMillis,
-        int handleMillis,
+        int reservationMillis,
+        int kvHandleMillis,
         int switchMillis) {
 
     /** Checks the fields. */
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/route/Organisation.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/route/Organisation.java
@@ -15,7 +15,8 @@
  * @param priority the rank of its requests, before their routes' rank; empty for their routes'
  * @param limit what it may use over all routers
  */
-public record Organisation(PartnerId id, Set<KeyHash> keys, OptionalInt priority, UseLimit limit) {
+public record Organisation(
+        PartnerId id, Set<KeyHash> keys, OptionalInt priority, UsageLimit limit) {
 
     /** Checks the fields and copies the keys. */
     public Organisation {
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/route/Route.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/route/Route.java
@@ -47,7 +47,7 @@
          *
          * @return whether it is
          */
-        public boolean streams() {
+        public boolean isStreaming() {
             return this == STREAM || this == RESUMABLE_STREAM;
         }
 
@@ -81,7 +81,7 @@
      * @param random a number from 0 to below 1
      * @return the service's name
      */
-    public String service(double random) {
+    public String selectService(double random) {
         double total = services.stream().mapToDouble(WeightedService::weight).sum();
         double left = random * total;
         for (WeightedService service : services) {
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/route/RoutingConfiguration.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/route/RoutingConfiguration.java
@@ -139,7 +139,7 @@
      * @param path the path, without the query
      * @return the route with the longest prefix, or empty for none
      */
-    public Optional<Route> route(String host, String path) {
+    public Optional<Route> findRoute(String host, String path) {
         int colon = host.indexOf(':');
         String name = (colon < 0 ? host : host.substring(0, colon)).toLowerCase(Locale.ROOT);
         return mRoutes.getOrDefault(name, List.of()).stream()
@@ -153,7 +153,7 @@
      * @param name its name
      * @return the service, or empty for none
      */
-    public Optional<Service> service(String name) {
+    public Optional<Service> findService(String name) {
         return Optional.ofNullable(mServices.get(name));
     }
 
@@ -171,7 +171,7 @@
      *
      * @return whether there is any organisation
      */
-    public boolean asksForKeys() {
+    public boolean requiresKeys() {
         return !mOrganisations.isEmpty();
     }
 
@@ -181,7 +181,7 @@
      * @param key the key
      * @return the organisation, or empty for a key that is not known
      */
-    public Optional<Organisation> organisation(KeyHash key) {
+    public Optional<Organisation> findOrganisation(KeyHash key) {
         return Optional.ofNullable(mKeys.get(key));
     }
 
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/route/UseLimit.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/route/UsageLimit.java
@@ -11,10 +11,10 @@
  * @param perSecond what may be used a second, in the unit; 0 for no limit
  * @param burst what may be used in a window beyond that, in the unit
  */
-public record UseLimit(Unit unit, long uncountedTokens, double perSecond, double burst) {
+public record UsageLimit(Unit unit, long uncountedTokens, double perSecond, double burst) {
 
     /** No limit. */
-    public static final UseLimit NONE = new UseLimit(Unit.REQUESTS, 0, 0, 0);
+    public static final UsageLimit NONE = new UsageLimit(Unit.REQUESTS, 0, 0, 0);
 
     /** What use is counted in. */
     public enum Unit {
@@ -25,7 +25,7 @@
     }
 
     /** Checks the fields. */
-    public UseLimit {
+    public UsageLimit {
         Check.present("unit", unit);
         Check.range("uncountedTokens", uncountedTokens, 0, Integer.MAX_VALUE);
         Check.that("perSecond", perSecond >= 0, "must not be negative but is " + perSecond);
@@ -37,7 +37,7 @@
      *
      * @return whether use is bounded
      */
-    public boolean bounded() {
+    public boolean isLimited() {
         return perSecond > 0;
     }
 
@@ -57,7 +57,7 @@
      * @param seconds the time
      * @return use in the unit
      */
-    public double within(double seconds) {
+    public double allowance(double seconds) {
         return perSecond * seconds + burst;
     }
 }
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/rows/MeasuredRowStore.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/rows/InstrumentedRowStore.java
@@ -10,7 +10,7 @@
  * Counts and times the calls to another store, by table. Thread safe if the other is. A waiting
  * read counts as long as it waits.
  */
-public final class MeasuredRowStore implements RowStore {
+public final class InstrumentedRowStore implements RowStore {
 
     /** The other store. */
     private final RowStore mStore;
@@ -28,7 +28,7 @@
      * @param metrics keeps the figures
      * @param nanos the monotonic clock, nanoseconds
      */
-    public MeasuredRowStore(RowStore store, MetricRegistry metrics, LongSupplier nanos) {
+    public InstrumentedRowStore(RowStore store, MetricRegistry metrics, LongSupplier nanos) {
         mStore = store;
         mMetrics = metrics;
         mNanos = nanos;
@@ -42,20 +42,20 @@
 
     /** {@inheritDoc} */
     @Override
-    public CompletableFuture<RowPage> feed(String table, long after, int waitMillis) {
-        return measured("feed", table, mStore.feed(table, after, waitMillis));
+    public CompletableFuture<RowPage> pollChanges(String table, long after, int waitMillis) {
+        return measured("feed", table, mStore.pollChanges(table, after, waitMillis));
     }
 
     /** {@inheritDoc} */
     @Override
-    public CompletableFuture<RowWrite> write(Row row, long expectedVersion) {
+    public CompletableFuture<WriteResult> write(Row row, long expectedVersion) {
         return counted("write", measured("write", row.table(), mStore.write(row, expectedVersion)));
     }
 
     /** {@inheritDoc} */
     @Override
-    public CompletableFuture<RowWrite> drop(Row row) {
-        return counted("drop", measured("drop", row.table(), mStore.drop(row)));
+    public CompletableFuture<WriteResult> delete(Row row) {
+        return counted("drop", measured("drop", row.table(), mStore.delete(row)));
     }
 
     /**
@@ -65,7 +65,8 @@
      * @param result its result
      * @return the same result
      */
-    private CompletableFuture<RowWrite> counted(String call, CompletableFuture<RowWrite> result) {
+    private CompletableFuture<WriteResult> counted(
+            String call, CompletableFuture<WriteResult> result) {
         return result.thenApply(
                 write -> {
                     String outcome = write.outcome().name().toLowerCase(Locale.ROOT);
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/rows/RowFaults.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/rows/RowDecoder.java
@@ -15,7 +15,7 @@
  * for each key and version, and a counter. Confined to the control thread. Invariant: there are
  * {@link #MOST_LINES} lines at most in {@link #WINDOW_MILLIS}, however many rows there are.
  */
-public final class RowFaults {
+public final class RowDecoder {
 
     /** How many lines are logged in a window: enough to see who writes what. */
     static final int MOST_LINES = 20;
@@ -30,7 +30,7 @@
     private static final int MOST_DETAIL = 200;
 
     /** Logs the rows. */
-    private static final Logger LOGGER = LogManager.getLogger(RowFaults.class);
+    private static final Logger LOGGER = LogManager.getLogger(RowDecoder.class);
 
     /** Counts the rows. */
     private final MetricRegistry mMetrics;
@@ -67,7 +67,7 @@
      * @param metrics counts the rows
      * @param millis the monotonic clock, milliseconds
      */
-    public RowFaults(MetricRegistry metrics, LongSupplier millis) {
+    public RowDecoder(MetricRegistry metrics, LongSupplier millis) {
         mMetrics = metrics;
         mMillis = millis;
         mWindowBegan = mMillis.getAsLong();
@@ -81,7 +81,7 @@
      * @param reader reads it; throws where another writer left it
      * @return what it says, or empty where it cannot be read
      */
-    public <T> Optional<T> read(Row row, Function<Row, T> reader) {
+    public <T> Optional<T> decode(Row row, Function<Row, T> reader) {
         try {
             return Optional.of(reader.apply(row));
         } catch (RuntimeException exception) {
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/rows/RowStore.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/rows/RowStore.java
@@ -29,7 +29,7 @@
      * @return the changed rows in order; fails with {@link RowStoreException.Reason#HISTORY_GONE}
      *     where the table must be read whole again, as it must in each new era
      */
-    CompletableFuture<RowPage> feed(String table, long after, int waitMillis);
+    CompletableFuture<RowPage> pollChanges(String table, long after, int waitMillis);
 
     /**
      * Writes a row on the condition that it still has a version.
@@ -38,7 +38,7 @@
      * @param expectedVersion the version that it must have; 0 for a row that must not be there
      * @return what is known of the write
      */
-    CompletableFuture<RowWrite> write(Row row, long expectedVersion);
+    CompletableFuture<WriteResult> write(Row row, long expectedVersion);
 
     /**
      * Deletes a row on the condition that it still has the version that it has here.
@@ -46,7 +46,7 @@
      * @param row the row
      * @return what is known of the deletion
      */
-    CompletableFuture<RowWrite> drop(Row row);
+    CompletableFuture<WriteResult> delete(Row row);
 
     /**
      * A row. Immutable by agreement: the value is not changed.
@@ -77,7 +77,7 @@
      * @param version the version written, or the row's version on a conflict; else 0
      * @param nowMillis the store's steady clock when it answered; else 0
      */
-    record RowWrite(Outcome outcome, long version, long nowMillis) {}
+    record WriteResult(Outcome outcome, long version, long nowMillis) {}
 
     /** What is known of a write. */
     enum Outcome {
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/rows/StoreVersion.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/rows/StoreVersion.java
@@ -77,7 +77,7 @@
      * @param era the era in which the store used it
      * @return whether it is of that era; that a row is not there means the same in all
      */
-    public static boolean holdsIn(long version, long era) {
+    public static boolean isValidIn(long version, long era) {
         return version == NONE || era(version) == era;
     }
 }
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/rows/TableFollower.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/rows/TableFollower.java
@@ -19,8 +19,8 @@
  * Confined to the control thread. Invariants: a call that is not answered soon is not waited for,
  * the next is made beside it, and the first answer counts; after any failure the follower tries
  * again; what is told never goes back behind what was told before. A router that the store does not
- * answer asks another for the table ({@link Sharer#wanted}), and each tells with the table for how
- * long it has been read without a break.
+ * answer asks another for the table ({@link ChangePublisher#requestTable}), and each tells with the
+ * table for how long it has been read without a break.
  */
 public final class TableFollower {
 
@@ -49,13 +49,13 @@
     private final String mTable;
 
     /** How the table is followed. */
-    private final Pace mPace;
+    private final PollTiming mPace;
 
     /** Receives what is read, on the control thread. */
     private final Listener mListener;
 
     /** Shares what is read. */
-    private final Sharer mSharer;
+    private final ChangePublisher mSharer;
 
     /** The monotonic clock, milliseconds. */
     private final LongSupplier mMillis;
@@ -101,18 +101,19 @@
      *
      * @param waitMillis how long one call waits for a change
      * @param pauseMillis how long to pause between calls
-     * @param sharedMillis how long after a page that another router shared no call is needed, and
-     *     how old knowledge may be that is told to another; 0 where none is shared
+     * @param sharedValidityMillis how long after a page that another router shared no call is
+     *     needed, and how old knowledge may be that is told to another; 0 where none is shared
      * @param retryMillis how long a call is waited for, beyond what it waits for a change, before
      *     the next is made beside it
      */
-    public record Pace(int waitMillis, long pauseMillis, long sharedMillis, long retryMillis) {}
+    public record PollTiming(
+            int waitMillis, long pauseMillis, long sharedValidityMillis, long retryMillis) {}
 
     /** Shares with other routers what this one read itself, and asks them. */
-    public interface Sharer {
+    public interface ChangePublisher {
 
         /** Stands for a version before any other. */
-        long NONE_KNOWN = -1;
+        long NO_VERSION = -1;
 
         /**
          * Receives changes.
@@ -123,16 +124,16 @@
          * @param rows all changed rows, also those that say nothing new to this router: another may
          *     have missed what was between; may be empty
          */
-        void read(long after, long version, long unbrokenMillis, List<Row> rows);
+        void publish(long after, long version, long unbrokenMillis, List<Row> rows);
 
         /**
          * Called when the store does not answer: another router that it answers is asked for the
-         * table, to be taken with {@link TableFollower#told}.
+         * table, to be taken with {@link TableFollower#applyPeerState}.
          *
-         * @param version the newest version that this router knows; {@link #NONE_KNOWN} where it
+         * @param version the newest version that this router knows; {@link #NO_VERSION} where it
          *     needs the whole table
          */
-        default void wanted(long version) {}
+        default void requestTable(long version) {}
     }
 
     /** Receives what is read, on the control thread. */
@@ -146,30 +147,30 @@
          * @param since since when it has been known without a break, by this router or the one that
          *     told it, milliseconds on the monotonic clock
          */
-        default void known(boolean own, long since) {}
+        default void onConfirmed(boolean own, long since) {}
 
         /**
          * Called before the whole table is received where the store has come back from a copy: what
          * was written to it last may be missing, and rows that were deleted may be back.
          */
-        default void restored() {}
+        default void onRestored() {}
 
         /**
          * Receives the whole table.
          *
          * @param rows all rows
          */
-        void whole(List<Row> rows);
+        void onSnapshot(List<Row> rows);
 
         /**
          * Receives changes.
          *
          * @param rows the changed rows in order; may be empty
          */
-        void changed(List<Row> rows);
+        void onChanges(List<Row> rows);
 
         /** Called when the store cannot be read. */
-        void lost();
+        void onStoreUnavailable();
     }
 
     /**
@@ -187,9 +188,9 @@
             Control control,
             RowStore store,
             String table,
-            Pace pace,
+            PollTiming pace,
             Listener listener,
-            Sharer sharer,
+            ChangePublisher sharer,
             LongSupplier millis) {
         mSharer = sharer;
         mMillis = millis;
@@ -212,7 +213,7 @@
      *
      * @return whether it did; true before the first
      */
-    public boolean answered() {
+    public boolean isStoreAvailable() {
         return mFailures == 0;
     }
 
@@ -225,7 +226,7 @@
      * @param unbrokenMillis for how long the other has read the table without a break
      * @param rows the changed rows
      */
-    public void shared(long after, long version, long unbrokenMillis, List<Row> rows) {
+    public void applyShared(long after, long version, long unbrokenMillis, List<Row> rows) {
         if (StoreVersion.era(version) > StoreVersion.era(mVersion) && !mWhole) {
             mWhole = true;
             plan(ThreadLocalRandom.current().nextLong(RESTORED_SPREAD_MILLIS));
@@ -237,7 +238,7 @@
         if (version > mVersion) {
             take(version, rows);
         }
-        mNotBefore = mMillis.getAsLong() + mPace.sharedMillis();
+        mNotBefore = mMillis.getAsLong() + mPace.sharedValidityMillis();
     }
 
     /**
@@ -246,9 +247,9 @@
      * @param version the newest version that the other knows
      * @return the table, or empty where this router does not know it well enough itself
      */
-    public Optional<TableState> state(long version) {
+    public Optional<TableState> stateSince(long version) {
         long age = mMillis.getAsLong() - mKnownAt;
-        if (mWhole || age > mPace.sharedMillis()) {
+        if (mWhole || age > mPace.sharedValidityMillis()) {
             return Optional.empty();
         }
         boolean whole = mChangedVersion > version;
@@ -266,7 +267,7 @@
      *
      * @param state the table
      */
-    public void told(TableState state) {
+    public void applyPeerState(TableState state) {
         if (state.version() < mVersion || mWhole && !state.whole()) {
             return;
         }
@@ -306,7 +307,7 @@
         boolean unanswered = mCall >= mOldestCall;
         if (unanswered) {
             mDoubtful = true;
-            mSharer.wanted(mWhole ? Sharer.NONE_KNOWN : mVersion);
+            mSharer.requestTable(mWhole ? ChangePublisher.NO_VERSION : mVersion);
         }
         call(unanswered ? PROBE_MILLIS : mPace.waitMillis());
     }
@@ -320,7 +321,7 @@
         int call = ++mCall;
         boolean whole = mWhole;
         CompletableFuture<RowPage> page =
-                whole ? mStore.read(mTable, "") : mStore.feed(mTable, mVersion, waitMillis);
+                whole ? mStore.read(mTable, "") : mStore.pollChanges(mTable, mVersion, waitMillis);
         plan(mPace.retryMillis() + (whole ? 0 : waitMillis));
         page.whenComplete(
                 (read, failure) -> mControl.execute(() -> heard(call, read, failure, whole)));
@@ -359,7 +360,7 @@
         } else {
             long after = mVersion;
             take(page.version(), page.rows());
-            mSharer.read(after, mVersion, mKnownAt - mUnbrokenSince, page.rows());
+            mSharer.publish(after, mVersion, mKnownAt - mUnbrokenSince, page.rows());
         }
     }
 
@@ -373,14 +374,14 @@
      */
     private void known(boolean own, long ageMillis, long unbrokenMillis, long version) {
         long at = mMillis.getAsLong() - ageMillis;
-        boolean away = mDoubtful && at - mKnownAt > mPace.sharedMillis();
+        boolean away = mDoubtful && at - mKnownAt > mPace.sharedValidityMillis();
         boolean broken = away || restored(version);
         long since = at - unbrokenMillis;
         boolean first = mVersion == 0;
         mUnbrokenSince = broken || first ? since : Math.min(mUnbrokenSince, since);
         mKnownAt = Math.max(mKnownAt, at);
         mDoubtful = false;
-        mListener.known(own, mUnbrokenSince);
+        mListener.onConfirmed(own, mUnbrokenSince);
     }
 
     /**
@@ -410,7 +411,7 @@
             }
             mChangedVersion = Math.max(mChangedVersion, row.version());
         }
-        mListener.changed(rows);
+        mListener.onChanges(rows);
     }
 
     /**
@@ -428,14 +429,14 @@
                     StoreVersion.number(mVersion),
                     StoreVersion.era(version),
                     StoreVersion.number(version));
-            mListener.restored();
+            mListener.onRestored();
         }
         mWhole = false;
         mVersion = version;
         mChangedVersion = version;
         mRows.clear();
         rows.forEach(row -> mRows.put(row.key(), row));
-        mListener.whole(rows);
+        mListener.onSnapshot(rows);
     }
 
     /**
@@ -458,6 +459,6 @@
             LOGGER.warn("store lost table={} cause={}", mTable, String.valueOf(cause));
             plan(FIRST_RETRY_MILLIS);
         }
-        mListener.lost();
+        mListener.onStoreUnavailable();
     }
 }
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/CrashGuard.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/CrashGuard.java
@@ -254,7 +254,7 @@
          * @param listening whether it listens
          */
         private void answered(UpstreamPort.Listening listening) {
-            boolean restarted = mDirectory.restarted(mUpstream.incarnation());
+            boolean restarted = mDirectory.hasRestarted(mUpstream.incarnation());
             if (restarted || listening == UpstreamPort.Listening.NO) {
                 ended();
             } else {
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/DecodePlace.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/DecodePlace.java
@@ -105,7 +105,7 @@
                                         Math.max(mMostTokens, mNeededTokens),
                                         marginTokens(),
                                         mTraits.memoryTokens(),
-                                        mTraits.placeMillis(),
+                                        mTraits.reservationMillis(),
                                         waitMillis,
                                         standing,
                                         engines),
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/RequestRouter.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/RequestRouter.java
@@ -58,7 +58,8 @@
             refuse(request, caller, ResultCode.ROUTER_NOT_READY, START_MILLIS);
             return;
         }
-        Optional<Route> route = configuration.get().route(request.host(), path(request.target()));
+        Optional<Route> route =
+                configuration.get().findRoute(request.host(), path(request.target()));
         if (route.isEmpty()) {
             refuse(request, caller, ResultCode.NO_ROUTE, 0);
             return;
@@ -72,8 +73,8 @@
             return;
         }
         mContext.use().configured(configuration.get());
-        String name = route.get().service(mContext.random().nextDouble());
-        Optional<Service> service = configuration.get().service(name);
+        String name = route.get().selectService(mContext.random().nextDouble());
+        Optional<Service> service = configuration.get().findService(name);
         RequestExecution execution =
                 execution(request.by(requester.orElseThrow()), route.get(), name, service, caller);
         execution.trace().input("configuration", configuration.get().version());
@@ -92,7 +93,7 @@
         Optional<RoutingConfiguration> configuration = mConfiguration.current();
         Optional<TroutpierException> stranger =
                 configuration
-                        .flatMap(each -> each.route(host, path(target)))
+                        .flatMap(each -> each.findRoute(host, path(target)))
                         .map(route -> Requester.of(configuration.get(), route, key))
                         .flatMap(this::stranger);
         stranger.ifPresent(why -> mContext.metrics().ended(why.code().label()));
@@ -143,7 +144,7 @@
             Optional<Service> service,
             CallerChannel caller) {
         boolean engine = service.flatMap(Service::engine).isPresent();
-        if (engine && route.kind().streams()) {
+        if (engine && route.kind().isStreaming()) {
             return new StreamExecution(
                     mContext, request, route, name, service.get().engine().get(), caller);
         }
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/StreamExecution.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/StreamExecution.java
@@ -311,7 +311,7 @@
      */
     private boolean storedStands() {
         return mContext.loop().millis() < mStoredUntil
-                && !mContext.directory().restarted(mStored.upstream().incarnation());
+                && !mContext.directory().hasRestarted(mStored.upstream().incarnation());
     }
 
     /**
@@ -512,7 +512,7 @@
         public void read(UpstreamPort.StoredPrompt prompt) {
             mReading = null;
             long now = mContext.loop().millis();
-            mStoredUntil = now + mEngine.handleMillis() - ServingSettings.FETCH_MILLIS;
+            mStoredUntil = now + mEngine.kvHandleMillis() - ServingSettings.FETCH_MILLIS;
             run(Optional.of(prompt));
         }
 
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/table/Table.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/table/Table.java
@@ -45,7 +45,7 @@
      * @param value its value
      * @return what is known of the write
      */
-    CompletableFuture<Write> insert(String key, JsonNode value);
+    CompletableFuture<WriteResult> insert(String key, JsonNode value);
 
     /**
      * Writes a row that must be there as it was read.
@@ -55,7 +55,7 @@
      * @param value its value
      * @return what is known of the write
      */
-    CompletableFuture<Write> replace(String key, String tag, JsonNode value);
+    CompletableFuture<WriteResult> replace(String key, String tag, JsonNode value);
 
     /**
      * Deletes a row that must be there as it was read.
@@ -64,7 +64,7 @@
      * @param tag the tag that it was read with
      * @return what is known of the write
      */
-    CompletableFuture<Write> delete(String key, String tag);
+    CompletableFuture<WriteResult> delete(String key, String tag);
 
     /**
      * A row as it was read. Immutable and thread safe.
@@ -93,7 +93,7 @@
      * @param outcome what is known
      * @param tag names the state written, null unless it was
      */
-    record Write(Outcome outcome, String tag) {}
+    record WriteResult(Outcome outcome, String tag) {}
 
     /** The table over HTTP, with {@code ETag} and {@code If-Match}. Thread safe. */
     final class OverHttp implements Table {
@@ -165,19 +165,19 @@
 
         /** {@inheritDoc} */
         @Override
-        public CompletableFuture<Write> insert(String key, JsonNode value) {
+        public CompletableFuture<WriteResult> insert(String key, JsonNode value) {
             return write(row("PUT", key).withJson(value).withHeader("If-None-Match", "*"));
         }
 
         /** {@inheritDoc} */
         @Override
-        public CompletableFuture<Write> replace(String key, String tag, JsonNode value) {
+        public CompletableFuture<WriteResult> replace(String key, String tag, JsonNode value) {
             return write(row("PUT", key).withJson(value).withHeader("If-Match", tag));
         }
 
         /** {@inheritDoc} */
         @Override
-        public CompletableFuture<Write> delete(String key, String tag) {
+        public CompletableFuture<WriteResult> delete(String key, String tag) {
             return write(row("DELETE", key).withHeader("If-Match", tag));
         }
 
@@ -198,7 +198,7 @@
          * @param call the write
          * @return what is known of it
          */
-        private CompletableFuture<Write> write(HttpCall call) {
+        private CompletableFuture<WriteResult> write(HttpCall call) {
             return mCalls.call(call).handle(OverHttp::outcome);
         }
 
@@ -209,16 +209,16 @@
          * @param failure why there is none, or null
          * @return what is known
          */
-        private static Write outcome(HttpReply reply, Throwable failure) {
+        private static WriteResult outcome(HttpReply reply, Throwable failure) {
             if (failure != null) {
                 boolean sent = !(failure instanceof CallFailedException failed) || failed.sent();
-                return new Write(sent ? Outcome.UNKNOWN : Outcome.NOT_SENT, null);
+                return new WriteResult(sent ? Outcome.UNKNOWN : Outcome.NOT_SENT, null);
             }
             if (reply.ok()) {
-                return new Write(Outcome.WRITTEN, reply.headers().get("ETag"));
+                return new WriteResult(Outcome.WRITTEN, reply.headers().get("ETag"));
             }
             boolean conflict = reply.status() == FAILED_CONDITION;
-            return new Write(conflict ? Outcome.CONFLICT : Outcome.UNKNOWN, null);
+            return new WriteResult(conflict ? Outcome.CONFLICT : Outcome.UNKNOWN, null);
         }
 
         /**
@@ -244,7 +244,7 @@
      * once for a while, but for one probe at a time. One failure is not enough: a lost
      * acknowledgement must still be settled by reading back. Thread safe.
      */
-    final class WithBreaker implements Table {
+    final class WithCircuitBreaker implements Table {
 
         /** How long a failure is believed, nanoseconds. */
         private static final long BELIEVED_NANOS = 500_000_000L;
@@ -270,7 +270,7 @@
          * @param table the table itself
          * @param nanos the monotonic clock
          */
-        public WithBreaker(Table table, LongSupplier nanos) {
+        public WithCircuitBreaker(Table table, LongSupplier nanos) {
             mTable = table;
             mNanos = nanos;
         }
@@ -289,19 +289,19 @@
 
         /** {@inheritDoc} */
         @Override
-        public CompletableFuture<Write> insert(String key, JsonNode value) {
+        public CompletableFuture<WriteResult> insert(String key, JsonNode value) {
             return away() ? notSent() : watchedWrite(mTable.insert(key, value));
         }
 
         /** {@inheritDoc} */
         @Override
-        public CompletableFuture<Write> replace(String key, String tag, JsonNode value) {
+        public CompletableFuture<WriteResult> replace(String key, String tag, JsonNode value) {
             return away() ? notSent() : watchedWrite(mTable.replace(key, tag, value));
         }
 
         /** {@inheritDoc} */
         @Override
-        public CompletableFuture<Write> delete(String key, String tag) {
+        public CompletableFuture<WriteResult> delete(String key, String tag) {
             return away() ? notSent() : watchedWrite(mTable.delete(key, tag));
         }
 
@@ -336,7 +336,7 @@
          * @param future the write
          * @return the same write
          */
-        private CompletableFuture<Write> watchedWrite(CompletableFuture<Write> future) {
+        private CompletableFuture<WriteResult> watchedWrite(CompletableFuture<WriteResult> future) {
             return future.whenComplete(
                     (write, failure) ->
                             heard(
@@ -376,8 +376,8 @@
          *
          * @return the outcome
          */
-        private static CompletableFuture<Write> notSent() {
-            return CompletableFuture.completedFuture(new Write(Outcome.NOT_SENT, null));
+        private static CompletableFuture<WriteResult> notSent() {
+            return CompletableFuture.completedFuture(new WriteResult(Outcome.NOT_SENT, null));
         }
     }
 
@@ -387,7 +387,7 @@
      * @param value the value
      * @return its JSON
      */
-    static JsonNode json(Object value) {
+    static JsonNode toJson(Object value) {
         return Json.mapper().valueToTree(value);
     }
 }
--- a/troutpier-daemon/src/test/java/org/troutpier/daemon/cluster/LimitSimulation.java
+++ b/troutpier-daemon/src/test/java/org/troutpier/daemon/cluster/LimitSimulation.java
@@ -23,7 +23,7 @@
 import org.troutpier.daemon.organisation.UseReport;
 import org.troutpier.daemon.route.Organisation;
 import org.troutpier.daemon.route.RoutingConfiguration;
-import org.troutpier.daemon.route.UseLimit;
+import org.troutpier.daemon.route.UsageLimit;
 
 /**
  * Routers that keep the limits of organisations, in virtual time: the real count and decision at
@@ -87,11 +87,11 @@
                     new PartnerId(name),
                     Set.of(),
                     OptionalInt.empty(),
-                    new UseLimit(UseLimit.Unit.TOKENS, 0, perSecond, perSecond));
+                    new UsageLimit(UsageLimit.Unit.TOKENS, 0, perSecond, perSecond));
         }
 
         double bound() {
-            double limit = mOrganisation.limit().within(SETTINGS.windowSeconds());
+            double limit = mOrganisation.limit().allowance(SETTINGS.windowSeconds());
             return limit + SETTINGS.tolerance(limit);
         }
     }
@@ -380,7 +380,7 @@
             given.poll();
         }
         double sum = given.stream().mapToDouble(each -> each[1]).sum();
-        double limit = asking.mOrganisation.limit().within(SETTINGS.windowSeconds());
+        double limit = asking.mOrganisation.limit().allowance(SETTINGS.windowSeconds());
         double since =
                 Math.max(0, Math.min(1, (mNow - group.mSince) / (double) SETTINGS.windowMillis()));
         long members = mAll.stream().filter(each -> each.mGroup == router.mGroup).count();
--- a/troutpier-daemon/src/test/java/org/troutpier/daemon/cluster/MemberRegistryTest.java
+++ b/troutpier-daemon/src/test/java/org/troutpier/daemon/cluster/MemberRegistryTest.java
@@ -49,21 +49,21 @@
         }
 
         @Override
-        public CompletableFuture<RowPage> feed(String table, long after, int waitMillis) {
+        public CompletableFuture<RowPage> pollChanges(String table, long after, int waitMillis) {
             mReads++;
-            return mStore.feed(table, after, waitMillis);
+            return mStore.pollChanges(table, after, waitMillis);
         }
 
         @Override
-        public CompletableFuture<RowWrite> write(Row row, long expectedVersion) {
+        public CompletableFuture<WriteResult> write(Row row, long expectedVersion) {
             mWrites++;
             return mStore.write(row, expectedVersion);
         }
 
         @Override
-        public CompletableFuture<RowWrite> drop(Row row) {
+        public CompletableFuture<WriteResult> delete(Row row) {
             mWrites++;
-            return mStore.drop(row);
+            return mStore.delete(row);
         }
     }
 
--- a/troutpier-daemon/src/test/java/org/troutpier/daemon/cluster/PeerExchangeTest.java
+++ b/troutpier-daemon/src/test/java/org/troutpier/daemon/cluster/PeerExchangeTest.java
@@ -68,18 +68,18 @@
         private long mSince;
 
         @Override
-        public void known(boolean own, long since) {
+        public void onConfirmed(boolean own, long since) {
             mSince = since;
         }
 
         @Override
-        public void whole(List<Row> rows) {
+        public void onSnapshot(List<Row> rows) {
             mListed.clear();
-            changed(rows);
+            onChanges(rows);
         }
 
         @Override
-        public void changed(List<Row> rows) {
+        public void onChanges(List<Row> rows) {
             for (Row row : rows) {
                 if (row.deleted()) {
                     mListed.remove(row.key());
@@ -90,7 +90,7 @@
         }
 
         @Override
-        public void lost() {}
+        public void onStoreUnavailable() {}
     }
 
     /** One router and its links. */
@@ -198,7 +198,7 @@
                             mControl,
                             mStore,
                             TABLE,
-                            new TableFollower.Pace(1, 700, 1050, 400),
+                            new TableFollower.PollTiming(1, 700, 1050, 400),
                             mKeys,
                             new TableExchange.ForWholeTable(pages),
                             mTime::millis);
@@ -310,7 +310,7 @@
         int apart = 0;
         for (Router router : mRouters.values()) {
             mTime.pass(apart++ % 3 * 10L);
-            router.mConfiguration.offer(VERSION_ONE, "store");
+            router.mConfiguration.adoptIfNewer(VERSION_ONE, "store");
         }
         mTime.pass(2000);
         assertEquals(handedOn(), 0);
@@ -323,7 +323,7 @@
         Router last = mRouters.values().stream().skip(7).findFirst().orElseThrow();
         for (Router router : mRouters.values()) {
             if (router != last) {
-                router.mConfiguration.offer(VERSION_ONE, "store");
+                router.mConfiguration.adoptIfNewer(VERSION_ONE, "store");
             }
         }
         mTime.pass(1000);
@@ -507,7 +507,7 @@
         all.forEach(
                 router ->
                         new TableExchange.ForPages(router.mExchange.tables(), TABLE)
-                                .read(1, 2, 0, rows));
+                                .publish(1, 2, 0, rows));
         mTime.pass(100);
         for (int number = 0; number < MANY; number++) {
             int expected = number < HALLS ? 0 : 1;
--- a/troutpier-daemon/src/test/java/org/troutpier/daemon/cluster/QuarantineTableTest.java
+++ b/troutpier-daemon/src/test/java/org/troutpier/daemon/cluster/QuarantineTableTest.java
@@ -181,7 +181,7 @@
         one.crash(1, 2, 3);
         mTime.pass(SETTINGS.knownMillis() / 10);
         assertEquals(rows(), 1);
-        one.mTable.whole(List.of());
+        one.mTable.onSnapshot(List.of());
         assertTrue(one.holds());
     }
 
--- a/troutpier-daemon/src/test/java/org/troutpier/daemon/cluster/TablePacesTest.java
+++ b/troutpier-daemon/src/test/java/org/troutpier/daemon/cluster/TablePacesTest.java
@@ -3,18 +3,18 @@
 import static org.testng.Assert.assertEquals;
 
 import org.testng.annotations.Test;
-import org.troutpier.daemon.rows.TableFollower.Pace;
+import org.troutpier.daemon.rows.TableFollower.PollTiming;
 
 /** How often shared tables are read. */
 public final class TablePacesTest {
 
     @Test
     public void aConfigurationIsReadWithinTheTimeInWhichItMustBeInForce() {
-        assertEquals(TablePaces.configuration(2000), new Pace(700, 0, 1100, 700));
+        assertEquals(TablePaces.configuration(2000), new PollTiming(700, 0, 1100, 700));
     }
 
     @Test
     public void upstreamsAreReadWithinTheTimeInWhichALeavingOneMustGetNoWork() {
-        assertEquals(TablePaces.upstreams(2000), new Pace(1, 700, 1050, 400));
+        assertEquals(TablePaces.upstreams(2000), new PollTiming(1, 700, 1050, 400));
     }
 }
--- a/troutpier-daemon/src/test/java/org/troutpier/daemon/directory/UpstreamDirectoryTest.java
+++ b/troutpier-daemon/src/test/java/org/troutpier/daemon/directory/UpstreamDirectoryTest.java
@@ -46,13 +46,13 @@
     @Test
     public void whatDrainsOrIsGoneGetsNoWork() {
         mDirectory.replaceAll(List.of(entry("a", false), entry("b", false), entry("c", false)));
-        mDirectory.change(new UpstreamId("a"), Optional.of(entry("a", true)));
-        mDirectory.change(new UpstreamId("b"), Optional.empty());
+        mDirectory.update(new UpstreamId("a"), Optional.of(entry("a", true)));
+        mDirectory.update(new UpstreamId("b"), Optional.empty());
         assertEquals(mDirectory.usable("web"), List.of(entry("c", false)));
     }
 
     private boolean leaves(String start) {
-        return mDirectory.leaving(UpstreamIncarnation.of(start));
+        return mDirectory.markLeaving(UpstreamIncarnation.of(start));
     }
 
     @Test
@@ -61,9 +61,9 @@
         assertTrue(leaves("a"));
         assertFalse(leaves("a"), "it is known");
         assertEquals(mDirectory.usable("web"), List.of(entry("b", false)));
-        mDirectory.change(new UpstreamId("a"), Optional.of(entry("a", false)));
+        mDirectory.update(new UpstreamId("a"), Optional.of(entry("a", false)));
         assertEquals(usable(), 1);
-        mDirectory.change(new UpstreamId("a"), Optional.empty());
+        mDirectory.update(new UpstreamId("a"), Optional.empty());
         mDirectory.replaceAll(List.of(entry("a", false), entry("b", false)));
         assertEquals(usable(), 1, "its entry went and came back");
     }
@@ -80,7 +80,7 @@
         mDirectory.replaceAll(List.of(entry("a~1", false)));
         leaves("a~1");
         assertEquals(usable(), 0);
-        mDirectory.change(new UpstreamId("a"), Optional.of(entry("a~2", false)));
+        mDirectory.update(new UpstreamId("a"), Optional.of(entry("a~2", false)));
         assertEquals(usable(), 1);
         assertTrue(leaves("a~2"));
         assertEquals(usable(), 0);
@@ -96,11 +96,11 @@
     @Test
     public void whatDrainedAndWentGetsNoWorkThoughACopyListsItAsReady() {
         mDirectory.replaceAll(List.of(entry("a", false), entry("b", false)));
-        mDirectory.change(new UpstreamId("a"), Optional.of(entry("a", true)));
-        mDirectory.change(new UpstreamId("a"), Optional.empty());
-        mDirectory.restored();
+        mDirectory.update(new UpstreamId("a"), Optional.of(entry("a", true)));
+        mDirectory.update(new UpstreamId("a"), Optional.empty());
+        mDirectory.onRestored();
         mDirectory.replaceAll(List.of(entry("a", false), entry("b", false)));
-        mDirectory.change(new UpstreamId("a"), Optional.of(entry("a", false)));
+        mDirectory.update(new UpstreamId("a"), Optional.of(entry("a", false)));
         assertEquals(mDirectory.usable("web"), List.of(entry("b", false)));
     }
 
@@ -108,24 +108,24 @@
     public void whatWentWithoutAWordGetsNoWorkByACopyUntilItsEntryChanges() {
         mTime.pass(10_000);
         mDirectory.replaceAll(List.of(entry("a", false), entry("b", false)));
-        mDirectory.change(new UpstreamId("a"), Optional.empty());
+        mDirectory.update(new UpstreamId("a"), Optional.empty());
         assertEquals(usable(), 1);
-        mDirectory.restored();
+        mDirectory.onRestored();
         mDirectory.replaceAll(List.of(entry("a", false), entry("b", false)));
         mDirectory.replaceAll(List.of(entry("a", false), entry("b", false)));
         assertEquals(usable(), 1);
-        mDirectory.change(new UpstreamId("a"), Optional.of(entry("a", false)));
+        mDirectory.update(new UpstreamId("a"), Optional.of(entry("a", false)));
         assertEquals(usable(), 2, "it runs");
     }
 
     /** The list is read without a break from now on. */
     private void readFromNowOn() {
-        mDirectory.known(true, mTime.millis());
+        mDirectory.onConfirmed(true, mTime.millis());
     }
 
     /** Nobody reads for a while, then the reading goes on. */
     private void unreadFor(long millis) {
-        mDirectory.storeLost();
+        mDirectory.onStoreUnavailable();
         mTime.pass(millis);
         readFromNowOn();
     }
@@ -139,10 +139,10 @@
         assertEquals(usable(), 2);
         mTime.pass(UpstreamDirectory.GRACE_MILLIS - 1);
         assertEquals(usable(), 2);
-        assertEquals(mDirectory.missing(), 1);
+        assertEquals(mDirectory.missingCount(), 1);
         mTime.pass(1);
         assertEquals(usable(), 1);
-        assertEquals(mDirectory.missing(), 0);
+        assertEquals(mDirectory.missingCount(), 0);
     }
 
     /** Waiting for the next page with news, the grace ended up to 1.2 s late. */
@@ -161,9 +161,9 @@
         readFromNowOn();
         long since = mTime.millis();
         mDirectory.replaceAll(List.of(entry("a", false)));
-        mDirectory.storeLost();
+        mDirectory.onStoreUnavailable();
         mTime.pass(5000);
-        mDirectory.known(false, since);
+        mDirectory.onConfirmed(false, since);
         mDirectory.replaceAll(List.of());
         assertEquals(usable(), 0);
     }
@@ -175,7 +175,7 @@
         unreadFor(5000);
         mDirectory.replaceAll(List.of());
         mTime.pass(300);
-        mDirectory.known(false, mTime.millis() - 1800);
+        mDirectory.onConfirmed(false, mTime.millis() - 1800);
         mTime.pass(199);
         assertEquals(usable(), 1);
         mTime.pass(1);
@@ -200,8 +200,8 @@
         readFromNowOn();
         mDirectory.replaceAll(List.of(entry("a", false)));
         unreadFor(5000);
-        mDirectory.change(new UpstreamId("a"), Optional.empty());
-        mDirectory.change(new UpstreamId("a"), Optional.of(entry("a", false)));
+        mDirectory.update(new UpstreamId("a"), Optional.empty());
+        mDirectory.update(new UpstreamId("a"), Optional.of(entry("a", false)));
         mTime.pass(10_000);
         assertEquals(usable(), 1);
     }
@@ -209,8 +209,8 @@
     @Test
     public void anEntryThatWasGoneIsBackWithTheNextRowThatListsIt() {
         mDirectory.replaceAll(List.of(entry("a", false)));
-        mDirectory.change(new UpstreamId("a"), Optional.empty());
-        mDirectory.change(new UpstreamId("a"), Optional.of(entry("a", false)));
+        mDirectory.update(new UpstreamId("a"), Optional.empty());
+        mDirectory.update(new UpstreamId("a"), Optional.of(entry("a", false)));
         assertEquals(usable(), 1);
     }
 
@@ -219,21 +219,21 @@
         readFromNowOn();
         mDirectory.replaceAll(List.of(entry("a", true)));
         unreadFor(5000);
-        mDirectory.change(new UpstreamId("a"), Optional.empty());
+        mDirectory.update(new UpstreamId("a"), Optional.empty());
         assertEquals(usable(), 0);
     }
 
     @Test
     public void withoutAnOutageAMissingEntryIsGoneAtOnce() {
         mDirectory.replaceAll(List.of(entry("a", false)));
-        assertTrue(mDirectory.loaded());
-        mDirectory.change(new UpstreamId("a"), Optional.empty());
+        assertTrue(mDirectory.isLoaded());
+        mDirectory.update(new UpstreamId("a"), Optional.empty());
         assertEquals(usable(), 0);
     }
 
     private void tell(String incarnation, boolean draining) {
         UpstreamEntry told = entry(incarnation, draining);
-        mDirectory.change(told.id(), Optional.of(told));
+        mDirectory.update(told.id(), Optional.of(told));
     }
 
     private static UpstreamIncarnation start(String text) {
@@ -245,8 +245,8 @@
         tell("a~1", false);
         tell("a~2", false);
         assertEquals(mDirectory.usable("web"), List.of(entry("a~2", false)));
-        assertTrue(mDirectory.restarted(start("a~1")));
-        assertFalse(mDirectory.restarted(start("a~2")));
+        assertTrue(mDirectory.hasRestarted(start("a~1")));
+        assertFalse(mDirectory.hasRestarted(start("a~2")));
     }
 
     @Test
@@ -261,7 +261,7 @@
         tell("a~2", false);
         tell("a", false);
         assertEquals(mDirectory.usable("web"), List.of(entry("a~2", false)));
-        assertFalse(mDirectory.restarted(start("a~2")));
+        assertFalse(mDirectory.hasRestarted(start("a~2")));
     }
 
     @Test
@@ -277,7 +277,7 @@
     @Test
     public void theStartsThatAreListedAreTold() {
         Set<UpstreamIncarnation> told = new HashSet<>();
-        mDirectory.onChanged(
+        mDirectory.setListener(
                 listed -> {
                     told.clear();
                     told.addAll(listed);
--- a/troutpier-daemon/src/test/java/org/troutpier/daemon/organisation/OrganisationUseTest.java
+++ b/troutpier-daemon/src/test/java/org/troutpier/daemon/organisation/OrganisationUseTest.java
@@ -19,7 +19,7 @@
 import org.troutpier.daemon.limit.UseSettings;
 import org.troutpier.daemon.route.Organisation;
 import org.troutpier.daemon.route.RoutingConfiguration;
-import org.troutpier.daemon.route.UseLimit;
+import org.troutpier.daemon.route.UsageLimit;
 
 /** What one router admits, by what it counts and receives. */
 public final class OrganisationUseTest {
@@ -68,7 +68,7 @@
     }
 
     private void limit(long version, double perSecond, double burst) {
-        UseLimit limit = new UseLimit(UseLimit.Unit.TOKENS, 0, perSecond, burst);
+        UsageLimit limit = new UsageLimit(UsageLimit.Unit.TOKENS, 0, perSecond, burst);
         mCoast = new Organisation(COAST, Set.of(KeyHash.of("key")), OptionalInt.empty(), limit);
         mUse.configured(configuration(version, List.of(mCoast)));
     }
--- a/troutpier-daemon/src/test/java/org/troutpier/daemon/role/RoleControllerTest.java
+++ b/troutpier-daemon/src/test/java/org/troutpier/daemon/role/RoleControllerTest.java
@@ -81,7 +81,7 @@
         Node node = TestNode.of("router", mTime.control(), mTime::nanos);
         CurrentConfiguration configuration = new CurrentConfiguration();
         EngineTraits traits = new EngineTraits(10, 90_000, 4, 2000, 500, SWITCH);
-        configuration.offer(
+        configuration.adoptIfNewer(
                 new RoutingConfiguration(
                         1,
                         List.of(),
@@ -164,8 +164,8 @@
     public void anEngineThatStartedAgainIsOrderedAnew() {
         orderOne();
         UpstreamEntry again = engine("e1~2", UpstreamEntry.Role.PREFILL);
-        mDirectory.change(again.id(), Optional.of(engine("e1~1", UpstreamEntry.Role.PREFILL)));
-        mDirectory.change(again.id(), Optional.of(again));
+        mDirectory.update(again.id(), Optional.of(engine("e1~1", UpstreamEntry.Role.PREFILL)));
+        mDirectory.update(again.id(), Optional.of(again));
         mTime.pass(1000);
         assertTrue(mController.changing().isEmpty());
         mTime.pass(4 * TERM);
@@ -177,7 +177,7 @@
     public void whatAnotherStartReportsIsNotOrderedBy() {
         mOrders.mSpeaks = UpstreamIncarnation.of("e1~1");
         UpstreamEntry again = engine("e1~2", UpstreamEntry.Role.PREFILL);
-        mDirectory.change(again.id(), Optional.of(again));
+        mDirectory.update(again.id(), Optional.of(again));
         mTime.pass(4 * TERM);
         assertTrue(mOrders.mOrdered.isEmpty());
         mOrders.mSpeaks = null;
--- a/troutpier-daemon/src/test/java/org/troutpier/daemon/route/RoutingConfigurationTest.java
+++ b/troutpier-daemon/src/test/java/org/troutpier/daemon/route/RoutingConfigurationTest.java
@@ -54,19 +54,19 @@
                         route("long", "h.example", "/a/b/"),
                         route("short", "h.example", "/a/"),
                         route("other", "o.example", "/a/b/c/"));
-        assertEquals(configuration.route("h.example", "/a/b/c/d").get().name(), "long");
-        assertEquals(configuration.route("H.Example:80", "/a/x").get().name(), "short");
-        assertEquals(configuration.route("h.example", "/a").get().name(), "all");
-        assertTrue(configuration.route("none.example", "/a/").isEmpty());
+        assertEquals(configuration.findRoute("h.example", "/a/b/c/d").get().name(), "long");
+        assertEquals(configuration.findRoute("H.Example:80", "/a/x").get().name(), "short");
+        assertEquals(configuration.findRoute("h.example", "/a").get().name(), "all");
+        assertTrue(configuration.findRoute("none.example", "/a/").isEmpty());
     }
 
     @Test
     public void aSplitFollowsItsWeights() {
         Route route = route("r", "h", "/");
-        assertEquals(route.service(0), "a");
-        assertEquals(route.service(0.89), "a");
-        assertEquals(route.service(0.91), "b");
-        assertEquals(route.service(0.9999), "b");
+        assertEquals(route.selectService(0), "a");
+        assertEquals(route.selectService(0.89), "a");
+        assertEquals(route.selectService(0.91), "b");
+        assertEquals(route.selectService(0.9999), "b");
     }
 
     @Test
@@ -76,7 +76,7 @@
 
     private static Organisation organisation(String name, String... keys) {
         Set<KeyHash> hashes = Stream.of(keys).map(KeyHash::of).collect(Collectors.toSet());
-        return new Organisation(new PartnerId(name), hashes, OptionalInt.empty(), UseLimit.NONE);
+        return new Organisation(new PartnerId(name), hashes, OptionalInt.empty(), UsageLimit.NONE);
     }
 
     private static RoutingConfiguration of(Organisation... organisations) {
@@ -88,11 +88,11 @@
     public void aKeyNamesItsOrganisationAndNoOther() {
         RoutingConfiguration configuration =
                 of(organisation("one", "a", "b"), organisation("two", "c"), organisation("none"));
-        assertEquals(configuration.organisation(KeyHash.of("b")).get().id().value(), "one");
-        assertEquals(configuration.organisation(KeyHash.of("c")).get().id().value(), "two");
-        assertTrue(configuration.organisation(KeyHash.of("d")).isEmpty());
-        assertTrue(configuration.asksForKeys());
-        assertFalse(of().asksForKeys());
+        assertEquals(configuration.findOrganisation(KeyHash.of("b")).get().id().value(), "one");
+        assertEquals(configuration.findOrganisation(KeyHash.of("c")).get().id().value(), "two");
+        assertTrue(configuration.findOrganisation(KeyHash.of("d")).isEmpty());
+        assertTrue(configuration.requiresKeys());
+        assertFalse(of().requiresKeys());
     }
 
     @Test
@@ -112,20 +112,20 @@
 
     @Test
     public void aLimitBelowZeroIsRefused() {
-        UseLimit.Unit unit = UseLimit.Unit.TOKENS;
-        assertThrows(FieldException.class, () -> new UseLimit(unit, 0, -1, 0));
-        assertThrows(FieldException.class, () -> new UseLimit(unit, 0, 1, -1));
-        assertThrows(FieldException.class, () -> new UseLimit(unit, -1, 1, 1));
+        UsageLimit.Unit unit = UsageLimit.Unit.TOKENS;
+        assertThrows(FieldException.class, () -> new UsageLimit(unit, 0, -1, 0));
+        assertThrows(FieldException.class, () -> new UsageLimit(unit, 0, 1, -1));
+        assertThrows(FieldException.class, () -> new UsageLimit(unit, -1, 1, 1));
     }
 
     @Test
     public void versionsOnlyRise() {
         CurrentConfiguration current = new CurrentConfiguration();
         assertEquals(current.version(), -1);
-        assertTrue(current.offer(version(5), "test"));
-        assertFalse(current.offer(version(5), "test"));
-        assertFalse(current.offer(version(4), "test"));
-        assertTrue(current.offer(version(9), "test"));
+        assertTrue(current.adoptIfNewer(version(5), "test"));
+        assertFalse(current.adoptIfNewer(version(5), "test"));
+        assertFalse(current.adoptIfNewer(version(4), "test"));
+        assertTrue(current.adoptIfNewer(version(9), "test"));
         assertEquals(current.version(), 9);
     }
 }
--- a/troutpier-daemon/src/test/java/org/troutpier/daemon/rows/FakeRowStore.java
+++ b/troutpier-daemon/src/test/java/org/troutpier/daemon/rows/FakeRowStore.java
@@ -52,7 +52,7 @@
     }
 
     @Override
-    public CompletableFuture<RowPage> feed(String table, long after, int waitMillis) {
+    public CompletableFuture<RowPage> pollChanges(String table, long after, int waitMillis) {
         CompletableFuture<RowPage> future = new CompletableFuture<>();
         if (mSilent) {
             mUnanswered.add(future);
@@ -63,7 +63,7 @@
                     new RowStoreException(RowStoreException.Reason.REFUSED, "away"));
             return future;
         }
-        if (!StoreVersion.holdsIn(after, era())) {
+        if (!StoreVersion.isValidIn(after, era())) {
             future.completeExceptionally(
                     new RowStoreException(RowStoreException.Reason.HISTORY_GONE, "another era"));
             return future;
@@ -79,26 +79,26 @@
     }
 
     @Override
-    public CompletableFuture<RowWrite> write(Row row, long expectedVersion) {
+    public CompletableFuture<WriteResult> write(Row row, long expectedVersion) {
         Key key = new Key(row.table(), row.part(), row.key());
         return transact(
                 key, expectedVersion, List.of(new Write(key, new String(row.value()))), List.of());
     }
 
     @Override
-    public CompletableFuture<RowWrite> drop(Row row) {
+    public CompletableFuture<WriteResult> delete(Row row) {
         Key key = new Key(row.table(), row.part(), row.key());
         return transact(key, row.version(), List.of(), List.of(key));
     }
 
-    private CompletableFuture<RowWrite> transact(
+    private CompletableFuture<WriteResult> transact(
             Key key, long expectedVersion, List<Write> writes, List<Key> drops) {
-        CompletableFuture<RowWrite> future = new CompletableFuture<>();
-        if (mAway || !StoreVersion.holdsIn(expectedVersion, era())) {
-            future.complete(new RowWrite(Outcome.NOT_DONE, 0, 0));
+        CompletableFuture<WriteResult> future = new CompletableFuture<>();
+        if (mAway || !StoreVersion.isValidIn(expectedVersion, era())) {
+            future.complete(new WriteResult(Outcome.NOT_DONE, 0, 0));
             return future;
         }
-        List<RowWrite> result = new ArrayList<>();
+        List<WriteResult> result = new ArrayList<>();
         mCarrier.accept(
                 () -> {
                     boolean held =
@@ -109,7 +109,7 @@
                                     writes,
                                     drops);
                     result.add(
-                            new RowWrite(
+                            new WriteResult(
                                     held ? Outcome.WRITTEN : Outcome.CONFLICT,
                                     StoreVersion.ofRow(era(), mRows.version(key)),
                                     0));
@@ -117,7 +117,7 @@
                 () ->
                         future.complete(
                                 result.isEmpty()
-                                        ? new RowWrite(Outcome.UNKNOWN, 0, 0)
+                                        ? new WriteResult(Outcome.UNKNOWN, 0, 0)
                                         : result.get(0)));
         return future;
     }
--- a/troutpier-daemon/src/test/java/org/troutpier/daemon/rows/StoreVersionTest.java
+++ b/troutpier-daemon/src/test/java/org/troutpier/daemon/rows/StoreVersionTest.java
@@ -31,9 +31,9 @@
     public void aRowThatIsNotThereIsSoInAllEras() {
         assertEquals(StoreVersion.ofRow(7, 0), StoreVersion.NONE);
         assertEquals(StoreVersion.ofRow(7, 1), StoreVersion.of(7, 1));
-        assertTrue(StoreVersion.holdsIn(StoreVersion.NONE, 7));
-        assertTrue(StoreVersion.holdsIn(StoreVersion.of(7, 1), 7));
-        assertFalse(StoreVersion.holdsIn(StoreVersion.of(6, 1), 7));
+        assertTrue(StoreVersion.isValidIn(StoreVersion.NONE, 7));
+        assertTrue(StoreVersion.isValidIn(StoreVersion.of(7, 1), 7));
+        assertFalse(StoreVersion.isValidIn(StoreVersion.of(6, 1), 7));
     }
 
     @Test
--- a/troutpier-daemon/src/test/java/org/troutpier/daemon/rows/TableFollowerTest.java
+++ b/troutpier-daemon/src/test/java/org/troutpier/daemon/rows/TableFollowerTest.java
@@ -46,7 +46,7 @@
                         mTime.control(),
                         mStore,
                         TABLE,
-                        new TableFollower.Pace(1, PAUSE, SHARED, RETRY),
+                        new TableFollower.PollTiming(1, PAUSE, SHARED, RETRY),
                         new Listener(),
                         (after, version, unbrokenMillis, rows) -> {
                             mShared.add(version);
@@ -62,28 +62,28 @@
     private final class Listener implements TableFollower.Listener {
 
         @Override
-        public void known(boolean own, long since) {
+        public void onConfirmed(boolean own, long since) {
             mSince = since;
         }
 
         @Override
-        public void restored() {
+        public void onRestored() {
             mTold.add("restored");
         }
 
         @Override
-        public void whole(List<Row> rows) {
+        public void onSnapshot(List<Row> rows) {
             rows.forEach(row -> mTold.add(row.key()));
         }
 
         @Override
-        public void changed(List<Row> rows) {
+        public void onChanges(List<Row> rows) {
             mPages++;
             rows.forEach(row -> mTold.add(row.key()));
         }
 
         @Override
-        public void lost() {
+        public void onStoreUnavailable() {
             mTold.add("lost");
         }
     }
@@ -99,7 +99,7 @@
     private void share(String key) {
         long before = mRows.version();
         put(key);
-        mFollower.shared(before, mRows.version(), 0, List.of(row(key, mRows.version())));
+        mFollower.applyShared(before, mRows.version(), 0, List.of(row(key, mRows.version())));
     }
 
     @Test
@@ -144,7 +144,7 @@
         mTime.pass(PAUSE);
         assertEquals(mPages, 1);
         mTime.pass(PAUSE - 50);
-        mFollower.shared(before - 1, before, 0, List.of(row("a", before)));
+        mFollower.applyShared(before - 1, before, 0, List.of(row("a", before)));
         mTime.pass(60);
         assertEquals(mPages, 2);
         assertEquals(mTold, List.of("a", "b"));
@@ -154,7 +154,7 @@
     public void aSharedPageWithoutChangesMakesTheNextReadNeedlessToo() {
         long version = mRows.version();
         mTime.pass(PAUSE - 50);
-        mFollower.shared(version, version, 0, List.of());
+        mFollower.applyShared(version, version, 0, List.of());
         mTime.pass(200);
         assertEquals(mPages, 0);
     }
@@ -220,7 +220,7 @@
         mTime.pass(PAUSE);
         mRows.restore(copy);
         long version = StoreVersion.of(1, mRows.version());
-        mFollower.shared(version, version, 0, List.of());
+        mFollower.applyShared(version, version, 0, List.of());
         mTime.pass(310);
         assertEquals(mTold, List.of("a", "b", "restored", "a"));
     }
@@ -232,7 +232,7 @@
         mTime.pass(PAUSE);
         mRows.restore(copy);
         mTime.pass(2 * PAUSE);
-        mFollower.told(state(mRows.version() + 100, 0, 5000, "z"));
+        mFollower.applyPeerState(state(mRows.version() + 100, 0, 5000, "z"));
         assertEquals(mTold, List.of("a", "b", "restored", "a"));
     }
 
@@ -240,7 +240,7 @@
     public void anOlderAnswerIsNotAskedForAgainAtOnce() {
         put("b");
         mTime.pass(PAUSE);
-        mFollower.told(state(mRows.version() + 100, 0, 5000, "b"));
+        mFollower.applyPeerState(state(mRows.version() + 100, 0, 5000, "b"));
         int before = mPages;
         mTime.pass(10 * PAUSE);
         assertTrue(mPages - before <= 10, "reads " + (mPages - before));
@@ -255,7 +255,7 @@
     public void whatOneThatReadAllTheWhileTellsIsKnownForAsLong() {
         mStore.mSilent = true;
         mTime.pass(3000);
-        mFollower.told(state(mRows.version() + 1, 40, 5000, "b"));
+        mFollower.applyPeerState(state(mRows.version() + 1, 40, 5000, "b"));
         assertEquals(mTold, List.of("a", "b"));
         assertEquals(mSince, mTime.millis() - 5040);
     }
@@ -264,7 +264,7 @@
     public void whatOneThatHasJustBegunToReadTellsIsKnownForNoLonger() {
         mStore.mSilent = true;
         mTime.pass(3000);
-        mFollower.told(state(mRows.version() + 1, 40, 10, "b"));
+        mFollower.applyPeerState(state(mRows.version() + 1, 40, 10, "b"));
         assertEquals(mSince, mTime.millis() - 50);
     }
 
@@ -273,7 +273,7 @@
         put("b");
         mTime.pass(PAUSE);
         long since = mSince;
-        mFollower.told(state(mRows.version() - 1, 0, 5000, "c"));
+        mFollower.applyPeerState(state(mRows.version() - 1, 0, 5000, "c"));
         assertEquals(mTold, List.of("a", "b"));
         assertEquals(mSince, since);
     }
@@ -282,19 +282,19 @@
     public void aTableThatHasNotChangedIsToldWithoutItsRows() {
         long version = mRows.version();
         mTime.pass(PAUSE / 2);
-        TableState state = mFollower.state(version).orElseThrow();
+        TableState state = mFollower.stateSince(version).orElseThrow();
         assertFalse(state.whole());
-        assertTrue(mFollower.state(version - 1).orElseThrow().whole());
+        assertTrue(mFollower.stateSince(version - 1).orElseThrow().whole());
         mStore.mSilent = true;
         mTime.pass(SHARED);
-        assertTrue(mFollower.state(version).isEmpty(), "too old to be told");
+        assertTrue(mFollower.stateSince(version).isEmpty(), "too old to be told");
     }
 
     @Test
     public void aReadThatIsOlderThanWhatWasToldIsNotTaken() {
         mStore.mSilent = true;
         mTime.pass(3000);
-        mFollower.told(state(mRows.version() + 5, 0, 5000, "b"));
+        mFollower.applyPeerState(state(mRows.version() + 5, 0, 5000, "b"));
         mStore.mSilent = false;
         mTime.pass(2000);
         assertEquals(mTold, List.of("a", "b"));
--- a/troutpier-daemon/src/test/java/org/troutpier/daemon/serving/CrashGuardTest.java
+++ b/troutpier-daemon/src/test/java/org/troutpier/daemon/serving/CrashGuardTest.java
@@ -133,7 +133,7 @@
 
     @Test
     public void aPlannedEndIsNobodysGuilt() {
-        mDirectory.change(mUpstream.id(), Optional.empty());
+        mDirectory.update(mUpstream.id(), Optional.empty());
         lost(ONE);
         assertEquals(mJudged, List.of(false));
         assertEquals(mAsked.size(), 0);
--- a/troutpier-daemon/src/test/java/org/troutpier/daemon/serving/ExecutionTest.java
+++ b/troutpier-daemon/src/test/java/org/troutpier/daemon/serving/ExecutionTest.java
@@ -63,7 +63,7 @@
         mCaller = new FakeCaller();
         mDirectory = new UpstreamDirectory(mTime.control(), mTime::millis);
         RestartAwarePort port = new RestartAwarePort(mPort);
-        mDirectory.onChanged(port::retain);
+        mDirectory.setListener(port::retain);
         PeerLoads peers = new PeerLoads();
         mRequester = new Requester.Unchecked();
         mHeld = null;
@@ -447,7 +447,7 @@
 
     private void restart(UpstreamEntry upstream) {
         UpstreamEntry later = Entries.startedAt(upstream, upstream.incarnation().startMillis() + 1);
-        mDirectory.change(later.id(), Optional.of(later));
+        mDirectory.update(later.id(), Optional.of(later));
     }
 
     private static UpstreamEntry started(UpstreamEntry upstream) {
@@ -458,7 +458,7 @@
     public void aOnceOnlyRequestOfAnEarlierStartEndsTruthfullyAtOnce() {
         UpstreamEntry upstream = started(Entries.plain("a", "hall-a"));
         mDirectory.replaceAll(List.of(upstream, Entries.plain("b", "hall-a")));
-        mDirectory.change(new UpstreamId("b"), Optional.empty());
+        mDirectory.update(new UpstreamId("b"), Optional.empty());
         plain();
         restart(upstream);
         assertEquals(mCaller.mRefusal, ResultCode.OUTCOME_UNKNOWN);
@@ -475,7 +475,7 @@
         mDirectory.replaceAll(List.of(upstream));
         new PlainExecution(mContext, request(), route(Route.Kind.REPEATABLE, 2), "service", mCaller)
                 .begin();
-        mDirectory.change(new UpstreamId("b"), Optional.of(Entries.plain("b", "hall-a")));
+        mDirectory.update(new UpstreamId("b"), Optional.of(Entries.plain("b", "hall-a")));
         restart(upstream);
         assertEquals(mPort.mRuns.size(), 2);
         assertNull(mCaller.mRefusal);
@@ -492,7 +492,7 @@
         UpstreamPort.RunListener run = mPort.mRuns.get(0).mListener;
         run.onHead(head(UpstreamPort.Verdict.SUCCESS));
         run.onPart("id: 1\ndata: a\n\n".getBytes(StandardCharsets.UTF_8));
-        mDirectory.change(new UpstreamId("b"), Optional.of(Entries.decode("b")));
+        mDirectory.update(new UpstreamId("b"), Optional.of(Entries.decode("b")));
         restart(engine);
         mPort.mPrefills.get(1).onResult(new UpstreamPort.StoredPrompt(prefill, "other"));
         assertEquals(mPort.mRuns.size(), 2);
@@ -520,9 +520,9 @@
         plain();
         UpstreamEntry before =
                 Entries.startedAt(upstream, upstream.incarnation().startMillis() - 1);
-        mDirectory.change(before.id(), Optional.of(before));
+        mDirectory.update(before.id(), Optional.of(before));
         UpstreamEntry untold = Entries.plain("a", "hall-a");
-        mDirectory.change(untold.id(), Optional.of(untold));
+        mDirectory.update(untold.id(), Optional.of(untold));
         assertNull(mCaller.mRefusal);
         assertEquals(mDirectory.usable("service"), List.of(upstream));
     }
