--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/CrashGuard.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/CrashGuard.java
@@ -254,7 +254,7 @@
          * @param listening whether it listens
          */
         private void answered(UpstreamPort.ProbeResult listening) {
-            boolean restarted = mDirectory.restarted(mUpstream.incarnation());
+            boolean restarted = mDirectory.hasRestarted(mUpstream.incarnation());
             if (restarted || listening == UpstreamPort.ProbeResult.NOT_LISTENING) {
                 ended();
             } else {
--- a/troutpier-daemon/src/test/java/org/troutpier/daemon/cluster/QuarantineTableTest.java
+++ b/troutpier-daemon/src/test/java/org/troutpier/daemon/cluster/QuarantineTableTest.java
@@ -18,8 +18,8 @@
 import org.troutpier.daemon.quarantine.QuarantineSettings;
 import org.troutpier.daemon.quarantine.RequestFingerprint;
 import org.troutpier.daemon.rows.FakeRowStore;
-import org.troutpier.standins.platform.VersionedRows;
 import org.troutpier.standins.platform.VersionedRows.Key;
+import org.troutpier.standins.platform.VersionedRows;
 
 /** Routers that hear of each other through the store only know which requests are not run. */
 public final class QuarantineTableTest {
@@ -181,7 +181,7 @@
         one.crash(1, 2, 3);
         mTime.pass(SETTINGS.knownMillis() / 10);
         assertEquals(rows(), 1);
-        one.mTable.whole(List.of());
+        one.mTable.onSnapshot(List.of());
         assertTrue(one.holds());
     }
 
--- a/troutpier-daemon/src/test/java/org/troutpier/daemon/serving/ExecutionTest.java
+++ b/troutpier-daemon/src/test/java/org/troutpier/daemon/serving/ExecutionTest.java
@@ -63,7 +63,7 @@
         mCaller = new FakeCaller();
         mDirectory = new UpstreamDirectory(mTime.control(), mTime::millis);
         RestartAwarePort port = new RestartAwarePort(mPort);
-        mDirectory.onChanged(port::retain);
+        mDirectory.setListener(port::retain);
         PeerLoads peers = new PeerLoads();
         mRequester = new Requester.Unchecked();
         mHeld = null;
@@ -461,7 +461,7 @@
     private void restart(UpstreamEntry upstream) {
         UpstreamEntry later =
                 TestUpstreams.startedAt(upstream, upstream.incarnation().startMillis() + 1);
-        mDirectory.change(later.id(), Optional.of(later));
+        mDirectory.update(later.id(), Optional.of(later));
     }
 
     private static UpstreamEntry started(UpstreamEntry upstream) {
@@ -472,7 +472,7 @@
     public void aOnceOnlyRequestOfAnEarlierStartEndsTruthfullyAtOnce() {
         UpstreamEntry upstream = started(TestUpstreams.plain("a", "hall-a"));
         mDirectory.replaceAll(List.of(upstream, TestUpstreams.plain("b", "hall-a")));
-        mDirectory.change(new UpstreamId("b"), Optional.empty());
+        mDirectory.update(new UpstreamId("b"), Optional.empty());
         plain();
         restart(upstream);
         assertEquals(mCaller.mRefusal, ResultCode.OUTCOME_UNKNOWN);
@@ -489,7 +489,7 @@
         mDirectory.replaceAll(List.of(upstream));
         new PlainExecution(mContext, request(), route(Route.Kind.REPEATABLE, 2), "service", mCaller)
                 .begin();
-        mDirectory.change(new UpstreamId("b"), Optional.of(TestUpstreams.plain("b", "hall-a")));
+        mDirectory.update(new UpstreamId("b"), Optional.of(TestUpstreams.plain("b", "hall-a")));
         restart(upstream);
         assertEquals(mPort.mRuns.size(), 2);
         assertNull(mCaller.mRefusal);
@@ -506,7 +506,7 @@
         UpstreamPort.RunListener run = mPort.mRuns.get(0).mListener;
         run.onHead(head(UpstreamPort.Verdict.SUCCESS));
         run.onPart("id: 1\ndata: a\n\n".getBytes(StandardCharsets.UTF_8));
-        mDirectory.change(new UpstreamId("b"), Optional.of(TestUpstreams.decode("b")));
+        mDirectory.update(new UpstreamId("b"), Optional.of(TestUpstreams.decode("b")));
         restart(engine);
         mPort.mPrefills.get(1).onResult(new UpstreamPort.StoredPrompt(prefill, "other"));
         assertEquals(mPort.mRuns.size(), 2);
@@ -535,9 +535,9 @@
         plain();
         UpstreamEntry before =
                 TestUpstreams.startedAt(upstream, upstream.incarnation().startMillis() - 1);
-        mDirectory.change(before.id(), Optional.of(before));
+        mDirectory.update(before.id(), Optional.of(before));
         UpstreamEntry untold = TestUpstreams.plain("a", "hall-a");
-        mDirectory.change(untold.id(), Optional.of(untold));
+        mDirectory.update(untold.id(), Optional.of(untold));
         assertNull(mCaller.mRefusal);
         assertEquals(mDirectory.usable("service"), List.of(upstream));
     }
