--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/cluster/MemberRegistry.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/cluster/MemberRegistry.java
@@ -14,9 +14,9 @@
 import org.troutpier.common.settings.Check;
 import org.troutpier.daemon.node.Node;
 import org.troutpier.daemon.rows.RowDecoder;
+import org.troutpier.daemon.rows.RowStore;
 import org.troutpier.daemon.rows.RowStore.Row;
 import org.troutpier.daemon.rows.RowStore.WriteResult;
-import org.troutpier.daemon.rows.RowStore;
 import org.troutpier.daemon.rows.StoreVersion;
 import org.troutpier.daemon.rows.TableFollower;
 
@@ -40,7 +40,8 @@
      * each router, calls grew with the square of the routers: the hall's reader reads, and its
      * pages, at most a wait and a pause apart, save the others theirs.
      */
-    private static final TableFollower.PollTiming PACE = new TableFollower.PollTiming(3000, 500, 4000, 2000);
+    private static final TableFollower.PollTiming PACE =
+            new TableFollower.PollTiming(3000, 500, 4000, 2000);
 
     /** Logs the registration. */
     private static final Logger LOGGER = LogManager.getLogger(MemberRegistry.class);
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/cluster/PeerExchange.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/cluster/PeerExchange.java
@@ -15,8 +15,8 @@
 import org.troutpier.daemon.directory.UpstreamEntry;
 import org.troutpier.daemon.instancelist.InstanceList.Instance;
 import org.troutpier.daemon.node.Node;
-import org.troutpier.daemon.peer.Membership.Member;
 import org.troutpier.daemon.peer.Membership;
+import org.troutpier.daemon.peer.Membership.Member;
 import org.troutpier.daemon.peer.PeerLinks;
 import org.troutpier.daemon.peer.PeerMesh;
 import org.troutpier.daemon.peer.PeerMessage;
@@ -411,7 +411,8 @@
             return;
         }
         try {
-            mConfiguration.adoptIfNewer(mCodec.decode(offered.encoded()), from.incarnation().value());
+            mConfiguration.adoptIfNewer(
+                    mCodec.decode(offered.encoded()), from.incarnation().value());
         } catch (RuntimeException exception) {
             LOGGER.error("configuration not readable from={}", from.incarnation(), exception);
         }
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/cluster/QuarantineTable.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/cluster/QuarantineTable.java
@@ -20,11 +20,11 @@
 import org.troutpier.daemon.quarantine.QuarantineSettings;
 import org.troutpier.daemon.quarantine.RequestFingerprint;
 import org.troutpier.daemon.rows.RowDecoder;
+import org.troutpier.daemon.rows.RowStore;
 import org.troutpier.daemon.rows.RowStore.Outcome;
 import org.troutpier.daemon.rows.RowStore.Row;
 import org.troutpier.daemon.rows.RowStore.RowPage;
 import org.troutpier.daemon.rows.RowStore.WriteResult;
-import org.troutpier.daemon.rows.RowStore;
 import org.troutpier.daemon.rows.TableFollower;
 
 /**
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/cluster/TableExchange.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/cluster/TableExchange.java
@@ -12,8 +12,8 @@
 import org.troutpier.daemon.peer.Membership.Member;
 import org.troutpier.daemon.peer.PeerLinks;
 import org.troutpier.daemon.peer.PeerMessage;
-import org.troutpier.daemon.rows.RowStore.Row;
 import org.troutpier.daemon.rows.RowStore;
+import org.troutpier.daemon.rows.RowStore.Row;
 import org.troutpier.daemon.rows.TableFollower;
 
 /**
@@ -79,7 +79,8 @@
      * @param exchange the exchange
      * @param table the table
      */
-    public record PageSharer(TableExchange exchange, String table) implements TableFollower.ChangePublisher {
+    public record PageSharer(TableExchange exchange, String table)
+            implements TableFollower.ChangePublisher {
 
         /** {@inheritDoc} */
         @Override
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/peer/PeerMesh.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/peer/PeerMesh.java
@@ -127,7 +127,8 @@
      * @param secret what routers prove to each other that they know
      * @param hearer hears messages on the control thread
      */
-    public PeerMesh(Node node, Address address, Peers members, String secret, MessageListener hearer) {
+    public PeerMesh(
+            Node node, Address address, Peers members, String secret, MessageListener hearer) {
         mNode = node;
         mMembers = members;
         mSecret = new PeerSecret(secret);
@@ -353,7 +354,10 @@
             Member self = mMembers.membership().self();
             context.writeAndFlush(
                     new PeerMessage.Hello(
-                            self.incarnation().value(), self.hall().value(), self.address(), mNonce));
+                            self.incarnation().value(),
+                            self.hall().value(),
+                            self.address(),
+                            mNonce));
         }
 
         /** {@inheritDoc} */
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/role/RoleLease.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/role/RoleLease.java
@@ -7,11 +7,11 @@
 import org.troutpier.common.http.Json;
 import org.troutpier.daemon.node.Node;
 import org.troutpier.daemon.rows.RowDecoder;
+import org.troutpier.daemon.rows.RowStore;
 import org.troutpier.daemon.rows.RowStore.Outcome;
 import org.troutpier.daemon.rows.RowStore.Row;
 import org.troutpier.daemon.rows.RowStore.RowPage;
 import org.troutpier.daemon.rows.RowStore.WriteResult;
-import org.troutpier.daemon.rows.RowStore;
 import org.troutpier.daemon.rows.StoreVersion;
 
 /**
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/CrashGuard.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/CrashGuard.java
@@ -158,7 +158,8 @@
      *     to go on, {@link #SETTLED_MILLIS} after it is known to have ended, and after {@link
      *     #JUDGED_MILLIS} at the latest where nothing is known
      */
-    void attributeLoss(UpstreamEntry upstream, RequestFingerprint request, Consumer<Boolean> judged) {
+    void attributeLoss(
+            UpstreamEntry upstream, RequestFingerprint request, Consumer<Boolean> judged) {
         UpstreamIncarnation start = upstream.incarnation();
         if (mEndedStarts.contains(start, mLoop.millis())) {
             mQuarantine.recordCrash(request, start);
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/EngineUsageReconciler.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/EngineUsageReconciler.java
@@ -155,7 +155,9 @@
      */
     private void look(boolean ask) {
         List<UpstreamEntry> engines =
-                mDirectory.usable(UpstreamEntry.Role.DECODE).stream().filter(mScope::polls).toList();
+                mDirectory.usable(UpstreamEntry.Role.DECODE).stream()
+                        .filter(mScope::polls)
+                        .toList();
         mKnown.keySet()
                 .retainAll(
                         engines.stream()
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/RequestRouter.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/RequestRouter.java
@@ -58,7 +58,8 @@
             refuse(request, caller, ResultCode.ROUTER_NOT_READY, START_MILLIS);
             return;
         }
-        Optional<Route> route = configuration.get().findRoute(request.host(), path(request.target()));
+        Optional<Route> route =
+                configuration.get().findRoute(request.host(), path(request.target()));
         if (route.isEmpty()) {
             refuse(request, caller, ResultCode.NO_ROUTE, 0);
             return;
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/ReservationAllocator.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/ReservationAllocator.java
@@ -375,7 +375,8 @@
         }
 
         /** Receives an engine's answer. Confined to the traffic loop. */
-        private final class Answer implements UpstreamPort.ResultListener<UpstreamPort.Reservation> {
+        private final class Answer
+                implements UpstreamPort.ResultListener<UpstreamPort.Reservation> {
 
             /** Who answers. */
             private final UpstreamEntry mEngine;
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/UpstreamLoads.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/UpstreamLoads.java
@@ -305,7 +305,8 @@
      * @return tokens
      */
     long toldTokens(UpstreamEntry engine) {
-        return load(engine.incarnation()).mTokens + mPeers.upstreamUse(engine.incarnation()).tokens();
+        return load(engine.incarnation()).mTokens
+                + mPeers.upstreamUse(engine.incarnation()).tokens();
     }
 
     /**
@@ -329,7 +330,8 @@
      * @return the count
      */
     public int calls(UpstreamEntry upstream) {
-        return load(upstream.incarnation()).mCalls + mPeers.upstreamUse(upstream.incarnation()).calls();
+        return load(upstream.incarnation()).mCalls
+                + mPeers.upstreamUse(upstream.incarnation()).calls();
     }
 
     /**
--- a/troutpier-daemon/src/test/java/org/troutpier/daemon/cluster/PeerExchangeTest.java
+++ b/troutpier-daemon/src/test/java/org/troutpier/daemon/cluster/PeerExchangeTest.java
@@ -40,8 +40,8 @@
 import org.troutpier.daemon.rows.FakeRowStore;
 import org.troutpier.daemon.rows.RowStore.Row;
 import org.troutpier.daemon.rows.TableFollower;
-import org.troutpier.standins.platform.VersionedRows.Key;
 import org.troutpier.standins.platform.VersionedRows;
+import org.troutpier.standins.platform.VersionedRows.Key;
 
 /** Many routers that tell each other of their load, over a network in memory. */
 public final class PeerExchangeTest {
@@ -147,7 +147,8 @@
                                 }
 
                                 @Override
-                                public void onUpstreamsLeaving(List<UpstreamIncarnation> upstreams) {
+                                public void onUpstreamsLeaving(
+                                        List<UpstreamIncarnation> upstreams) {
                                     mLeaving.addAll(upstreams);
                                 }
                             });
@@ -192,7 +193,8 @@
         /** Follows a table whose store answers this router, or does not. */
         private void follow(VersionedRows rows) {
             mStore = new FakeRowStore(rows);
-            TableExchange.PageSharer pages = new TableExchange.PageSharer(mExchange.tables(), TABLE);
+            TableExchange.PageSharer pages =
+                    new TableExchange.PageSharer(mExchange.tables(), TABLE);
             TableFollower follower =
                     new TableFollower(
                             mControl,
@@ -288,7 +290,8 @@
         for (Router router : living) {
             int others = living.size() - 1;
             assertEquals(router.mLoads.routers(), others, "routers at " + router.mSelf);
-            assertEquals(router.mLoads.upstreamUse(ENGINE).calls(), others, "calls at " + router.mSelf);
+            assertEquals(
+                    router.mLoads.upstreamUse(ENGINE).calls(), others, "calls at " + router.mSelf);
         }
     }
 
@@ -403,7 +406,8 @@
         assertEquals(asked(living()), MANY);
         for (Router router : living()) {
             int calls = router == changed ? MANY - 1 : MANY - 2 + changed.mCalls;
-            assertEquals(router.mLoads.upstreamUse(ENGINE).calls(), calls, "calls at " + router.mSelf);
+            assertEquals(
+                    router.mLoads.upstreamUse(ENGINE).calls(), calls, "calls at " + router.mSelf);
         }
     }
 
@@ -417,7 +421,8 @@
         assertEquals(asked(mates), mates.size());
         for (Router router : mates) {
             int calls = MANY - 2 + changed.mCalls;
-            assertEquals(router.mLoads.upstreamUse(ENGINE).calls(), calls, "calls at " + router.mSelf);
+            assertEquals(
+                    router.mLoads.upstreamUse(ENGINE).calls(), calls, "calls at " + router.mSelf);
         }
     }
 
--- a/troutpier-daemon/src/test/java/org/troutpier/daemon/cluster/QuarantineTableTest.java
+++ b/troutpier-daemon/src/test/java/org/troutpier/daemon/cluster/QuarantineTableTest.java
@@ -18,8 +18,8 @@
 import org.troutpier.daemon.quarantine.QuarantineSettings;
 import org.troutpier.daemon.quarantine.RequestFingerprint;
 import org.troutpier.daemon.rows.FakeRowStore;
-import org.troutpier.standins.platform.VersionedRows.Key;
 import org.troutpier.standins.platform.VersionedRows;
+import org.troutpier.standins.platform.VersionedRows.Key;
 
 /** Routers that hear of each other through the store only know which requests are not run. */
 public final class QuarantineTableTest {
--- a/troutpier-daemon/src/test/java/org/troutpier/daemon/serving/ExecutionTest.java
+++ b/troutpier-daemon/src/test/java/org/troutpier/daemon/serving/ExecutionTest.java
@@ -454,7 +454,8 @@
     public void theBudgetsPartsOfAllRoutersStayWithinTheWhole() {
         for (int routers = 1; routers < 200; routers++) {
             assertTrue(routers * ExtraCallBudget.routerShare(routers) <= 1, "routers " + routers);
-            assertTrue((routers + 2) * ExtraCallBudget.routerShare(routers) <= 1, "late " + routers);
+            assertTrue(
+                    (routers + 2) * ExtraCallBudget.routerShare(routers) <= 1, "late " + routers);
         }
     }
 
--- a/troutpier-daemon/src/test/java/org/troutpier/daemon/serving/ReportedUseTest.java
+++ b/troutpier-daemon/src/test/java/org/troutpier/daemon/serving/ReportedUseTest.java
@@ -46,7 +46,10 @@
 
         @Override
         public CompletableFuture<Outcome> changeRole(
-                UpstreamEntry engine, UpstreamEntry.Role role, LeaseGrant lease, long expectedOrders) {
+                UpstreamEntry engine,
+                UpstreamEntry.Role role,
+                LeaseGrant lease,
+                long expectedOrders) {
             throw new IllegalStateException("nothing is ordered here");
         }
     }
@@ -62,7 +65,8 @@
     private EngineUsageReconciler learn(EngineUsageReconciler.Scope scope) {
         UpstreamDirectory directory = new UpstreamDirectory(mTime.control(), mTime::millis);
         directory.replaceAll(List.of(mEngine));
-        EngineUsageReconciler use = new EngineUsageReconciler(mTime.loop(), directory, mLoads, mPeers, mReports, scope);
+        EngineUsageReconciler use =
+                new EngineUsageReconciler(mTime.loop(), directory, mLoads, mPeers, mReports, scope);
         use.start();
         return use;
     }
--- a/troutpier-daemon/src/test/java/org/troutpier/daemon/serving/ReservationAllocatorTest.java
+++ b/troutpier-daemon/src/test/java/org/troutpier/daemon/serving/ReservationAllocatorTest.java
@@ -90,7 +90,8 @@
                         ASKER, PROMPT, MOST, MARGIN, MEMORY, 2000, waitMillis, standing, engines),
                 new ReservationAllocator.Listener() {
                     @Override
-                    public void granted(UpstreamEntry engine, Optional<UpstreamPort.Reservation> place) {
+                    public void granted(
+                            UpstreamEntry engine, Optional<UpstreamPort.Reservation> place) {
                         mGranted = engine;
                     }
 
@@ -290,7 +291,8 @@
                         () -> List.of(mFirst)),
                 new ReservationAllocator.Listener() {
                     @Override
-                    public void granted(UpstreamEntry engine, Optional<UpstreamPort.Reservation> place) {
+                    public void granted(
+                            UpstreamEntry engine, Optional<UpstreamPort.Reservation> place) {
                         order.add(organisation);
                     }
 
