--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/decision/FailureShare.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/decision/FailureRate.java
@@ -11,7 +11,7 @@
  * @param failed calls that failed lately
  * @param succeeded calls that went well in the same time
  */
-public record FailureShare(int failed, int succeeded) {
+public record FailureRate(int failed, int succeeded) {
 
     /** How many failures pass an upstream over at least; fewer happen by chance. */
     private static final int LEAST_FAILURES = 3;
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/decision/GrowthMargin.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/decision/GrowthMargin.java
@@ -67,7 +67,7 @@
      *
      * @param now the monotonic clock, milliseconds
      */
-    public void paused(long now) {
+    public void recordPause(long now) {
         if (now - mPaused >= PAUSE_MILLIS) {
             mPaused = now;
             mOutputs = Math.min(MOST_OUTPUTS, mOutputs + RAISE);
@@ -75,7 +75,7 @@
     }
 
     /** Takes note of a refusal for want of memory. */
-    public void refused() {
+    public void recordRefusal() {
         mOutputs = Math.max(LEAST_OUTPUTS, mOutputs - LOWER);
     }
 
@@ -84,7 +84,7 @@
      *
      * @return the count
      */
-    public double outputs() {
+    public double meanOutputs() {
         return mOutputs;
     }
 }
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/decision/DelayEstimate.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/decision/LatencyEstimator.java
@@ -4,7 +4,7 @@
  * Predicts a delay from those that were seen, as a decaying mean and the mean distance from it.
  * Confined to the traffic loop.
  */
-public final class DelayEstimate {
+public final class LatencyEstimator {
 
     /** How much a new measurement counts. */
     private static final double NEW = 0.1;
@@ -29,7 +29,7 @@
      *
      * @param assumedMillis what is predicted before anything was measured, milliseconds
      */
-    DelayEstimate(double assumedMillis) {
+    LatencyEstimator(double assumedMillis) {
         mMean = assumedMillis / 2;
         mDistance = assumedMillis / 2 / DISTANCES;
     }
@@ -39,8 +39,8 @@
      *
      * @return a new estimate
      */
-    public static DelayEstimate ofFirstEvent() {
-        return new DelayEstimate(FIRST_EVENT_MILLIS);
+    public static LatencyEstimator forFirstEvent() {
+        return new LatencyEstimator(FIRST_EVENT_MILLIS);
     }
 
     /**
@@ -48,8 +48,8 @@
      *
      * @return a new estimate
      */
-    public static DelayEstimate ofExcess() {
-        return new DelayEstimate(0);
+    public static LatencyEstimator forPrefillExcess() {
+        return new LatencyEstimator(0);
     }
 
     /**
@@ -57,7 +57,7 @@
      *
      * @param millis the delay; may be negative for one that is counted from a prediction
      */
-    public void took(double millis) {
+    public void record(double millis) {
         mDistance += NEW * (Math.abs(millis - mMean) - mDistance);
         mMean += NEW * (millis - mMean);
     }
@@ -67,7 +67,7 @@
      *
      * @return milliseconds, at least 0
      */
-    public double millis() {
+    public double predictedMillis() {
         return Math.max(0, mMean + DISTANCES * mDistance);
     }
 }
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/decision/LimitShare.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/decision/LimitShare.java
@@ -11,11 +11,16 @@
  *
  * @param limit what may be used in a window, over all routers
  * @param tolerance what may be used beyond it while routers do not hear each other
- * @param heard how many routers hear each other, this one included
- * @param known how many routers there may be
- * @param assumed what may have been used in the window that nobody remembers
+ * @param reachableRouters how many routers hear each other, this one included
+ * @param knownRouters how many routers there may be
+ * @param assumedUsage what may have been used in the window that nobody remembers
  */
-public record LimitShare(double limit, double tolerance, int heard, int known, double assumed) {
+public record LimitShare(
+        double limit,
+        double tolerance,
+        int reachableRouters,
+        int knownRouters,
+        double assumedUsage) {
 
     /**
      * Which part of the tolerance is used: the rest is for what is under way between routers that
@@ -28,9 +33,10 @@
      *
      * @return use in the limit's unit, at most the limit
      */
-    public double most() {
-        double part = heard / (double) Math.max(1, Math.max(heard, known));
+    public double allowed() {
+        double part =
+                reachableRouters / (double) Math.max(1, Math.max(reachableRouters, knownRouters));
         double reached = part * (limit + USED_TOLERANCE * tolerance);
-        return Math.max(0, Math.min(limit, reached - assumed));
+        return Math.max(0, Math.min(limit, reached - assumedUsage));
     }
 }
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/decision/EvenTurns.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/decision/MaxMinFairness.java
@@ -10,15 +10,15 @@
  * <p>It answers an asker that floods: with one chance for all it would take what is admitted in
  * proportion to what it asks.
  *
- * @param asked what each asker asked lately
- * @param chance the chance with which all together are admitted, 0 to 1
+ * @param demand what each asker asked lately
+ * @param probability the chance with which all together are admitted, 0 to 1
  * @param <K> what names an asker
  */
-public record EvenTurns<K>(Map<K, Double> asked, double chance) {
+public record MaxMinFairness<K>(Map<K, Double> demand, double probability) {
 
     /** Copies the map. */
-    public EvenTurns {
-        asked = Map.copyOf(asked);
+    public MaxMinFairness {
+        demand = Map.copyOf(demand);
     }
 
     /**
@@ -27,9 +27,9 @@
      * @param asker the asker
      * @return the chance, 0 to 1
      */
-    public double of(K asker) {
-        double own = asked.getOrDefault(asker, 0.0);
-        return own <= 0 ? chance : Math.min(1, level() / own);
+    public double probabilityFor(K asker) {
+        double own = demand.getOrDefault(asker, 0.0);
+        return own <= 0 ? probability : Math.min(1, level() / own);
     }
 
     /**
@@ -38,9 +38,9 @@
      * @return the level
      */
     private double level() {
-        double left = chance * asked.values().stream().mapToDouble(Double::doubleValue).sum();
-        int askers = asked.size();
-        for (double each : asked.values().stream().sorted().toList()) {
+        double left = probability * demand.values().stream().mapToDouble(Double::doubleValue).sum();
+        int askers = demand.size();
+        for (double each : demand.values().stream().sorted().toList()) {
             if (each * askers >= left) {
                 break;
             }
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/decision/RoomForecast.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/decision/MemoryWaitForecast.java
@@ -11,7 +11,7 @@
  * @param waitingTokens the prompts that wait before this one, at all routers
  * @param runMillis how long a run takes; 0 for unknown
  */
-public record RoomForecast(
+public record MemoryWaitForecast(
         int engines, long usedTokens, double usableTokens, long waitingTokens, double runMillis) {
 
     /**
@@ -20,7 +20,7 @@
      * @param promptTokens what the request needs
      * @return milliseconds; 0 where nothing is known
      */
-    public double millis(long promptTokens) {
+    public double waitMillis(long promptTokens) {
         if (runMillis <= 0 || usedTokens <= 0) {
             return 0;
         }
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/decision/ReturnPacer.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/decision/RetryPacer.java
@@ -10,7 +10,7 @@
  * <p>It answers bursts of a few seconds. Whoever was refused is late whenever it comes back, so the
  * later of two times costs it little, and a second refusal is the worst that can happen to it.
  */
-public final class ReturnPacer {
+public final class RetryPacer {
 
     /**
      * How soon a caller comes back at the earliest, milliseconds: a few runs have ended by then.
@@ -52,7 +52,7 @@
      *
      * @param random spreads the times
      */
-    public ReturnPacer(RandomGenerator random) {
+    public RetryPacer(RandomGenerator random) {
         mRandom = random;
     }
 
@@ -61,7 +61,7 @@
      *
      * @param now the monotonic clock, milliseconds
      */
-    public void granted(long now) {
+    public void recordGrant(long now) {
         mGrants = grants(now) + 1;
         mChanged = now;
     }
@@ -73,7 +73,7 @@
      * @param limitMillis how far away it may be
      * @return milliseconds from now
      */
-    public long next(long now, long limitMillis) {
+    public long nextDelayMillis(long now, long limitMillis) {
         double rate = Math.max(LEAST_RATE, grants(now) / DECAY_MILLIS * 1000) * RETURN_PART;
         double first = Math.max(FIRST_MILLIS, limitMillis * LEAST_PART);
         double at = Math.max(now + first, mLast + 1000 / rate);
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/decision/RoleInvestment.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/decision/RoleChangePolicy.java
@@ -20,7 +20,7 @@
  * <p>Confined to the control thread. Invariants: no side is left without an engine; a change always
  * makes room for more of the mix that is measured; before anything was asked changes cost nothing.
  */
-public final class RoleInvestment {
+public final class RoleChangePolicy {
 
     /** Which part of the engines reads prompts before anything was asked. */
     private static final double FIRST_PART = 1 / 3.0;
@@ -88,7 +88,7 @@
      * @param switchMillis how long a change takes once an engine is empty, milliseconds
      * @param usedTokens what runs at those that decode, tokens
      */
-    public record Staffing(
+    public record EnginePool(
             int prefill, int decode, long memoryTokens, long switchMillis, long usedTokens) {
 
         /**
@@ -109,7 +109,7 @@
      * @param demand what callers ask for
      * @return what to do
      */
-    public Step look(long now, Staffing staffing, Demand demand) {
+    public Step evaluate(long now, EnginePool staffing, Demand demand) {
         mSpare = 0;
         double passed = mLooked == 0 ? 0 : Math.min(LONGEST_LOOK_MILLIS, now - mLooked);
         mLooked = now;
@@ -139,7 +139,7 @@
      *
      * @return as many as are spare; otherwise one, since each change is paid for
      */
-    public int engines() {
+    public int engineCount() {
         return Math.max(1, mSpare);
     }
 
@@ -148,12 +148,12 @@
      *
      * @param millis the time
      */
-    public void changed(long millis) {
+    public void recordChange(long millis) {
         mChangeMillis += (millis - mChangeMillis) * (mChangeMillis == 0 ? 1 : NEW_CHANGE);
     }
 
     /** Begins anew after a change or an attempt at one. */
-    public void restart() {
+    public void reset() {
         mLostReading = 0;
         mLostDecoding = 0;
     }
@@ -163,7 +163,7 @@
      *
      * @return the losses so far, requests
      */
-    public String told() {
+    public String lossSummary() {
         return "lostReading="
                 + Math.round(mLostReading)
                 + " lostDecoding="
@@ -177,7 +177,7 @@
      * @param staffing how the engines stand
      * @return what to do
      */
-    private static Step first(Staffing staffing) {
+    private static Step first(EnginePool staffing) {
         long wanted = Math.max(1, Math.round(staffing.engines() * FIRST_PART));
         if (wanted == staffing.prefill()) {
             return Step.STAY;
@@ -193,7 +193,7 @@
      * @param demand what callers ask for
      * @return what to do
      */
-    private Step weigh(double passed, Staffing staffing, Demand demand) {
+    private Step weigh(double passed, EnginePool staffing, Demand demand) {
         int prefill = staffing.prefill();
         int decode = staffing.decode();
         double now = served(prefill, decode, staffing, demand);
@@ -237,7 +237,7 @@
      * @param demand what callers ask for
      * @return requests a millisecond
      */
-    private static double served(int prefill, int decode, Staffing staffing, Demand demand) {
+    private static double served(int prefill, int decode, EnginePool staffing, Demand demand) {
         return SplitCapacity.served(prefill, decode, staffing.memoryTokens(), demand);
     }
 }
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/decision/RoleLevelling.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/decision/RoleLevelling.java
@@ -28,7 +28,7 @@
      * @param askedMillis for how long there have been requests, milliseconds
      * @return the count; 0 where none is to spare
      */
-    static int spare(RoleInvestment.Staffing staffing, Demand demand, double askedMillis) {
+    static int spare(RoleChangePolicy.EnginePool staffing, Demand demand, double askedMillis) {
         double memoryTime = memoryTime(staffing, demand, askedMillis);
         int readers = staffing.prefill();
         int decode = staffing.decode();
@@ -53,7 +53,7 @@
      * @return memory times time, tokens times milliseconds
      */
     private static double memoryTime(
-            RoleInvestment.Staffing staffing, Demand demand, double askedMillis) {
+            RoleChangePolicy.EnginePool staffing, Demand demand, double askedMillis) {
         double seen = 1 - Math.exp(-askedMillis / Demand.DECAY_MILLIS);
         double perMilli = demand.requestsPerMilli() / seen;
         return Math.max(demand.memoryTimeOfRun(), staffing.usedTokens() / perMilli);
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/decision/SlidingSum.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/decision/SlidingWindowSum.java
@@ -4,7 +4,7 @@
  * A sum over a sliding window. Confined to one thread. Invariant: what is older than the window and
  * one step counts no more; of the oldest step counts as much as is still in the window.
  */
-public final class SlidingSum {
+public final class SlidingWindowSum {
 
     /** What was added in each step. */
     private final double[] mAdded;
@@ -24,7 +24,7 @@
      * @param windowMillis how long the window is, milliseconds
      * @param steps how many steps it is divided into
      */
-    public SlidingSum(long windowMillis, int steps) {
+    public SlidingWindowSum(long windowMillis, int steps) {
         mSteps = steps;
         mAdded = new double[steps + 1];
         mStepMillis = Math.max(1, windowMillis / steps);
@@ -48,7 +48,7 @@
      * @param at when it was added, milliseconds
      * @param now the monotonic clock, milliseconds
      */
-    public void takeBack(double amount, long at, long now) {
+    public void subtract(double amount, long at, long now) {
         advance(now);
         long step = at / mStepMillis;
         if (mStep - step <= mSteps) {
@@ -62,7 +62,7 @@
      * @param at the moment, milliseconds
      * @param now the monotonic clock, milliseconds
      */
-    public void forgetBefore(long at, long now) {
+    public void discardBefore(long at, long now) {
         advance(now);
         long first = at / mStepMillis;
         for (long step = mStep - mSteps; step < Math.min(first, mStep + 1); step++) {
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/decision/StartWindow.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/decision/WaitBudget.java
@@ -11,11 +11,11 @@
  *
  * @param targetMillis within which time the first event is due
  * @param elapsedMillis how long ago the request came
- * @param leftMillis how long its caller and its route still allow
- * @param standing whether it can still be in time
+ * @param remainingMillis how long its caller and its route still allow
+ * @param tier whether it can still be in time
  */
-public record StartWindow(
-        long targetMillis, long elapsedMillis, long leftMillis, Standing standing) {
+public record WaitBudget(
+        long targetMillis, long elapsedMillis, long remainingMillis, QueueTier tier) {
 
     /**
      * How many targets a late request waits: callers give a stream up after four without an event,
@@ -38,12 +38,12 @@
      */
     public long waitMillis(Prediction prediction) {
         double wait =
-                switch (standing) {
+                switch (tier) {
                     case IN_TIME -> targetMillis - elapsedMillis - prediction.millis();
                     case CONTINUED -> targetMillis * CONTINUED_TARGETS - elapsedMillis;
                     case LATE -> targetMillis * LATE_TARGETS - elapsedMillis;
                 };
-        return (long) Math.max(0, Math.min(leftMillis, wait));
+        return (long) Math.max(0, Math.min(remainingMillis, wait));
     }
 
     /**
@@ -53,7 +53,7 @@
      * @param prediction what follows the wait
      * @return whether it may
      */
-    public boolean mayRead(Prediction prediction) {
+    public boolean allowsPrefill(Prediction prediction) {
         double elapsed = late() ? 0 : elapsedMillis;
         return elapsed + prediction.millis() <= targetMillis;
     }
@@ -65,7 +65,7 @@
      * @param prediction what follows the wait
      * @return whether the request is to be refused at once
      */
-    public boolean hopeless(double predictedMillis, Prediction prediction) {
+    public boolean isExceededBy(double predictedMillis, Prediction prediction) {
         return predictedMillis > waitMillis(prediction);
     }
 
@@ -75,16 +75,16 @@
      * @return whether it is
      */
     private boolean late() {
-        return standing != Standing.IN_TIME;
+        return tier != QueueTier.IN_TIME;
     }
 
     /**
      * What follows once memory was found. Immutable and thread safe.
      *
-     * @param readMillis until the prompt is read, what waits before it included
+     * @param prefillMillis until the prompt is read, what waits before it included
      * @param firstEventMillis from then to the first event
      */
-    public record Prediction(double readMillis, double firstEventMillis) {
+    public record Prediction(double prefillMillis, double firstEventMillis) {
 
         /**
          * Returns the sum.
@@ -92,7 +92,7 @@
          * @return milliseconds
          */
         double millis() {
-            return readMillis + firstEventMillis;
+            return prefillMillis + firstEventMillis;
         }
     }
 }
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/limit/AskMeter.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/limit/AskMeter.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import java.util.Map;
 import org.troutpier.common.id.PartnerId;
-import org.troutpier.daemon.decision.SlidingSum;
+import org.troutpier.daemon.decision.SlidingWindowSum;
 
 /**
  * Measures who asked for a part of a limit lately at this router, admitted or not. Confined to one
@@ -20,7 +20,7 @@
     private final long mWindowMillis;
 
     /** What was asked, by rank and organisation. */
-    private final Map<Asker, SlidingSum> mAskers = new HashMap<>();
+    private final Map<Asker, SlidingWindowSum> mAskers = new HashMap<>();
 
     /**
      * Creates a meter that has measured nothing.
@@ -39,7 +39,8 @@
      */
     public void asked(Asker asker, long now) {
         mAskers.values().removeIf(sum -> sum.sum(now) <= 0);
-        mAskers.computeIfAbsent(asker, any -> new SlidingSum(mWindowMillis, STEPS)).add(1, now);
+        mAskers.computeIfAbsent(asker, any -> new SlidingWindowSum(mWindowMillis, STEPS))
+                .add(1, now);
     }
 
     /**
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/limit/UseMeter.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/limit/UseMeter.java
@@ -1,6 +1,6 @@
 package org.troutpier.daemon.limit;
 
-import org.troutpier.daemon.decision.SlidingSum;
+import org.troutpier.daemon.decision.SlidingWindowSum;
 
 /**
  * Measures what was used and asked of one limit at this router. Confined to one thread. Invariant:
@@ -15,10 +15,10 @@
     private final long mWindowMillis;
 
     /** What was used. */
-    private final SlidingSum mUsed;
+    private final SlidingWindowSum mUsed;
 
     /** What was asked, admitted or not. */
-    private final SlidingSum mAsked;
+    private final SlidingWindowSum mAsked;
 
     /**
      * Creates a meter that has measured nothing.
@@ -27,8 +27,8 @@
      */
     public UseMeter(long windowMillis) {
         mWindowMillis = windowMillis;
-        mUsed = new SlidingSum(windowMillis, STEPS);
-        mAsked = new SlidingSum(windowMillis, STEPS);
+        mUsed = new SlidingWindowSum(windowMillis, STEPS);
+        mAsked = new SlidingWindowSum(windowMillis, STEPS);
     }
 
     /**
@@ -59,7 +59,7 @@
      * @param now the monotonic clock, milliseconds
      */
     public void takeBack(double cost, long at, long now) {
-        mUsed.takeBack(cost, at, now);
+        mUsed.subtract(cost, at, now);
     }
 
     /**
@@ -69,7 +69,7 @@
      * @param now the monotonic clock, milliseconds
      */
     public void keepNewest(double part, long now) {
-        mUsed.forgetBefore(now - Math.round(mWindowMillis * part), now);
+        mUsed.discardBefore(now - Math.round(mWindowMillis * part), now);
     }
 
     /**
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/organisation/OrganisationUse.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/organisation/OrganisationUse.java
@@ -271,8 +271,8 @@
         return new SharedRoom(
                 account.mMeter.recent(now),
                 elsewhere(account.mOrganisation.id()),
-                share(limit, forgottenUse(account, limit, now)).most(),
-                share(paced, 0).most(),
+                share(limit, forgottenUse(account, limit, now)).allowed(),
+                share(paced, 0).allowed(),
                 mSettings.windowMillis() * UseSettings.PACE_PART);
     }
 
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/role/RoleController.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/role/RoleController.java
@@ -16,7 +16,7 @@
 import org.troutpier.common.id.UpstreamIncarnation;
 import org.troutpier.daemon.cluster.Demand;
 import org.troutpier.daemon.cluster.PeerLoads;
-import org.troutpier.daemon.decision.RoleInvestment;
+import org.troutpier.daemon.decision.RoleChangePolicy;
 import org.troutpier.daemon.directory.UpstreamDirectory;
 import org.troutpier.daemon.directory.UpstreamEntry;
 import org.troutpier.daemon.node.Node;
@@ -95,7 +95,7 @@
     private static final class ServiceRoles {
 
         /** Weighs whether a change pays. */
-        private final RoleInvestment mInvestment = new RoleInvestment();
+        private final RoleChangePolicy mInvestment = new RoleChangePolicy();
 
         /** The changes that are under way. */
         private final List<Change> mChanges = new ArrayList<>();
@@ -292,27 +292,27 @@
         }
         int prefill = (int) engines.stream().filter(RoleController::reads).count();
         Demand demand = mOwnDemand.apply(service).plus(mPeers.demand(service));
-        RoleInvestment.Staffing staffing =
-                new RoleInvestment.Staffing(
+        RoleChangePolicy.EnginePool staffing =
+                new RoleChangePolicy.EnginePool(
                         prefill,
                         engines.size() - prefill,
                         traits.memoryTokens(),
                         traits.switchMillis(),
                         decoding(engines));
         long now = mNode.millis();
-        RoleInvestment.Step step = roles.mInvestment.look(now, staffing, demand);
-        if (step == RoleInvestment.Step.STAY || now < roles.mNotBefore || roles.mInspecting) {
+        RoleChangePolicy.Step step = roles.mInvestment.evaluate(now, staffing, demand);
+        if (step == RoleChangePolicy.Step.STAY || now < roles.mNotBefore || roles.mInspecting) {
             return;
         }
         LOGGER.info(
                 "role change wanted service={} step={} engines={} staffing={} {} demand={}",
                 service,
                 step,
-                roles.mInvestment.engines(),
+                roles.mInvestment.engineCount(),
                 staffing,
-                roles.mInvestment.told(),
+                roles.mInvestment.lossSummary(),
                 demand);
-        inspect(roles, engines, step == RoleInvestment.Step.MORE_PREFILL, traits);
+        inspect(roles, engines, step == RoleChangePolicy.Step.MORE_PREFILL, traits);
     }
 
     /**
@@ -353,7 +353,7 @@
             boolean toPrefill,
             EngineTraits traits) {
         roles.mInspecting = true;
-        int count = roles.mInvestment.engines();
+        int count = roles.mInvestment.engineCount();
         List<CompletableFuture<Boolean>> idle =
                 engines.stream()
                         .map(
@@ -433,7 +433,7 @@
     private void settle(ServiceRoles roles) {
         roles.mChanges.removeIf(change -> change.mOver);
         if (roles.mChanges.isEmpty()) {
-            roles.mInvestment.restart();
+            roles.mInvestment.reset();
             roles.mNotBefore = mNode.millis() + SETTLE_MILLIS;
         }
     }
@@ -459,7 +459,7 @@
                     done,
                     listed.isPresent());
             if (done) {
-                roles.mInvestment.changed(mNode.millis() - change.mBegan);
+                roles.mInvestment.recordChange(mNode.millis() - change.mBegan);
             }
             change.mOver = true;
         }
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/DecodePlace.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/DecodePlace.java
@@ -3,8 +3,8 @@
 import java.util.List;
 import java.util.Optional;
 import java.util.function.Supplier;
-import org.troutpier.daemon.decision.RoomForecast;
-import org.troutpier.daemon.decision.Standing;
+import org.troutpier.daemon.decision.MemoryWaitForecast;
+import org.troutpier.daemon.decision.QueueTier;
 import org.troutpier.daemon.directory.UpstreamEntry;
 import org.troutpier.daemon.limit.Asker;
 import org.troutpier.daemon.route.EngineTraits;
@@ -89,7 +89,7 @@
      */
     void search(
             long waitMillis,
-            Standing standing,
+            QueueTier standing,
             long events,
             Supplier<List<UpstreamEntry>> engines,
             PlaceAllocator.Listener listener) {
@@ -122,14 +122,14 @@
         UpstreamLoads loads = mContext.loads();
         long used = engines.stream().mapToLong(loads::tokens).sum();
         long waiting = mContext.places().waitingTokens() + mContext.peers().waitingTokens();
-        RoomForecast forecast =
-                new RoomForecast(
+        MemoryWaitForecast forecast =
+                new MemoryWaitForecast(
                         engines.size(),
                         used,
                         mTraits.memoryTokens() - marginTokens(),
                         waiting,
                         mContext.demanded(mService).millisOfRun());
-        return forecast.millis(mPromptTokens);
+        return forecast.waitMillis(mPromptTokens);
     }
 
     /**
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/PlaceAllocator.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/PlaceAllocator.java
@@ -13,7 +13,7 @@
 import org.troutpier.common.id.UpstreamIncarnation;
 import org.troutpier.daemon.admission.FairQueue;
 import org.troutpier.daemon.cluster.LoadView;
-import org.troutpier.daemon.decision.Standing;
+import org.troutpier.daemon.decision.QueueTier;
 import org.troutpier.daemon.directory.UpstreamEntry;
 import org.troutpier.daemon.limit.Asker;
 import org.troutpier.daemon.notice.UpstreamNotice;
@@ -65,7 +65,7 @@
      * tokens that they were given, so that one's flood does not take the room of the others; an
      * organisation's own go by age.
      */
-    private final Map<Standing, FairQueue<Search>> mWaiting = new EnumMap<>(Standing.class);
+    private final Map<QueueTier, FairQueue<Search>> mWaiting = new EnumMap<>(QueueTier.class);
 
     /** How many searches there were. */
     private long mSearches;
@@ -96,7 +96,7 @@
         mLoads = loads;
         mAdmission = admission;
         mRandom = random;
-        for (Standing standing : Standing.values()) {
+        for (QueueTier standing : QueueTier.values()) {
             mWaiting.put(standing, new FairQueue<>());
         }
     }
@@ -142,7 +142,7 @@
             long memoryTokens,
             int placeMillis,
             long waitMillis,
-            Standing standing,
+            QueueTier standing,
             Supplier<List<UpstreamEntry>> engines) {}
 
     /**
@@ -346,7 +346,7 @@
          * @return tokens
          */
         private long leftToOthers() {
-            return mWanted.standing() == Standing.IN_TIME ? 0 : mWanted.promptTokens();
+            return mWanted.standing() == QueueTier.IN_TIME ? 0 : mWanted.promptTokens();
         }
 
         /**
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/PromptReading.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/PromptReading.java
@@ -165,7 +165,7 @@
             mContext.demand().read(mPrompt.service(), mPrompt.tokens(), now - mStart, now);
         }
         if (mPredictedMillis > 0) {
-            mContext.readingExcess().took(now - mStart - mPredictedMillis);
+            mContext.readingExcess().record(now - mStart - mPredictedMillis);
             mContext.metrics().predicted("prefill", mPredictedMillis, now - mStart);
         }
         mContext.loads().succeeded(mEngine);
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/ServingContext.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/ServingContext.java
@@ -5,9 +5,9 @@
 import org.troutpier.daemon.cluster.DemandMeter;
 import org.troutpier.daemon.cluster.LoadView;
 import org.troutpier.daemon.cluster.PeerLoads;
-import org.troutpier.daemon.decision.DelayEstimate;
 import org.troutpier.daemon.decision.GrowthMargin;
-import org.troutpier.daemon.decision.ReturnPacer;
+import org.troutpier.daemon.decision.LatencyEstimator;
+import org.troutpier.daemon.decision.RetryPacer;
 import org.troutpier.daemon.directory.UpstreamDirectory;
 import org.troutpier.daemon.organisation.OrganisationUse;
 
@@ -47,10 +47,10 @@
         OrganisationUse use,
         ReturningRequests returning,
         CrashGuard crashes,
-        ReturnPacer pacer,
+        RetryPacer pacer,
         GrowthMargin margin,
-        DelayEstimate readingExcess,
-        DelayEstimate firstEvent,
+        LatencyEstimator readingExcess,
+        LatencyEstimator firstEvent,
         PeerLoads peers,
         LoadView view,
         DemandMeter demand,
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/StreamExecution.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/StreamExecution.java
@@ -7,8 +7,8 @@
 import org.troutpier.common.id.UpstreamIncarnation;
 import org.troutpier.common.result.ResultCode;
 import org.troutpier.daemon.cluster.DemandMeter;
-import org.troutpier.daemon.decision.Standing;
-import org.troutpier.daemon.decision.StartWindow;
+import org.troutpier.daemon.decision.QueueTier;
+import org.troutpier.daemon.decision.WaitBudget;
 import org.troutpier.daemon.directory.UpstreamEntry;
 import org.troutpier.daemon.route.EngineTraits;
 import org.troutpier.daemon.route.Route;
@@ -113,14 +113,14 @@
             failedBeforeRun(ResultCode.NO_PLACE, "no engine is left");
             return;
         }
-        StartWindow window = window();
-        StartWindow.Prediction prediction = prediction();
+        WaitBudget window = window();
+        WaitBudget.Prediction prediction = prediction();
         if (mContext.admission().backOffMillis(untried()) > window.waitMillis(prediction)) {
             failedBeforeRun(ResultCode.NO_PLACE, "engines asked for a back-off");
             return;
         }
         mPredictedMillis = mPlace.predictedMillis(upstreams(UpstreamEntry.Role.DECODE));
-        if (window.hopeless(mPredictedMillis, prediction)) {
+        if (window.isExceededBy(mPredictedMillis, prediction)) {
             mTrace.step("room predicted in " + (long) mPredictedMillis + "ms");
             failedBeforeRun(ResultCode.NO_PLACE, "no place in time");
             return;
@@ -128,7 +128,7 @@
         mSearchedBefore = true;
         mPlace.search(
                 window.waitMillis(prediction),
-                window.standing(),
+                window.tier(),
                 mRelay.events(),
                 this::engines,
                 new PlaceFound());
@@ -139,9 +139,9 @@
      *
      * @return the window
      */
-    private StartWindow window() {
+    private WaitBudget window() {
         long elapsed = mTrace.elapsedMillis() - mStarted;
-        return new StartWindow(mRoute.targetMillis(), elapsed, leftMillis(), standing());
+        return new WaitBudget(mRoute.targetMillis(), elapsed, leftMillis(), standing());
     }
 
     /**
@@ -149,12 +149,12 @@
      *
      * @return its standing
      */
-    private Standing standing() {
+    private QueueTier standing() {
         if (mBegun || mRequest.lastEvent().isPresent()) {
-            return Standing.CONTINUED;
+            return QueueTier.CONTINUED;
         }
         boolean late = mSearchedBefore && mTrace.elapsedMillis() >= mRoute.targetMillis();
-        return late || mComesBack ? Standing.LATE : Standing.IN_TIME;
+        return late || mComesBack ? QueueTier.LATE : QueueTier.IN_TIME;
     }
 
     /**
@@ -162,9 +162,10 @@
      *
      * @return the prediction
      */
-    private StartWindow.Prediction prediction() {
-        return new StartWindow.Prediction(
-                readMillis() + mContext.readingExcess().millis(), mContext.firstEvent().millis());
+    private WaitBudget.Prediction prediction() {
+        return new WaitBudget.Prediction(
+                readMillis() + mContext.readingExcess().predictedMillis(),
+                mContext.firstEvent().predictedMillis());
     }
 
     /**
@@ -175,7 +176,7 @@
     private void searchKept(AttemptEnd end) {
         mPlace.search(
                 0,
-                Standing.CONTINUED,
+                QueueTier.CONTINUED,
                 mRelay.events(),
                 () -> mKept.among(upstreams(UpstreamEntry.Role.DECODE)),
                 new KeptFound(end));
@@ -189,7 +190,7 @@
      */
     private void take(UpstreamEntry engine, Optional<UpstreamPort.Place> place) {
         mPlace.take(engine, place);
-        mContext.pacer().granted(mContext.loop().millis());
+        mContext.pacer().recordGrant(mContext.loop().millis());
         mTrace.step("place@" + engine.id() + " known " + mContext.loads().tokens(engine));
     }
 
@@ -211,7 +212,7 @@
      * @return the engines; none while the prefill engines could not read the prompt in time
      */
     private List<UpstreamEntry> engines() {
-        return window().mayRead(prediction()) ? untried() : List.of();
+        return window().allowsPrefill(prediction()) ? untried() : List.of();
     }
 
     /**
@@ -364,7 +365,7 @@
             mRequest.prompt().ifPresent(own -> mContext.returning().refused(own, now));
             long limit = (long) (leftMillis() * ServingSettings.RETURN_PART);
             long backOff = mContext.admission().backOffMillis(untried());
-            refuse(code, detail, backOff + mContext.pacer().next(now, limit));
+            refuse(code, detail, backOff + mContext.pacer().nextDelayMillis(now, limit));
         }
     }
 
@@ -461,7 +462,7 @@
         @Override
         public void refused(String detail) {
             mPlace.searched();
-            mContext.margin().refused();
+            mContext.margin().recordRefusal();
             mTrace.step(detail + ", prompt read in " + (long) readMillis() + "ms at best");
             failedBeforeRun(ResultCode.NO_PLACE, "no place");
         }
@@ -617,7 +618,7 @@
             mPlace.grow(mRelay.events() - before);
             if (before == 0 && mRelay.events() > 0) {
                 mTrace.step("first event");
-                mContext.firstEvent().took(millis());
+                mContext.firstEvent().record(millis());
                 lateAfter(mTrace.elapsedMillis());
                 mContext.metrics().stage("first-event", mTrace.elapsedMillis());
             }
@@ -634,7 +635,7 @@
             if (mLastEvent != 0 && mRoute.eventGapMillis() > 0 && pause > mRoute.eventGapMillis()) {
                 long used = mContext.loads().tokens(mUpstream);
                 mTrace.notable();
-                mContext.margin().paused(now);
+                mContext.margin().recordPause(now);
                 mTrace.step("pause " + pause + "ms@" + mUpstream.id() + " known tokens " + used);
             }
             mLastEvent = now;
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/UpstreamLoads.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/UpstreamLoads.java
@@ -16,8 +16,8 @@
 import org.troutpier.common.id.UpstreamIncarnation;
 import org.troutpier.daemon.cluster.PeerLoads;
 import org.troutpier.daemon.cluster.UpstreamUse;
-import org.troutpier.daemon.decision.FailureShare;
-import org.troutpier.daemon.decision.SlidingSum;
+import org.troutpier.daemon.decision.FailureRate;
+import org.troutpier.daemon.decision.SlidingWindowSum;
 import org.troutpier.daemon.directory.UpstreamEntry;
 
 /**
@@ -140,10 +140,12 @@
         private UpstreamEntry.Role mReplacedRole;
 
         /** Calls that failed lately though the upstream was reached. */
-        private final SlidingSum mFailedLately = new SlidingSum(ENDS_MILLIS, ENDS_STEPS);
+        private final SlidingWindowSum mFailedLately =
+                new SlidingWindowSum(ENDS_MILLIS, ENDS_STEPS);
 
         /** Calls that went well lately. */
-        private final SlidingSum mSucceededLately = new SlidingSum(ENDS_MILLIS, ENDS_STEPS);
+        private final SlidingWindowSum mSucceededLately =
+                new SlidingWindowSum(ENDS_MILLIS, ENDS_STEPS);
 
         /** Runs that it refused since the last success. */
         private int mRefusals;
@@ -507,7 +509,7 @@
             return;
         }
         int succeeded = others.succeeded() + (int) Math.round(load.mSucceededLately.sum(now));
-        FailureShare share = new FailureShare(failed, succeeded);
+        FailureRate share = new FailureRate(failed, succeeded);
         if (share.failing()) {
             double spread = 1 + SPREAD * (2 * mRandom.nextDouble() - 1);
             passOver(upstream, load, (long) (ENDS_MILLIS * spread), share.toString());
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/UpstreamRate.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/UpstreamRate.java
@@ -6,7 +6,7 @@
 import org.apache.logging.log4j.Logger;
 import org.troutpier.common.id.UpstreamIncarnation;
 import org.troutpier.common.logging.LinePause;
-import org.troutpier.daemon.decision.EvenTurns;
+import org.troutpier.daemon.decision.MaxMinFairness;
 import org.troutpier.daemon.limit.AskMeter;
 import org.troutpier.daemon.limit.Asker;
 import org.troutpier.daemon.limit.LoweredLimit;
@@ -327,8 +327,8 @@
         double chance = room(others, share, now).chance(1, ahead, own);
         return chance <= 0 || chance >= 1
                 ? chance
-                : new EvenTurns<>(mAsked.byOrganisation(asker.rank(), now), chance)
-                        .of(asker.organisation());
+                : new MaxMinFairness<>(mAsked.byOrganisation(asker.rank(), now), chance)
+                        .probabilityFor(asker.organisation());
     }
 
     /**
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/UpstreamRates.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/UpstreamRates.java
@@ -256,7 +256,7 @@
     private double share(double limit) {
         double tolerance = UpstreamRate.SETTINGS.tolerance(limit);
         int heard = mOthers.routers() + 1;
-        return new LimitShare(limit, tolerance, heard, mKnown.getAsInt(), 0).most();
+        return new LimitShare(limit, tolerance, heard, mKnown.getAsInt(), 0).allowed();
     }
 
     /**
--- a/troutpier-daemon/src/test/java/org/troutpier/daemon/decision/GrowthMarginTest.java
+++ b/troutpier-daemon/src/test/java/org/troutpier/daemon/decision/GrowthMarginTest.java
@@ -28,23 +28,23 @@
     public void refusalsWithoutPausesShrinkIt() {
         GrowthMargin margin = new GrowthMargin();
         for (int refusal = 0; refusal < 1000; refusal++) {
-            margin.refused();
+            margin.recordRefusal();
         }
-        assertEquals(margin.outputs(), 1.9);
+        assertEquals(margin.meanOutputs(), 1.9);
     }
 
     @Test
     public void pausesRaiseItAndOnePreemptionCountsOnce() {
         GrowthMargin margin = new GrowthMargin();
         for (int stream = 0; stream < 12; stream++) {
-            margin.paused(1000 + stream);
+            margin.recordPause(1000 + stream);
         }
-        assertEquals(margin.outputs(), 4.5, 1e-9);
-        margin.paused(2000);
-        margin.paused(3000);
-        margin.paused(4000);
-        margin.paused(5000);
-        assertEquals(margin.outputs(), 6, 1e-9);
+        assertEquals(margin.meanOutputs(), 4.5, 1e-9);
+        margin.recordPause(2000);
+        margin.recordPause(3000);
+        margin.recordPause(4000);
+        margin.recordPause(5000);
+        assertEquals(margin.meanOutputs(), 6, 1e-9);
     }
 
     @Test
@@ -52,12 +52,12 @@
         GrowthMargin calm = new GrowthMargin();
         GrowthMargin pausing = new GrowthMargin();
         for (int second = 0; second < 30; second++) {
-            calm.refused();
-            pausing.refused();
+            calm.recordRefusal();
+            pausing.recordRefusal();
             if (second % 5 == 0) {
-                pausing.paused(second * 1000L);
+                pausing.recordPause(second * 1000L);
             }
         }
-        assertTrue(calm.outputs() < pausing.outputs());
+        assertTrue(calm.meanOutputs() < pausing.meanOutputs());
     }
 }
--- a/troutpier-daemon/src/test/java/org/troutpier/daemon/decision/LimitShareTest.java
+++ b/troutpier-daemon/src/test/java/org/troutpier/daemon/decision/LimitShareTest.java
@@ -13,7 +13,7 @@
     private static final double ROUNDING = 1e-6;
 
     private static double most(double tolerance, int heard, int known, double assumed) {
-        return new LimitShare(1000, tolerance, heard, known, assumed).most();
+        return new LimitShare(1000, tolerance, heard, known, assumed).allowed();
     }
 
     @Test
--- a/troutpier-daemon/src/test/java/org/troutpier/daemon/decision/EvenTurnsTest.java
+++ b/troutpier-daemon/src/test/java/org/troutpier/daemon/decision/MaxMinFairnessTest.java
@@ -6,12 +6,12 @@
 import org.testng.annotations.Test;
 
 /** With what chance each of several askers is admitted. */
-public final class EvenTurnsTest {
+public final class MaxMinFairnessTest {
 
     private static final double EXACT = 1e-9;
 
     private static double of(String asker, double chance, Map<String, Double> asked) {
-        return new EvenTurns<>(asked, chance).of(asker);
+        return new MaxMinFairness<>(asked, chance).probabilityFor(asker);
     }
 
     @Test
--- a/troutpier-daemon/src/test/java/org/troutpier/daemon/decision/RoleInvestmentTest.java
+++ b/troutpier-daemon/src/test/java/org/troutpier/daemon/decision/RoleChangePolicyTest.java
@@ -8,11 +8,11 @@
 import org.testng.annotations.Test;
 import org.troutpier.daemon.cluster.Demand;
 import org.troutpier.daemon.cluster.ReadingPace;
-import org.troutpier.daemon.decision.RoleInvestment.Staffing;
-import org.troutpier.daemon.decision.RoleInvestment.Step;
+import org.troutpier.daemon.decision.RoleChangePolicy.EnginePool;
+import org.troutpier.daemon.decision.RoleChangePolicy.Step;
 
 /** When an engine changes its role. */
-public final class RoleInvestmentTest {
+public final class RoleChangePolicyTest {
 
     private static final long MEMORY = 41_000;
     private static final long SWITCH = 6000;
@@ -21,12 +21,12 @@
     private static final double OUTPUT = 640;
     private static final double RUN = 3600;
 
-    private RoleInvestment mInvestment;
+    private RoleChangePolicy mInvestment;
     private long mNow;
 
     @BeforeMethod
     void start() {
-        mInvestment = new RoleInvestment();
+        mInvestment = new RoleChangePolicy();
         mNow = 1000;
     }
 
@@ -53,10 +53,10 @@
     }
 
     /** Has the same load for some time; returns the first step other than to stay. */
-    private Step lasting(Staffing staffing, Demand demand, long millis) {
+    private Step lasting(EnginePool staffing, Demand demand, long millis) {
         for (long passed = 0; passed < millis; passed += TICK) {
             mNow += TICK;
-            Step step = mInvestment.look(mNow, staffing, demand);
+            Step step = mInvestment.evaluate(mNow, staffing, demand);
             if (step != Step.STAY) {
                 return step;
             }
@@ -64,17 +64,17 @@
         return Step.STAY;
     }
 
-    private static Staffing staffing(int prefill, int decode) {
-        return new Staffing(prefill, decode, MEMORY, SWITCH, 0);
+    private static EnginePool staffing(int prefill, int decode) {
+        return new EnginePool(prefill, decode, MEMORY, SWITCH, 0);
     }
 
     @Test
     public void aThirdReadsPromptsBeforeAnythingIsAsked() {
-        assertEquals(mInvestment.look(mNow, staffing(3, 3), Demand.NONE), Step.MORE_DECODE);
-        assertEquals(mInvestment.look(mNow, staffing(0, 2), Demand.NONE), Step.MORE_PREFILL);
-        assertEquals(mInvestment.look(mNow, staffing(2, 4), Demand.NONE), Step.STAY);
-        assertEquals(mInvestment.look(mNow, staffing(0, 1), Demand.NONE), Step.STAY);
-        assertEquals(mInvestment.look(mNow, staffing(1, 0), Demand.NONE), Step.MORE_DECODE);
+        assertEquals(mInvestment.evaluate(mNow, staffing(3, 3), Demand.NONE), Step.MORE_DECODE);
+        assertEquals(mInvestment.evaluate(mNow, staffing(0, 2), Demand.NONE), Step.MORE_PREFILL);
+        assertEquals(mInvestment.evaluate(mNow, staffing(2, 4), Demand.NONE), Step.STAY);
+        assertEquals(mInvestment.evaluate(mNow, staffing(0, 1), Demand.NONE), Step.STAY);
+        assertEquals(mInvestment.evaluate(mNow, staffing(1, 0), Demand.NONE), Step.MORE_DECODE);
     }
 
     @Test
@@ -85,14 +85,14 @@
 
     @Test
     public void aBurstThatIsOverBeforeItPaysChangesNothing() {
-        Staffing staffing = staffing(2, 6);
+        EnginePool staffing = staffing(2, 6);
         assertEquals(lasting(staffing, demand(9, 7000, OUTPUT, 2200), 4000), Step.STAY);
         assertEquals(lasting(staffing, load(7), 60_000), Step.STAY);
     }
 
     @Test
     public void burstsThatKeepComingAreFollowedInTheEnd() {
-        Staffing staffing = staffing(2, 6);
+        EnginePool staffing = staffing(2, 6);
         int bursts = 0;
         while (lasting(staffing, demand(9, 7000, OUTPUT, 2200), 2000) == Step.STAY) {
             assertEquals(lasting(staffing, load(7), 5000), Step.STAY);
@@ -128,7 +128,7 @@
     @Test
     public void aReaderThatWouldBeFullInNoBurstDecodesThoughAllIsServed() {
         assertEquals(lasting(staffing(3, 3), load(3), 6000), Step.MORE_DECODE);
-        assertEquals(mInvestment.engines(), 1);
+        assertEquals(mInvestment.engineCount(), 1);
     }
 
     /** 27 engines with memory for 43,654 tokens, and 21 requests a second of 3,200 and 4,500. */
@@ -136,11 +136,11 @@
     public void sparedReadersChangeAtOnceAndOnlyOnce() {
         Demand demand = demand(21, 3200, 4500, 4200);
         long used = 21 * (3200 + 4500 / 2) * 42 / 10;
-        Staffing before = new Staffing(9, 18, 43_654, SWITCH, used);
+        EnginePool before = new EnginePool(9, 18, 43_654, SWITCH, used);
         assertEquals(lasting(before, demand, 6000), Step.MORE_DECODE);
-        int spare = mInvestment.engines();
+        int spare = mInvestment.engineCount();
         assertTrue(spare >= 2 && spare <= 5, "spare " + spare);
-        Staffing after = new Staffing(9 - spare, 18 + spare, 43_654, SWITCH, used);
+        EnginePool after = new EnginePool(9 - spare, 18 + spare, 43_654, SWITCH, used);
         assertEquals(lasting(after, demand, 60_000), Step.STAY);
         assertEquals(lasting(after, demand(42, 3200, 4500, 4200), 5000), Step.STAY);
     }
@@ -155,24 +155,24 @@
     public void whatIsUnderWayTellsThatReadersAreSpareBeforeLongRunsHaveEnded() {
         Demand early = demand(21, 3200, 1500, 1500);
         long used = 21 * (3200 + 4500 / 2) * 42 / 10;
-        assertEquals(lasting(new Staffing(9, 18, 43_654, SWITCH, 0), early, 8000), Step.STAY);
+        assertEquals(lasting(new EnginePool(9, 18, 43_654, SWITCH, 0), early, 8000), Step.STAY);
         start();
-        Staffing busy = new Staffing(9, 18, 43_654, SWITCH, used);
+        EnginePool busy = new EnginePool(9, 18, 43_654, SWITCH, used);
         assertEquals(lasting(busy, early, 8000), Step.MORE_DECODE);
     }
 
     @Test
     public void aChangeThatTookLongMustPayMore() {
         Demand answers = demand(7, 3200, OUTPUT * 2, RUN * 1.5);
-        RoleInvestment slow = new RoleInvestment();
-        slow.changed(60_000);
+        RoleChangePolicy slow = new RoleChangePolicy();
+        slow.recordChange(60_000);
         long now = 0;
         int earlier = 0;
         int later = 0;
         for (int tick = 1; tick < 400; tick++) {
             now += TICK;
-            earlier += mInvestment.look(now, staffing(3, 3), answers) == Step.STAY ? 1 : 0;
-            later += slow.look(now, staffing(3, 3), answers) == Step.STAY ? 1 : 0;
+            earlier += mInvestment.evaluate(now, staffing(3, 3), answers) == Step.STAY ? 1 : 0;
+            later += slow.evaluate(now, staffing(3, 3), answers) == Step.STAY ? 1 : 0;
         }
         assertTrue(later >= earlier, "ticks without a change: " + earlier + ", " + later);
     }
@@ -180,14 +180,14 @@
     @Test
     public void atRandomBothSidesAreAlwaysServedAndAChangeServesMore() {
         long seed = System.nanoTime();
-        System.out.println("RoleInvestmentTest seed " + seed);
+        System.out.println("RoleChangePolicyTest seed " + seed);
         Random random = new Random(seed);
         int changes = 0;
         for (int step = 0; step < 20_000; step++) {
-            RoleInvestment investment = new RoleInvestment();
+            RoleChangePolicy investment = new RoleChangePolicy();
             int engines = 2 + random.nextInt(30);
             int prefill = 1 + random.nextInt(engines - 1);
-            Staffing staffing = staffing(prefill, engines - prefill);
+            EnginePool staffing = staffing(prefill, engines - prefill);
             Demand demand =
                     demand(
                             1 + random.nextDouble() * 100,
@@ -195,9 +195,9 @@
                             100 + random.nextInt(10_000),
                             10 + random.nextInt(10_000));
             for (int tick = 1; tick < 80; tick++) {
-                Step wanted = investment.look(tick * TICK, staffing, demand);
+                Step wanted = investment.evaluate(tick * TICK, staffing, demand);
                 if (wanted != Step.STAY) {
-                    int count = investment.engines();
+                    int count = investment.engineCount();
                     int then = prefill + (wanted == Step.MORE_PREFILL ? count : -count);
                     assertTrue(then >= 1 && then < engines, "seed " + seed);
                     assertTrue(
--- a/troutpier-daemon/src/test/java/org/troutpier/daemon/decision/SlidingSumTest.java
+++ b/troutpier-daemon/src/test/java/org/troutpier/daemon/decision/SlidingWindowSumTest.java
@@ -6,14 +6,14 @@
 import org.testng.annotations.Test;
 
 /** What counts in a sliding window. */
-public final class SlidingSumTest {
+public final class SlidingWindowSumTest {
 
     private static final long WINDOW = 1600;
     private static final long STEP = 100;
 
     @Test
     public void whatWasUsedCountsForAWindowAndNoLongerThanOneStepMore() {
-        SlidingSum window = new SlidingSum(WINDOW, 16);
+        SlidingWindowSum window = new SlidingWindowSum(WINDOW, 16);
         window.add(7, 10_000);
         assertEquals(window.sum(10_000), 7.0);
         assertEquals(window.sum(10_000 + WINDOW - 1), 7.0);
@@ -22,7 +22,7 @@
 
     @Test
     public void theOldestStepFadesAsItLeavesTheWindow() {
-        SlidingSum window = new SlidingSum(WINDOW, 16);
+        SlidingWindowSum window = new SlidingWindowSum(WINDOW, 16);
         window.add(8, 10_000);
         assertEquals(window.sum(10_000 + WINDOW + STEP / 4), 6.0);
         assertEquals(window.sum(10_000 + WINDOW + STEP / 2), 4.0);
@@ -30,21 +30,21 @@
 
     @Test
     public void whatIsGivenBackCountsNoMoreAndNeverBelowNothing() {
-        SlidingSum window = new SlidingSum(WINDOW, 16);
+        SlidingWindowSum window = new SlidingWindowSum(WINDOW, 16);
         window.add(5, 10_000);
         window.add(3, 10_500);
-        window.takeBack(5, 10_000, 10_600);
+        window.subtract(5, 10_000, 10_600);
         assertEquals(window.sum(10_600), 3.0);
-        window.takeBack(50, 10_500, 10_600);
+        window.subtract(50, 10_500, 10_600);
         assertEquals(window.sum(10_600), 0.0);
         window.add(4, 20_000);
-        window.takeBack(4, 10_000, 20_000);
+        window.subtract(4, 10_000, 20_000);
         assertEquals(window.sum(20_000), 4.0);
     }
 
     @Test
     public void theNewestQuarterIsSummedUpForItself() {
-        SlidingSum window = new SlidingSum(WINDOW, 16);
+        SlidingWindowSum window = new SlidingWindowSum(WINDOW, 16);
         window.add(5, 10_000);
         window.add(3, 10_000 + WINDOW / 2);
         assertEquals(window.sum(10_000 + WINDOW / 2, 0.25), 3.0);
@@ -54,7 +54,7 @@
 
     @Test
     public void evenUseSumsUpToTheWindow() {
-        SlidingSum window = new SlidingSum(WINDOW, 16);
+        SlidingWindowSum window = new SlidingWindowSum(WINDOW, 16);
         for (long now = 0; now < 10 * WINDOW; now += 10) {
             window.add(1, now);
             if (now > 2 * WINDOW) {
--- a/troutpier-daemon/src/test/java/org/troutpier/daemon/serving/ExecutionTest.java
+++ b/troutpier-daemon/src/test/java/org/troutpier/daemon/serving/ExecutionTest.java
@@ -23,9 +23,9 @@
 import org.troutpier.daemon.cluster.DemandMeter;
 import org.troutpier.daemon.cluster.LoadView;
 import org.troutpier.daemon.cluster.PeerLoads;
-import org.troutpier.daemon.decision.DelayEstimate;
 import org.troutpier.daemon.decision.GrowthMargin;
-import org.troutpier.daemon.decision.ReturnPacer;
+import org.troutpier.daemon.decision.LatencyEstimator;
+import org.troutpier.daemon.decision.RetryPacer;
 import org.troutpier.daemon.directory.UpstreamDirectory;
 import org.troutpier.daemon.directory.UpstreamEntry;
 import org.troutpier.daemon.limit.Asker;
@@ -102,10 +102,10 @@
                                 metrics),
                         new ReturningRequests(),
                         new CrashGuard(mTime.loop(), port, mDirectory, mQuarantine, metrics),
-                        new ReturnPacer(random),
+                        new RetryPacer(random),
                         new GrowthMargin(),
-                        DelayEstimate.ofExcess(),
-                        DelayEstimate.ofFirstEvent(),
+                        LatencyEstimator.forPrefillExcess(),
+                        LatencyEstimator.forFirstEvent(),
                         peers,
                         view,
                         new DemandMeter(),
--- a/troutpier-daemon/src/test/java/org/troutpier/daemon/serving/PlaceAllocatorTest.java
+++ b/troutpier-daemon/src/test/java/org/troutpier/daemon/serving/PlaceAllocatorTest.java
@@ -21,7 +21,7 @@
 import org.troutpier.daemon.cluster.PeerLoads;
 import org.troutpier.daemon.cluster.ReportScope;
 import org.troutpier.daemon.cluster.UpstreamUse;
-import org.troutpier.daemon.decision.Standing;
+import org.troutpier.daemon.decision.QueueTier;
 import org.troutpier.daemon.directory.UpstreamEntry;
 import org.troutpier.daemon.limit.Asker;
 import org.troutpier.daemon.node.ManualTime;
@@ -76,15 +76,15 @@
     }
 
     private PlaceAllocator.Search find(long waitMillis) {
-        return find(waitMillis, Standing.IN_TIME);
+        return find(waitMillis, QueueTier.IN_TIME);
     }
 
-    private PlaceAllocator.Search find(long waitMillis, Standing standing) {
+    private PlaceAllocator.Search find(long waitMillis, QueueTier standing) {
         return find(waitMillis, standing, () -> List.of(mFirst, mSecond));
     }
 
     private PlaceAllocator.Search find(
-            long waitMillis, Standing standing, Supplier<List<UpstreamEntry>> engines) {
+            long waitMillis, QueueTier standing, Supplier<List<UpstreamEntry>> engines) {
         return mAllocator.find(
                 new PlaceAllocator.Wanted(
                         ASKER, PROMPT, MOST, MARGIN, MEMORY, 2000, waitMillis, standing, engines),
@@ -148,7 +148,7 @@
         long until = mTime.millis() + 150;
         find(
                 200,
-                Standing.IN_TIME,
+                QueueTier.IN_TIME,
                 () -> mTime.millis() < until ? List.of(mFirst, mSecond) : List.of());
         mTime.pass(300);
         assertTrue(mRefused.matches("no place after [1-9]\\d* refusals: .*"), mRefused);
@@ -157,7 +157,7 @@
 
     @Test
     public void whereNoEngineMayEverBeAskedTheRefusalSaysSo() {
-        find(200, Standing.IN_TIME, List::of);
+        find(200, QueueTier.IN_TIME, List::of);
         mTime.pass(300);
         assertTrue(mRefused.endsWith(", no engine may be asked"), mRefused);
     }
@@ -211,7 +211,7 @@
 
     @Test
     public void withoutEnginesASearchIsRefusedAfterItsWait() {
-        find(100, Standing.IN_TIME, List::of);
+        find(100, QueueTier.IN_TIME, List::of);
         mTime.pass(150);
         assertTrue(mRefused != null);
     }
@@ -220,17 +220,17 @@
     public void aLateRequestLeavesRoomForOneThatCanBeInTime() {
         long justEnough = MEMORY - PROMPT - (long) MARGIN;
         peersUse(justEnough, justEnough);
-        find(0, Standing.LATE);
+        find(0, QueueTier.LATE);
         assertTrue(mRefused != null);
-        find(0, Standing.IN_TIME);
+        find(0, QueueTier.IN_TIME);
         assertTrue(mGranted != null);
     }
 
     @Test
     public void whoCanBeInTimeGoesBeforeAStreamThatBrokeOffAndThatBeforeWhoIsLate() {
         mPort.mFull.addAll(Set.of(mFirst.incarnation(), mSecond.incarnation()));
-        List<Standing> order = new ArrayList<>();
-        for (Standing standing : List.of(Standing.LATE, Standing.CONTINUED, Standing.IN_TIME)) {
+        List<QueueTier> order = new ArrayList<>();
+        for (QueueTier standing : List.of(QueueTier.LATE, QueueTier.CONTINUED, QueueTier.IN_TIME)) {
             mAllocator.find(
                     new PlaceAllocator.Wanted(
                             ASKER,
@@ -257,7 +257,7 @@
         mTime.pass(100);
         mPort.mFull.clear();
         mTime.pass(100);
-        assertEquals(order, List.of(Standing.IN_TIME, Standing.CONTINUED, Standing.LATE));
+        assertEquals(order, List.of(QueueTier.IN_TIME, QueueTier.CONTINUED, QueueTier.LATE));
         assertEquals(mAllocator.waitingTokens(), 0);
     }
 
@@ -286,7 +286,7 @@
                         MEMORY,
                         2000,
                         1000,
-                        Standing.IN_TIME,
+                        QueueTier.IN_TIME,
                         () -> List.of(mFirst)),
                 new PlaceAllocator.Listener() {
                     @Override
