--- a/troutpier-cli/src/test/java/org/troutpier/cli/OrganisationsCommandTest.java
+++ b/troutpier-cli/src/test/java/org/troutpier/cli/OrganisationsCommandTest.java
@@ -16,7 +16,7 @@
 import org.troutpier.common.http.Answers;
 import org.troutpier.common.http.ServerLimits;
 import org.troutpier.common.id.PartnerId;
-import org.troutpier.daemon.limit.UseSettings;
+import org.troutpier.daemon.limit.UsageSettings;
 import org.troutpier.daemon.organisation.OrganisationUse;
 import org.troutpier.daemon.organisation.OthersUse;
 import org.troutpier.daemon.organisation.UseReport;
@@ -42,13 +42,13 @@
                     }
 
                     @Override
-                    public int routers() {
+                    public int peerCount() {
                         return 0;
                     }
                 };
         OrganisationUse use =
                 new OrganisationUse(
-                        new UseSettings(10, 0, 0),
+                        new UsageSettings(10, 0, 0),
                         () -> mNow,
                         new Random(1),
                         nobody,
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/cluster/LoadReport.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/cluster/LoadReport.java
@@ -94,7 +94,7 @@
             return this;
         }
         Map<UpstreamIncarnation, RateReport> older = new HashMap<>();
-        rates.forEach((upstream, report) -> older.put(upstream, report.later(millis)));
+        rates.forEach((upstream, report) -> older.put(upstream, report.aged(millis)));
         return with(organisations, older);
     }
 
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/cluster/PeerExchange.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/cluster/PeerExchange.java
@@ -449,9 +449,9 @@
         }
         mLoads.refresh(mNode.millis());
         mRelay.repeat();
-        if (mLoads.routers() != mHeardCount) {
-            LOGGER.info("routers heard before={} now={}", mHeardCount, mLoads.routers());
-            mHeardCount = mLoads.routers();
+        if (mLoads.peerCount() != mHeardCount) {
+            LOGGER.info("routers heard before={} now={}", mHeardCount, mLoads.peerCount());
+            mHeardCount = mLoads.peerCount();
         }
     }
 
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/cluster/PeerLoads.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/cluster/PeerLoads.java
@@ -11,21 +11,21 @@
 import org.troutpier.common.id.HallId;
 import org.troutpier.common.id.Incarnation;
 import org.troutpier.common.id.UpstreamIncarnation;
-import org.troutpier.daemon.limit.OthersRates;
+import org.troutpier.daemon.limit.PeerRates;
 import org.troutpier.daemon.limit.RateReport;
-import org.troutpier.daemon.limit.UseSettings;
+import org.troutpier.daemon.limit.UsageSettings;
 import org.troutpier.daemon.organisation.OthersUse;
 import org.troutpier.daemon.organisation.UseReport;
 
 /**
  * What the other routers said of their load and demand. Changes are confined to the control thread;
  * {@link #use}, {@link #demand}, {@link #organisations()}, {@link #rate}, {@link #changing}, {@link
- * #refusing}, {@link #waitingTokens()}, {@link #routers()} and {@link #roleHolder()} are thread
+ * #refusing}, {@link #waitingTokens()}, {@link #peerCount()} and {@link #roleHolder()} are thread
  * safe and answer as of the last {@link #sum}. Invariants: a report counts until {@link
  * #BELIEVED_MILLIS} after it was heard; only reports of the scopes that are counted count, so that
  * no router's load is counted twice.
  */
-public final class PeerLoads implements OthersUse, OthersRates {
+public final class PeerLoads implements OthersUse, PeerRates {
 
     /** How long a report counts, milliseconds: three of the longest pauses between two. */
     public static final long BELIEVED_MILLIS = 1500;
@@ -84,7 +84,7 @@
 
     /** Creates a view in which nobody has said anything, with the limits' default window. */
     public PeerLoads() {
-        this(UseSettings.DEFAULT);
+        this(UsageSettings.DEFAULT);
     }
 
     /**
@@ -92,7 +92,7 @@
      *
      * @param use how long organisations' use counts
      */
-    public PeerLoads(UseSettings use) {
+    public PeerLoads(UsageSettings use) {
         mRetained = new RetainedUse(use.windowMillis());
     }
 
@@ -315,12 +315,12 @@
     public RateReport rate(UpstreamIncarnation upstream, long now) {
         Summed sum = mSum;
         RateReport rate = sum.report().rates().get(upstream);
-        return rate == null ? RateReport.NONE : rate.later(now - sum.at());
+        return rate == null ? RateReport.NONE : rate.aged(now - sum.at());
     }
 
     /** {@inheritDoc} */
     @Override
-    public int routers() {
+    public int peerCount() {
         return mSum.report().routers();
     }
 
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/limit/AskMeter.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/limit/ArrivalMeter.java
@@ -11,7 +11,7 @@
  * Measures who asked for a part of a limit lately at this router, admitted or not. Confined to one
  * thread. Invariant: who has not asked for a window takes no memory once another asks.
  */
-public final class AskMeter {
+public final class ArrivalMeter {
 
     /** How many steps a window is divided into. */
     private static final int STEPS = 4;
@@ -20,14 +20,14 @@
     private final long mWindowMillis;
 
     /** What was asked, by rank and organisation. */
-    private final Map<Asker, SlidingWindowSum> mAskers = new HashMap<>();
+    private final Map<FlowKey, SlidingWindowSum> mAskers = new HashMap<>();
 
     /**
      * Creates a meter that has measured nothing.
      *
      * @param windowMillis how long the window is, milliseconds
      */
-    public AskMeter(long windowMillis) {
+    public ArrivalMeter(long windowMillis) {
         mWindowMillis = windowMillis;
     }
 
@@ -37,7 +37,7 @@
      * @param asker who asks
      * @param now the monotonic clock, milliseconds
      */
-    public void asked(Asker asker, long now) {
+    public void record(FlowKey asker, long now) {
         mAskers.values().removeIf(sum -> sum.sum(now) <= 0);
         mAskers.computeIfAbsent(asker, any -> new SlidingWindowSum(mWindowMillis, STEPS))
                 .add(1, now);
@@ -50,7 +50,7 @@
      * @return requests, the most urgent rank first; as many entries as are needed
      */
     public List<Long> byRank(long now) {
-        double[] sums = new double[Asker.LEAST_URGENT + 1];
+        double[] sums = new double[FlowKey.LEAST_URGENT_RANK + 1];
         mAskers.forEach((asker, sum) -> sums[asker.rank()] += sum.sum(now));
         List<Long> asked = new ArrayList<>();
         for (double sum : sums) {
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/limit/Asker.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/limit/FlowKey.java
@@ -5,19 +5,19 @@
 /**
  * Who asks for a part of what is limited. Immutable and thread safe.
  *
- * @param rank the rank of the request, 0 is the most urgent; at most {@link #LEAST_URGENT}
- * @param organisation in whose name it is made, or {@link #NOBODY}
+ * @param rank the rank of the request, 0 is the most urgent; at most {@link #LEAST_URGENT_RANK}
+ * @param organisation in whose name it is made, or {@link #NO_ORGANISATION}
  */
-public record Asker(int rank, PartnerId organisation) {
+public record FlowKey(int rank, PartnerId organisation) {
 
     /** The least urgent rank that is told apart. */
-    public static final int LEAST_URGENT = 9;
+    public static final int LEAST_URGENT_RANK = 9;
 
     /** Whose requests are that are made in no organisation's name. */
-    public static final PartnerId NOBODY = new PartnerId("none");
+    public static final PartnerId NO_ORGANISATION = new PartnerId("none");
 
     /** Keeps the rank within those that are told apart. */
-    public Asker {
-        rank = Math.max(0, Math.min(LEAST_URGENT, rank));
+    public FlowKey {
+        rank = Math.max(0, Math.min(LEAST_URGENT_RANK, rank));
     }
 }
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/limit/LoweredLimit.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/limit/GradualLimit.java
@@ -5,7 +5,7 @@
  * one before allowed would otherwise refuse all that the new one allows. Confined to one thread.
  * Invariant: it is never below the limit in force.
  */
-public final class LoweredLimit {
+public final class GradualLimit {
 
     /** How long the window is, milliseconds. */
     private final long mWindowMillis;
@@ -25,7 +25,7 @@
      * @param limit what may be used in a window
      * @param windowMillis how long the window is, milliseconds
      */
-    public LoweredLimit(double limit, long windowMillis) {
+    public GradualLimit(double limit, long windowMillis) {
         mWindowMillis = windowMillis;
         mLimit = limit;
         mBefore = limit;
@@ -38,7 +38,7 @@
      * @param now the monotonic clock, milliseconds
      */
     public void set(double limit, long now) {
-        set(limit, at(now), now);
+        set(limit, current(now), now);
     }
 
     /**
@@ -59,7 +59,7 @@
      *
      * @return what may be used in a window
      */
-    public double inForce() {
+    public double target() {
         return mLimit;
     }
 
@@ -69,7 +69,7 @@
      * @param now the monotonic clock, milliseconds
      * @return what may be used in a window
      */
-    public double at(long now) {
+    public double current(long now) {
         double left = Math.max(0, 1 - (now - mSetAt) / (double) mWindowMillis);
         return left == 0 ? mLimit : mLimit + (mBefore - mLimit) * left;
     }
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/limit/NamedRate.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/limit/LastAnnouncedRate.java
@@ -12,13 +12,13 @@
  *     never did
  */
 @JsonFormat(shape = JsonFormat.Shape.ARRAY)
-public record NamedRate(double perSecond, long ageMillis) {
+public record LastAnnouncedRate(double perSecond, long ageMillis) {
 
     /** The rate of an upstream that names none. */
     public static final double UNLIMITED = Double.POSITIVE_INFINITY;
 
     /** The rate of an upstream that never named one. */
-    public static final NamedRate NEVER = new NamedRate(UNLIMITED, Long.MAX_VALUE);
+    public static final LastAnnouncedRate NEVER = new LastAnnouncedRate(UNLIMITED, Long.MAX_VALUE);
 
     /** Within which time the order of two answers that different routers got is not known. */
     private static final long UNORDERED_MILLIS = 100;
@@ -30,7 +30,7 @@
      * @param other the other
      * @return one of them
      */
-    public NamedRate latest(NamedRate other) {
+    public LastAnnouncedRate mostRecent(LastAnnouncedRate other) {
         long older = ageMillis - other.ageMillis;
         if (Math.abs(older) <= UNORDERED_MILLIS) {
             return other.perSecond < perSecond ? other : this;
@@ -44,7 +44,9 @@
      * @param millis how much later, milliseconds
      * @return a new statement
      */
-    public NamedRate later(long millis) {
-        return ageMillis == Long.MAX_VALUE ? this : new NamedRate(perSecond, ageMillis + millis);
+    public LastAnnouncedRate aged(long millis) {
+        return ageMillis == Long.MAX_VALUE
+                ? this
+                : new LastAnnouncedRate(perSecond, ageMillis + millis);
     }
 }
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/limit/SharedRoom.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/limit/LimitHeadroom.java
@@ -9,14 +9,18 @@
  * <p>All routers see the same room until they hear of each other's use, so where more is asked in
  * that time than there is room for, each admits by chance as much as makes that room in the sum.
  *
- * @param here what was used here
- * @param elsewhere what was used at the others
- * @param most what may be used in the window
- * @param mostPaced what may be used in the window's newest {@link UseSettings#PACE_PART}
+ * @param local what was used here
+ * @param remote what was used at the others
+ * @param allowed what may be used in the window
+ * @param allowedPaced what may be used in the window's newest {@link UsageSettings#PACE_FRACTION}
  * @param paceMillis how long that part is, milliseconds
  */
-public record SharedRoom(
-        RecentUse here, RecentUse elsewhere, double most, double mostPaced, double paceMillis) {
+public record LimitHeadroom(
+        RecentUsage local,
+        RecentUsage remote,
+        double allowed,
+        double allowedPaced,
+        double paceMillis) {
 
     /**
      * How stale a view of the others is, milliseconds: their report, two relays and the question,
@@ -35,10 +39,10 @@
      *
      * @return use in the limit's unit; not above 0 where nothing may
      */
-    public double left() {
+    public double remaining() {
         return Math.min(
-                most - here.window() - elsewhere.window(),
-                mostPaced - here.pace() - elsewhere.pace());
+                allowed - local.window() - remote.window(),
+                allowedPaced - local.pace() - remote.pace());
     }
 
     /**
@@ -49,8 +53,8 @@
      * @param random draws
      * @return whether it is admitted
      */
-    public boolean fits(double cost, RandomGenerator random) {
-        double chance = chance(cost, 0, here.asked() + (double) elsewhere.asked());
+    public boolean admits(double cost, RandomGenerator random) {
+        double chance = admissionProbability(cost, 0, local.asked() + (double) remote.asked());
         return chance >= 1 || random.nextDouble() < chance;
     }
 
@@ -62,8 +66,8 @@
      * @param asked what was asked in that part that goes with it, itself included
      * @return the chance; 0 or less for none, 1 or more where it fits
      */
-    public double chance(double cost, double ahead, double asked) {
-        double room = left() - ahead * RESERVED_MILLIS / paceMillis;
+    public double admissionProbability(double cost, double ahead, double asked) {
+        double room = remaining() - ahead * RESERVED_MILLIS / paceMillis;
         double part = cost <= room ? STALE_MILLIS / paceMillis : 1;
         double wanted = Math.max(cost, asked * part);
         if (wanted <= 0) {
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/limit/OthersRates.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/limit/PeerRates.java
@@ -3,7 +3,7 @@
 import org.troutpier.common.id.UpstreamIncarnation;
 
 /** What the other routers reported of upstreams that name rates. Thread safe. */
-public interface OthersRates {
+public interface PeerRates {
 
     /**
      * Returns what the others reported of an upstream.
@@ -19,5 +19,5 @@
      *
      * @return the count
      */
-    int routers();
+    int peerCount();
 }
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/limit/RateReport.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/limit/RateReport.java
@@ -9,15 +9,15 @@
  *
  * @param named the rate that the upstream named to them last
  * @param use what they sent it lately, requests
- * @param asked what they were asked to send it in the newest {@link UseSettings#PACE_PART} of the
- *     window, by rank, the most urgent first
+ * @param asked what they were asked to send it in the newest {@link UsageSettings#PACE_FRACTION} of
+ *     the window, by rank, the most urgent first
  */
 @JsonFormat(shape = JsonFormat.Shape.ARRAY)
-public record RateReport(NamedRate named, RecentUse use, List<Long> asked) {
+public record RateReport(LastAnnouncedRate named, RecentUsage use, List<Long> asked) {
 
     /** The report of no router. */
     public static final RateReport NONE =
-            new RateReport(NamedRate.NEVER, RecentUse.NONE, List.of());
+            new RateReport(LastAnnouncedRate.NEVER, RecentUsage.NONE, List.of());
 
     /** Copies the list. */
     public RateReport {
@@ -32,7 +32,7 @@
      */
     public RateReport plus(RateReport other) {
         return new RateReport(
-                named.latest(other.named), use.plus(other.use), sum(asked, other.asked));
+                named.mostRecent(other.named), use.plus(other.use), sum(asked, other.asked));
     }
 
     /**
@@ -41,8 +41,8 @@
      * @param millis how much later, milliseconds
      * @return a new report
      */
-    public RateReport later(long millis) {
-        return new RateReport(named.later(millis), use, asked);
+    public RateReport aged(long millis) {
+        return new RateReport(named.aged(millis), use, asked);
     }
 
     /**
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/limit/RecentUse.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/limit/RecentUsage.java
@@ -6,14 +6,14 @@
  * What was used and asked of a limit lately, in its unit. Immutable and thread safe.
  *
  * @param window in the whole window of limits
- * @param pace in the newest {@link UseSettings#PACE_PART} of it
+ * @param pace in the newest {@link UsageSettings#PACE_FRACTION} of it
  * @param asked what was asked in that part, admitted or not
  */
 @JsonFormat(shape = JsonFormat.Shape.ARRAY)
-public record RecentUse(long window, long pace, long asked) {
+public record RecentUsage(long window, long pace, long asked) {
 
     /** No use. */
-    public static final RecentUse NONE = new RecentUse(0, 0, 0);
+    public static final RecentUsage NONE = new RecentUsage(0, 0, 0);
 
     /**
      * Returns this use and another together.
@@ -21,8 +21,8 @@
      * @param other the other
      * @return the sum
      */
-    public RecentUse plus(RecentUse other) {
-        return new RecentUse(window + other.window, pace + other.pace, asked + other.asked);
+    public RecentUsage plus(RecentUsage other) {
+        return new RecentUsage(window + other.window, pace + other.pace, asked + other.asked);
     }
 
     /**
@@ -31,9 +31,9 @@
      * @param passed the time, as a part of the window
      * @return what is left, where it was even
      */
-    public RecentUse after(double passed) {
-        double leftOfPace = Math.max(0, 1 - passed / UseSettings.PACE_PART);
-        return new RecentUse(
+    public RecentUsage after(double passed) {
+        double leftOfPace = Math.max(0, 1 - passed / UsageSettings.PACE_FRACTION);
+        return new RecentUsage(
                 Math.round(window * Math.max(0, 1 - passed)),
                 Math.round(pace * leftOfPace),
                 Math.round(asked * leftOfPace));
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/limit/UseMeter.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/limit/UsageMeter.java
@@ -6,7 +6,7 @@
  * Measures what was used and asked of one limit at this router. Confined to one thread. Invariant:
  * what is older than the window counts no more.
  */
-public final class UseMeter {
+public final class UsageMeter {
 
     /** How many steps a window is divided into. */
     private static final int STEPS = 16;
@@ -25,7 +25,7 @@
      *
      * @param windowMillis how long the window is, milliseconds
      */
-    public UseMeter(long windowMillis) {
+    public UsageMeter(long windowMillis) {
         mWindowMillis = windowMillis;
         mUsed = new SlidingWindowSum(windowMillis, STEPS);
         mAsked = new SlidingWindowSum(windowMillis, STEPS);
@@ -37,7 +37,7 @@
      * @param cost how much, in the limit's unit
      * @param now the monotonic clock, milliseconds
      */
-    public void asked(double cost, long now) {
+    public void recordRequested(double cost, long now) {
         mAsked.add(cost, now);
     }
 
@@ -47,7 +47,7 @@
      * @param cost how much, in the limit's unit
      * @param now the monotonic clock, milliseconds
      */
-    public void used(double cost, long now) {
+    public void recordUsed(double cost, long now) {
         mUsed.add(cost, now);
     }
 
@@ -58,7 +58,7 @@
      * @param at when it was recorded, milliseconds
      * @param now the monotonic clock, milliseconds
      */
-    public void takeBack(double cost, long at, long now) {
+    public void subtract(double cost, long at, long now) {
         mUsed.subtract(cost, at, now);
     }
 
@@ -68,7 +68,7 @@
      * @param part which part, above 0 and at most 1
      * @param now the monotonic clock, milliseconds
      */
-    public void keepNewest(double part, long now) {
+    public void discardOlder(double part, long now) {
         mUsed.discardBefore(now - Math.round(mWindowMillis * part), now);
     }
 
@@ -78,10 +78,10 @@
      * @param now the monotonic clock, milliseconds
      * @return the use
      */
-    public RecentUse recent(long now) {
-        return new RecentUse(
+    public RecentUsage recent(long now) {
+        return new RecentUsage(
                 Math.round(mUsed.sum(now)),
-                Math.round(mUsed.sum(now, UseSettings.PACE_PART)),
-                Math.round(mAsked.sum(now, UseSettings.PACE_PART)));
+                Math.round(mUsed.sum(now, UsageSettings.PACE_FRACTION)),
+                Math.round(mAsked.sum(now, UsageSettings.PACE_FRACTION)));
     }
 }
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/limit/UseSettings.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/limit/UsageSettings.java
@@ -9,17 +9,17 @@
  * @param overage which part of a limit may be used beyond it while routers do not hear each other
  * @param slack what may be used beyond that, in the unit of a limit
  */
-public record UseSettings(double windowSeconds, double overage, double slack) {
+public record UsageSettings(double windowSeconds, double overage, double slack) {
 
     /** What holds where nothing is set. */
-    public static final UseSettings DEFAULT = new UseSettings(10, 0.1, 0);
+    public static final UsageSettings DEFAULT = new UsageSettings(10, 0.1, 0);
 
     /**
      * Over which part of the window use is paced: what may be used in it is the rate's and the
      * burst, as over the whole window. Without it, a flood used a window's limit in a moment, and
      * routers that started after a loss of power took for even use what was not.
      */
-    public static final double PACE_PART = 0.25;
+    public static final double PACE_FRACTION = 0.25;
 
     /** The longest window, seconds. */
     private static final double MOST_SECONDS = 3600;
@@ -28,7 +28,7 @@
     private static final double MILLIS = 1000;
 
     /** Checks the fields. */
-    public UseSettings {
+    public UsageSettings {
         Check.that(
                 "windowSeconds",
                 windowSeconds > 0 && windowSeconds <= MOST_SECONDS,
@@ -52,7 +52,7 @@
      * @return seconds
      */
     public double paceSeconds() {
-        return windowSeconds * PACE_PART;
+        return windowSeconds * PACE_FRACTION;
     }
 
     /**
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/organisation/OrganisationUse.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/organisation/OrganisationUse.java
@@ -15,11 +15,11 @@
 import org.troutpier.common.id.PartnerId;
 import org.troutpier.common.logging.LinePause;
 import org.troutpier.daemon.decision.LimitShare;
-import org.troutpier.daemon.limit.LoweredLimit;
-import org.troutpier.daemon.limit.RecentUse;
-import org.troutpier.daemon.limit.SharedRoom;
-import org.troutpier.daemon.limit.UseMeter;
-import org.troutpier.daemon.limit.UseSettings;
+import org.troutpier.daemon.limit.GradualLimit;
+import org.troutpier.daemon.limit.LimitHeadroom;
+import org.troutpier.daemon.limit.RecentUsage;
+import org.troutpier.daemon.limit.UsageMeter;
+import org.troutpier.daemon.limit.UsageSettings;
 import org.troutpier.daemon.route.Organisation;
 import org.troutpier.daemon.route.RoutingConfiguration;
 import org.troutpier.daemon.route.UseLimit;
@@ -62,7 +62,7 @@
     private static final Logger LOGGER = LogManager.getLogger(OrganisationUse.class);
 
     /** How strictly limits are kept. */
-    private final UseSettings mSettings;
+    private final UsageSettings mSettings;
 
     /** The monotonic clock, milliseconds. */
     private final LongSupplier mMillis;
@@ -125,10 +125,10 @@
     private static final class Account {
 
         /** What it used and asked here. */
-        private final UseMeter mMeter;
+        private final UsageMeter mMeter;
 
         /** What it may use in a window. */
-        private final LoweredLimit mLimit;
+        private final GradualLimit mLimit;
 
         /** The organisation as the version in force has it. */
         private Organisation mOrganisation;
@@ -146,8 +146,8 @@
          * @param windowMillis how long the window is, milliseconds
          */
         Account(double limit, long windowMillis) {
-            mMeter = new UseMeter(windowMillis);
-            mLimit = new LoweredLimit(limit, windowMillis);
+            mMeter = new UsageMeter(windowMillis);
+            mLimit = new GradualLimit(limit, windowMillis);
         }
     }
 
@@ -162,7 +162,7 @@
      * @param metrics counts by organisation
      */
     public OrganisationUse(
-            UseSettings settings,
+            UsageSettings settings,
             LongSupplier millis,
             RandomGenerator random,
             OthersUse others,
@@ -219,11 +219,11 @@
         if (account == null) {
             account = new Account(limit, mSettings.windowMillis());
             mAccounts.put(organisation.id(), account);
-        } else if (limit != account.mLimit.inForce()) {
+        } else if (limit != account.mLimit.target()) {
             LOGGER.info(
                     "limit changed organisation={} before={} now={}",
                     organisation.id(),
-                    (long) account.mLimit.inForce(),
+                    (long) account.mLimit.target(),
                     (long) limit);
             account.mLimit.set(limit, now);
         }
@@ -244,14 +244,14 @@
             return Optional.empty();
         }
         long now = mMillis.getAsLong();
-        account.mMeter.asked(cost, now);
+        account.mMeter.recordRequested(cost, now);
         if (organisation.limit().bounded()) {
-            SharedRoom room = room(account, now);
-            if (!room.fits(cost, mRandom)) {
+            LimitHeadroom room = room(account, now);
+            if (!room.admits(cost, mRandom)) {
                 return Optional.of(refuse(account, cost, room, now));
             }
         }
-        account.mMeter.used(cost, now);
+        account.mMeter.recordUsed(cost, now);
         count(organisation.id(), "used", Math.round(cost));
         return Optional.empty();
     }
@@ -263,17 +263,17 @@
      * @param now the monotonic clock, milliseconds
      * @return the room
      */
-    private SharedRoom room(Account account, long now) {
-        double limit = account.mLimit.at(now);
+    private LimitHeadroom room(Account account, long now) {
+        double limit = account.mLimit.current(now);
         UseLimit inForce = account.mOrganisation.limit();
-        double burst = limit > account.mLimit.inForce() ? inForce.burst() : 0;
+        double burst = limit > account.mLimit.target() ? inForce.burst() : 0;
         double paced = inForce.within(mSettings.paceSeconds()) - burst;
-        return new SharedRoom(
+        return new LimitHeadroom(
                 account.mMeter.recent(now),
                 elsewhere(account.mOrganisation.id()),
                 share(limit, forgottenUse(account, limit, now)).allowed(),
                 share(paced, 0).allowed(),
-                mSettings.windowMillis() * UseSettings.PACE_PART);
+                mSettings.windowMillis() * UsageSettings.PACE_FRACTION);
     }
 
     /**
@@ -304,7 +304,7 @@
      * @param now the monotonic clock, milliseconds
      * @return the refusal
      */
-    private Refusal refuse(Account account, double cost, SharedRoom room, long now) {
+    private Refusal refuse(Account account, double cost, LimitHeadroom room, long now) {
         PartnerId id = account.mOrganisation.id();
         account.mRefused++;
         count(id, "refused", 1);
@@ -312,15 +312,15 @@
                 "%s used %d here and %d elsewhere of %d in %d ms"
                         .formatted(
                                 id,
-                                room.here().window(),
-                                room.elsewhere().window(),
-                                (long) room.most(),
+                                room.local().window(),
+                                room.remote().window(),
+                                (long) room.allowed(),
                                 mSettings.windowMillis());
         if (account.mLines.over(now)) {
             LOGGER.info("organisation beyond its limit: {}", detail);
         }
-        double beyond = cost - room.left();
-        double freedPerMilli = Math.max(1, account.mLimit.inForce()) / mSettings.windowMillis();
+        double beyond = cost - room.remaining();
+        double freedPerMilli = Math.max(1, account.mLimit.target()) / mSettings.windowMillis();
         long wait = Math.round(beyond / freedPerMilli);
         long returnMillis = Math.max(LEAST_RETURN_MILLIS, Math.min(mSettings.windowMillis(), wait));
         return new Refusal(detail, returnMillis);
@@ -336,7 +336,7 @@
     public void giveBack(Organisation organisation, double cost, long at) {
         Account account = mAccounts.get(organisation.id());
         if (account != null) {
-            account.mMeter.takeBack(cost, at, mMillis.getAsLong());
+            account.mMeter.subtract(cost, at, mMillis.getAsLong());
             count(organisation.id(), "given-back", Math.round(cost));
         }
     }
@@ -360,7 +360,7 @@
      * @return the share
      */
     private LimitShare share(double limit, double assumed) {
-        int heard = mOthers.routers() + 1;
+        int heard = mOthers.peerCount() + 1;
         int known = known();
         boolean part = heard < known;
         if (part != mPartToldOf) {
@@ -376,7 +376,7 @@
      * @return the count, this one included
      */
     private int known() {
-        return Math.max(mOthers.routers() + 1, mKnown.getAsInt());
+        return Math.max(mOthers.peerCount() + 1, mKnown.getAsInt());
     }
 
     /**
@@ -385,8 +385,8 @@
      * @param organisation the organisation
      * @return its use
      */
-    private RecentUse elsewhere(PartnerId organisation) {
-        return mOthers.organisations().used().getOrDefault(organisation, RecentUse.NONE);
+    private RecentUsage elsewhere(PartnerId organisation) {
+        return mOthers.organisations().used().getOrDefault(organisation, RecentUsage.NONE);
     }
 
     /**
@@ -409,10 +409,10 @@
         if (mAccounts.isEmpty()) {
             return UseReport.NONE;
         }
-        Map<PartnerId, RecentUse> used = new HashMap<>();
+        Map<PartnerId, RecentUsage> used = new HashMap<>();
         mAccounts.forEach(
                 (id, account) -> {
-                    RecentUse sum = account.mMeter.recent(now);
+                    RecentUsage sum = account.mMeter.recent(now);
                     if ((sum.window() > 0 || sum.asked() > 0)
                             && account.mOrganisation.limit().bounded()) {
                         used.put(id, sum);
@@ -444,14 +444,14 @@
     private Standing standing(Account account, long now) {
         UseLimit limit = account.mOrganisation.limit();
         boolean bounded = limit.bounded();
-        SharedRoom room = room(account, now);
+        LimitHeadroom room = room(account, now);
         return new Standing(
                 account.mOrganisation.id().value(),
                 limit.unit().name().toLowerCase(Locale.ROOT),
-                bounded ? Math.round(account.mLimit.inForce()) : 0,
-                bounded ? Math.round(room.most()) : 0,
-                room.here().window(),
-                room.elsewhere().window(),
+                bounded ? Math.round(account.mLimit.target()) : 0,
+                bounded ? Math.round(room.allowed()) : 0,
+                room.local().window(),
+                room.remote().window(),
                 account.mRefused,
                 account.mOrganisation.keys().stream().map(KeyHash::fingerprint).sorted().toList());
     }
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/organisation/OthersUse.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/organisation/OthersUse.java
@@ -15,5 +15,5 @@
      *
      * @return the count
      */
-    int routers();
+    int peerCount();
 }
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/organisation/UseReport.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/organisation/UseReport.java
@@ -4,7 +4,7 @@
 import java.util.HashMap;
 import java.util.Map;
 import org.troutpier.common.id.PartnerId;
-import org.troutpier.daemon.limit.RecentUse;
+import org.troutpier.daemon.limit.RecentUsage;
 
 /**
  * What organisations with a limit used lately at one or several routers. Immutable and thread safe.
@@ -15,7 +15,7 @@
  * @param used what each organisation used lately
  */
 @JsonFormat(shape = JsonFormat.Shape.ARRAY)
-public record UseReport(double forgotten, Map<PartnerId, RecentUse> used) {
+public record UseReport(double forgotten, Map<PartnerId, RecentUsage> used) {
 
     /** The report of no router. */
     public static final UseReport NONE = new UseReport(0, Map.of());
@@ -33,10 +33,10 @@
      */
     public UseReport plus(Iterable<UseReport> others) {
         double routers = forgotten;
-        Map<PartnerId, RecentUse> sum = new HashMap<>(used);
+        Map<PartnerId, RecentUsage> sum = new HashMap<>(used);
         for (UseReport other : others) {
             routers += other.forgotten;
-            other.used.forEach((id, more) -> sum.merge(id, more, RecentUse::plus));
+            other.used.forEach((id, more) -> sum.merge(id, more, RecentUsage::plus));
         }
         return new UseReport(routers, sum);
     }
@@ -57,7 +57,7 @@
      * @return a new report
      */
     public UseReport after(double passed) {
-        Map<PartnerId, RecentUse> left = new HashMap<>();
+        Map<PartnerId, RecentUsage> left = new HashMap<>();
         used.forEach((organisation, use) -> left.put(organisation, use.after(passed)));
         return new UseReport(0, left);
     }
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/DecodePlace.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/DecodePlace.java
@@ -6,7 +6,7 @@
 import org.troutpier.daemon.decision.MemoryWaitForecast;
 import org.troutpier.daemon.decision.QueueTier;
 import org.troutpier.daemon.directory.UpstreamEntry;
-import org.troutpier.daemon.limit.Asker;
+import org.troutpier.daemon.limit.FlowKey;
 import org.troutpier.daemon.route.EngineTraits;
 
 /**
@@ -26,7 +26,7 @@
     private final EngineTraits mTraits;
 
     /** Who asks. */
-    private final Asker mAsker;
+    private final FlowKey mAsker;
 
     /** The prompt's length. */
     private final long mPromptTokens;
@@ -66,7 +66,7 @@
             ServingContext context,
             String service,
             EngineTraits traits,
-            Asker asker,
+            FlowKey asker,
             long promptTokens,
             long mostTokens) {
         mContext = context;
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/PlaceAllocator.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/PlaceAllocator.java
@@ -15,7 +15,7 @@
 import org.troutpier.daemon.cluster.LoadView;
 import org.troutpier.daemon.decision.QueueTier;
 import org.troutpier.daemon.directory.UpstreamEntry;
-import org.troutpier.daemon.limit.Asker;
+import org.troutpier.daemon.limit.FlowKey;
 import org.troutpier.daemon.notice.UpstreamNotice;
 import org.troutpier.daemon.upstream.AttemptEnd;
 
@@ -135,7 +135,7 @@
      * @param engines the engines that may be used, asked again for each round
      */
     public record Wanted(
-            Asker asker,
+            FlowKey asker,
             long promptTokens,
             long mostTokens,
             double marginTokens,
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/ReportedUse.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/ReportedUse.java
@@ -137,7 +137,7 @@
     /** Notes what is known, and asks the engines where something may be unknown. */
     private void look() {
         long now = mLoop.millis();
-        int heard = mPeers.routers();
+        int heard = mPeers.peerCount();
         if (heard < mHeard) {
             LOGGER.info(
                     "engines asked for their use: routers heard before={} now={}", mHeard, heard);
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/RequestExecution.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/RequestExecution.java
@@ -8,7 +8,7 @@
 import org.troutpier.common.id.UpstreamIncarnation;
 import org.troutpier.common.result.ResultCode;
 import org.troutpier.daemon.directory.UpstreamEntry;
-import org.troutpier.daemon.limit.Asker;
+import org.troutpier.daemon.limit.FlowKey;
 import org.troutpier.daemon.organisation.OrganisationUse;
 import org.troutpier.daemon.request.Knowledge;
 import org.troutpier.daemon.route.Organisation;
@@ -101,7 +101,7 @@
                         request.deadlineMillis() - ServingSettings.ANSWER_MARGIN_MILLIS);
         mDeadline = context.loop().millis() + Math.max(1, held);
         mTimer = context.loop().later(this::expire, Math.max(1, held));
-        mTrace.input("routersHeard", context.peers().routers());
+        mTrace.input("routersHeard", context.peers().peerCount());
         request.organisation().ifPresent(organisation -> mTrace.organisation(organisation.id()));
         context.metrics().began();
         caller.onGone(this::callerGone);
@@ -174,9 +174,10 @@
      *
      * @return the request's rank and organisation
      */
-    protected Asker asker() {
-        return new Asker(
-                priority(), mRequest.organisation().map(Organisation::id).orElse(Asker.NOBODY));
+    protected FlowKey asker() {
+        return new FlowKey(
+                priority(),
+                mRequest.organisation().map(Organisation::id).orElse(FlowKey.NO_ORGANISATION));
     }
 
     /** Looks for an upstream for the first time. */
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/UpstreamAdmission.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/UpstreamAdmission.java
@@ -6,7 +6,7 @@
 import java.util.random.RandomGenerator;
 import org.troutpier.common.id.UpstreamIncarnation;
 import org.troutpier.daemon.directory.UpstreamEntry;
-import org.troutpier.daemon.limit.Asker;
+import org.troutpier.daemon.limit.FlowKey;
 import org.troutpier.daemon.notice.Announced;
 import org.troutpier.daemon.notice.UpstreamNotice;
 
@@ -69,7 +69,7 @@
      * @param asker the request's rank and organisation
      * @return whether it may be sent
      */
-    boolean tryTake(UpstreamEntry upstream, Asker asker) {
+    boolean tryTake(UpstreamEntry upstream, FlowKey asker) {
         boolean taken = admits(upstream) && rates.tryTake(upstream, asker);
         if (taken) {
             notices.sent(upstream);
@@ -104,7 +104,7 @@
      * @param asker the request's rank and organisation
      * @return the upstream; empty where none may be sent it
      */
-    Optional<UpstreamEntry> takeFirst(List<UpstreamEntry> upstreams, Asker asker) {
+    Optional<UpstreamEntry> takeFirst(List<UpstreamEntry> upstreams, FlowKey asker) {
         return upstreams.stream().filter(each -> tryTake(each, asker)).findFirst();
     }
 
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/UpstreamLoads.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/UpstreamLoads.java
@@ -350,7 +350,7 @@
      * @return whether any was
      */
     public boolean peersHeard() {
-        return mPeers.routers() > 0;
+        return mPeers.peerCount() > 0;
     }
 
     /**
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/UpstreamRate.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/UpstreamRate.java
@@ -7,15 +7,15 @@
 import org.troutpier.common.id.UpstreamIncarnation;
 import org.troutpier.common.logging.LinePause;
 import org.troutpier.daemon.decision.MaxMinFairness;
-import org.troutpier.daemon.limit.AskMeter;
-import org.troutpier.daemon.limit.Asker;
-import org.troutpier.daemon.limit.LoweredLimit;
-import org.troutpier.daemon.limit.NamedRate;
+import org.troutpier.daemon.limit.ArrivalMeter;
+import org.troutpier.daemon.limit.FlowKey;
+import org.troutpier.daemon.limit.GradualLimit;
+import org.troutpier.daemon.limit.LastAnnouncedRate;
+import org.troutpier.daemon.limit.LimitHeadroom;
 import org.troutpier.daemon.limit.RateReport;
-import org.troutpier.daemon.limit.RecentUse;
-import org.troutpier.daemon.limit.SharedRoom;
-import org.troutpier.daemon.limit.UseMeter;
-import org.troutpier.daemon.limit.UseSettings;
+import org.troutpier.daemon.limit.RecentUsage;
+import org.troutpier.daemon.limit.UsageMeter;
+import org.troutpier.daemon.limit.UsageSettings;
 
 /**
  * The rate that one start of an upstream names, and what it was sent here. Confined to the traffic
@@ -24,10 +24,10 @@
 final class UpstreamRate {
 
     /** Over which window a rate is kept, and what upstreams bear beyond it. */
-    static final UseSettings SETTINGS = new UseSettings(4, 0.5, 5);
+    static final UsageSettings SETTINGS = new UsageSettings(4, 0.5, 5);
 
     /** How long the newest part of the window is over which a rate is paced, milliseconds. */
-    static final double PACE_MILLIS = SETTINGS.windowMillis() * UseSettings.PACE_PART;
+    static final double PACE_MILLIS = SETTINGS.windowMillis() * UsageSettings.PACE_FRACTION;
 
     /**
      * After how long without a word a rate holds no more, milliseconds: long enough that an
@@ -76,16 +76,16 @@
     private final UpstreamIncarnation mUpstream;
 
     /** What it was sent. */
-    private final UseMeter mMeter = new UseMeter(SETTINGS.windowMillis());
+    private final UsageMeter mMeter = new UsageMeter(SETTINGS.windowMillis());
 
     /** Who asked for it. */
-    private final AskMeter mAsked = new AskMeter(Math.round(PACE_MILLIS));
+    private final ArrivalMeter mAsked = new ArrivalMeter(Math.round(PACE_MILLIS));
 
     /** What it may be sent in a window; meaningless where no rate holds. */
-    private final LoweredLimit mLimit = new LoweredLimit(0, SETTINGS.windowMillis());
+    private final GradualLimit mLimit = new GradualLimit(0, SETTINGS.windowMillis());
 
     /** The rate that holds, requests a second. */
-    private double mPerSecond = NamedRate.UNLIMITED;
+    private double mPerSecond = LastAnnouncedRate.UNLIMITED;
 
     /** How many requests were not sent. */
     private long mWithheld;
@@ -126,7 +126,7 @@
     /**
      * Returns the rate that holds.
      *
-     * @return requests a second, or {@link NamedRate#UNLIMITED}
+     * @return requests a second, or {@link LastAnnouncedRate#UNLIMITED}
      */
     double perSecond() {
         return mPerSecond;
@@ -138,7 +138,7 @@
      * @return whether one holds
      */
     boolean limited() {
-        return mPerSecond != NamedRate.UNLIMITED;
+        return mPerSecond != LastAnnouncedRate.UNLIMITED;
     }
 
     /**
@@ -165,8 +165,10 @@
      * @param elapsed the clock of the control state, milliseconds
      * @return the statement, as old as it is now
      */
-    NamedRate named(long elapsed) {
-        return mKnown ? new NamedRate(mPerSecond, elapsed - mSaidAt) : NamedRate.NEVER;
+    LastAnnouncedRate named(long elapsed) {
+        return mKnown
+                ? new LastAnnouncedRate(mPerSecond, elapsed - mSaidAt)
+                : LastAnnouncedRate.NEVER;
     }
 
     /**
@@ -206,9 +208,9 @@
     void lapse(long elapsed, long now) {
         if (mKnown && elapsed - mSaidAt >= LAPSE_MILLIS) {
             if (limited()) {
-                changed(NamedRate.UNLIMITED, "silence", now);
+                changed(LastAnnouncedRate.UNLIMITED, "silence", now);
             }
-            mPerSecond = NamedRate.UNLIMITED;
+            mPerSecond = LastAnnouncedRate.UNLIMITED;
             mKnown = false;
         }
     }
@@ -230,7 +232,7 @@
                     text(mPerSecond),
                     source);
         }
-        if (perSecond == NamedRate.UNLIMITED) {
+        if (perSecond == LastAnnouncedRate.UNLIMITED) {
             return;
         }
         double limit = Math.max(LEAST_PER_SECOND, perSecond) * SETTINGS.windowSeconds();
@@ -238,7 +240,7 @@
             mLimit.set(limit, now);
         } else {
             mLimit.set(limit, limit + FIRST_TOLERANCE * SETTINGS.tolerance(limit), now);
-            mMeter.keepNewest(KEPT_PART, now);
+            mMeter.discardOlder(KEPT_PART, now);
         }
     }
 
@@ -248,9 +250,9 @@
      * @param asker who asks
      * @param now the traffic loop's clock, milliseconds
      */
-    void asked(Asker asker, long now) {
-        mMeter.asked(1, now);
-        mAsked.asked(asker, now);
+    void asked(FlowKey asker, long now) {
+        mMeter.recordRequested(1, now);
+        mAsked.record(asker, now);
     }
 
     /**
@@ -259,7 +261,7 @@
      * @param now the traffic loop's clock, milliseconds
      */
     void sent(long now) {
-        mMeter.used(1, now);
+        mMeter.recordUsed(1, now);
     }
 
     /** Records that a request is not sent. */
@@ -283,7 +285,7 @@
      * @param now the traffic loop's clock, milliseconds
      */
     void takeBack(long at, long now) {
-        mMeter.takeBack(1, at, now);
+        mMeter.subtract(1, at, now);
     }
 
     /**
@@ -292,7 +294,7 @@
      * @param now the traffic loop's clock, milliseconds
      * @return the use
      */
-    RecentUse recent(long now) {
+    RecentUsage recent(long now) {
         return mMeter.recent(now);
     }
 
@@ -304,7 +306,7 @@
      * @return the report
      */
     RateReport report(long elapsed, long now) {
-        NamedRate named = heardHere() ? named(elapsed) : NamedRate.NEVER;
+        LastAnnouncedRate named = heardHere() ? named(elapsed) : LastAnnouncedRate.NEVER;
         return new RateReport(named, recent(now), mAsked.byRank(now));
     }
 
@@ -317,14 +319,14 @@
      * @param now the traffic loop's clock, milliseconds
      * @return the chance; 0 or less for none, 1 or more for certain
      */
-    double chance(Asker asker, RateReport others, DoubleUnaryOperator share, long now) {
+    double chance(FlowKey asker, RateReport others, DoubleUnaryOperator share, long now) {
         List<Long> here = mAsked.byRank(now);
         double ahead = 0;
         for (int rank = 0; rank < asker.rank(); rank++) {
             ahead += asked(here, rank) + asked(others.asked(), rank);
         }
         double own = asked(here, asker.rank()) + asked(others.asked(), asker.rank());
-        double chance = room(others, share, now).chance(1, ahead, own);
+        double chance = room(others, share, now).admissionProbability(1, ahead, own);
         return chance <= 0 || chance >= 1
                 ? chance
                 : new MaxMinFairness<>(mAsked.byOrganisation(asker.rank(), now), chance)
@@ -339,12 +341,12 @@
      * @param now the traffic loop's clock, milliseconds
      * @return the room, requests
      */
-    private SharedRoom room(RateReport others, DoubleUnaryOperator share, long now) {
-        double paced = mLimit.inForce() * UseSettings.PACE_PART * PACE_FACTOR + PACE_REQUESTS;
-        return new SharedRoom(
+    private LimitHeadroom room(RateReport others, DoubleUnaryOperator share, long now) {
+        double paced = mLimit.target() * UsageSettings.PACE_FRACTION * PACE_FACTOR + PACE_REQUESTS;
+        return new LimitHeadroom(
                 recent(now),
                 others.use(),
-                share.applyAsDouble(mLimit.at(now)),
+                share.applyAsDouble(mLimit.current(now)),
                 share.applyAsDouble(paced),
                 PACE_MILLIS);
     }
@@ -377,6 +379,6 @@
      * @return the text
      */
     private static String text(double perSecond) {
-        return perSecond == NamedRate.UNLIMITED ? "none" : Double.toString(perSecond);
+        return perSecond == LastAnnouncedRate.UNLIMITED ? "none" : Double.toString(perSecond);
     }
 }
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/UpstreamRates.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/UpstreamRates.java
@@ -15,11 +15,11 @@
 import org.troutpier.common.id.UpstreamIncarnation;
 import org.troutpier.daemon.decision.LimitShare;
 import org.troutpier.daemon.directory.UpstreamEntry;
-import org.troutpier.daemon.limit.Asker;
-import org.troutpier.daemon.limit.NamedRate;
-import org.troutpier.daemon.limit.OthersRates;
+import org.troutpier.daemon.limit.FlowKey;
+import org.troutpier.daemon.limit.LastAnnouncedRate;
+import org.troutpier.daemon.limit.PeerRates;
 import org.troutpier.daemon.limit.RateReport;
-import org.troutpier.daemon.limit.RecentUse;
+import org.troutpier.daemon.limit.RecentUsage;
 import org.troutpier.daemon.notice.Announced;
 import org.troutpier.daemon.notice.AnnouncedRate;
 
@@ -55,7 +55,7 @@
     private final LongSupplier mElapsed;
 
     /** What the other routers reported. */
-    private final OthersRates mOthers;
+    private final PeerRates mOthers;
 
     /** Draws whether a request is sent that fits only in part. */
     private final RandomGenerator mRandom;
@@ -105,7 +105,7 @@
             TrafficLoop loop,
             LongSupplier elapsed,
             RandomGenerator random,
-            OthersRates others,
+            PeerRates others,
             IntSupplier known,
             MetricRegistry metrics) {
         mLoop = loop;
@@ -149,7 +149,7 @@
                 && rate.limited()
                 && rate.namedBefore(elapsed - tookMillis)) {
             mUnreported = true;
-            rate.learn(NamedRate.UNLIMITED, elapsed, true, mLoop.millis());
+            rate.learn(LastAnnouncedRate.UNLIMITED, elapsed, true, mLoop.millis());
         }
     }
 
@@ -161,7 +161,7 @@
      * @param asker who asks
      * @return whether it may be sent
      */
-    public boolean tryTake(UpstreamEntry upstream, Asker asker) {
+    public boolean tryTake(UpstreamEntry upstream, FlowKey asker) {
         RateReport others = reported(upstream.incarnation());
         UpstreamRate rate = updated(upstream.incarnation(), others);
         long now = mLoop.millis();
@@ -212,7 +212,7 @@
             RateReport others = reported(upstream.incarnation());
             UpstreamRate rate = updated(upstream.incarnation(), others);
             if (rate.limited()) {
-                RecentUse use = rate.recent(mLoop.millis()).plus(others.use());
+                RecentUsage use = rate.recent(mLoop.millis()).plus(others.use());
                 perSecond += rate.perSecond();
                 asked = Math.max(asked, use.asked());
             }
@@ -255,7 +255,7 @@
      */
     private double share(double limit) {
         double tolerance = UpstreamRate.SETTINGS.tolerance(limit);
-        int heard = mOthers.routers() + 1;
+        int heard = mOthers.peerCount() + 1;
         return new LimitShare(limit, tolerance, heard, mKnown.getAsInt(), 0).allowed();
     }
 
@@ -282,7 +282,7 @@
         Map<UpstreamIncarnation, RateReport> reports = new HashMap<>();
         for (UpstreamRate rate : mRates.values()) {
             rate.lapse(elapsed, now);
-            boolean used = rate.limited() && !rate.recent(now).equals(RecentUse.NONE);
+            boolean used = rate.limited() && !rate.recent(now).equals(RecentUsage.NONE);
             if (used || rate.heardHere()) {
                 reports.put(rate.upstream(), rate.report(elapsed, now));
             }
@@ -348,9 +348,9 @@
         UpstreamRate rate = rate(upstream);
         long elapsed = mElapsed.getAsLong();
         rate.lapse(elapsed, mLoop.millis());
-        NamedRate reported = others.named();
+        LastAnnouncedRate reported = others.named();
         boolean lapsed = reported.ageMillis() >= UpstreamRate.LAPSE_MILLIS;
-        if (!lapsed && rate.named(elapsed).latest(reported) == reported) {
+        if (!lapsed && rate.named(elapsed).mostRecent(reported) == reported) {
             long saidAt = elapsed - reported.ageMillis();
             rate.learn(reported.perSecond(), saidAt, false, mLoop.millis());
         }
--- a/troutpier-daemon/src/test/java/org/troutpier/daemon/cluster/LimitSimulation.java
+++ b/troutpier-daemon/src/test/java/org/troutpier/daemon/cluster/LimitSimulation.java
@@ -16,8 +16,8 @@
 import org.troutpier.common.id.Incarnation;
 import org.troutpier.common.id.PartnerId;
 import org.troutpier.daemon.limit.Arrivals;
-import org.troutpier.daemon.limit.RecentUse;
-import org.troutpier.daemon.limit.UseSettings;
+import org.troutpier.daemon.limit.RecentUsage;
+import org.troutpier.daemon.limit.UsageSettings;
 import org.troutpier.daemon.organisation.OrganisationUse;
 import org.troutpier.daemon.organisation.OthersUse;
 import org.troutpier.daemon.organisation.UseReport;
@@ -33,7 +33,7 @@
 final class LimitSimulation {
 
     /** How strictly limits are kept, as the users' page has it. */
-    static final UseSettings SETTINGS = new UseSettings(8, 0.1, 120_000);
+    static final UsageSettings SETTINGS = new UsageSettings(8, 0.1, 120_000);
 
     private static final long STEP_MILLIS = 50;
     private static final HallId HALL = new HallId("hall");
@@ -159,7 +159,7 @@
         }
 
         @Override
-        public int routers() {
+        public int peerCount() {
             return mHeard;
         }
     }
@@ -306,7 +306,7 @@
     /** Shows a router the sum of its group without itself. */
     private void view(Router router, Group group, UseReport sum) {
         boolean heard = group.mHeard.containsKey(router.incarnation());
-        router.mHeard = Math.max(0, group.mLoads.routers() - (heard ? 1 : 0));
+        router.mHeard = Math.max(0, group.mLoads.peerCount() - (heard ? 1 : 0));
         if (!heard) {
             router.mElsewhere = sum;
             return;
@@ -315,14 +315,15 @@
     }
 
     private static UseReport minus(UseReport sum, UseReport own) {
-        Map<PartnerId, RecentUse> left = new HashMap<>(sum.used());
+        Map<PartnerId, RecentUsage> left = new HashMap<>(sum.used());
         own.used()
                 .forEach(
                         (id, used) ->
                                 left.merge(
                                         id,
-                                        new RecentUse(-used.window(), -used.pace(), -used.asked()),
-                                        RecentUse::plus));
+                                        new RecentUsage(
+                                                -used.window(), -used.pace(), -used.asked()),
+                                        RecentUsage::plus));
         return new UseReport(Math.max(0, sum.forgotten() - own.forgotten()), left);
     }
 
--- a/troutpier-daemon/src/test/java/org/troutpier/daemon/cluster/PeerExchangeTest.java
+++ b/troutpier-daemon/src/test/java/org/troutpier/daemon/cluster/PeerExchangeTest.java
@@ -21,9 +21,9 @@
 import org.troutpier.common.id.InstanceId;
 import org.troutpier.common.id.UpstreamIncarnation;
 import org.troutpier.common.settings.Address;
-import org.troutpier.daemon.limit.NamedRate;
+import org.troutpier.daemon.limit.LastAnnouncedRate;
 import org.troutpier.daemon.limit.RateReport;
-import org.troutpier.daemon.limit.RecentUse;
+import org.troutpier.daemon.limit.RecentUsage;
 import org.troutpier.daemon.node.ManualTime;
 import org.troutpier.daemon.node.Node;
 import org.troutpier.daemon.node.TestNode;
@@ -287,7 +287,7 @@
         List<Router> living = living();
         for (Router router : living) {
             int others = living.size() - 1;
-            assertEquals(router.mLoads.routers(), others, "routers at " + router.mSelf);
+            assertEquals(router.mLoads.peerCount(), others, "routers at " + router.mSelf);
             assertEquals(router.mLoads.use(ENGINE).calls(), others, "calls at " + router.mSelf);
         }
     }
@@ -466,11 +466,11 @@
         routers(MANY);
         mTime.pass(2000);
         List<Router> all = List.copyOf(mRouters.values());
-        RecentUse one = new RecentUse(1, 1, 2);
-        RateReport sent = new RateReport(NamedRate.NEVER, one, List.of(2L));
+        RecentUsage one = new RecentUsage(1, 1, 2);
+        RateReport sent = new RateReport(LastAnnouncedRate.NEVER, one, List.of(2L));
         all.forEach(router -> router.mRates = Map.of(ENGINE, sent));
         all.get(MANY - 1).mRates =
-                Map.of(ENGINE, new RateReport(new NamedRate(3.6, 100), one, List.of(2L)));
+                Map.of(ENGINE, new RateReport(new LastAnnouncedRate(3.6, 100), one, List.of(2L)));
         mTime.pass(1000);
         for (Router router : all) {
             router.mExchange.refresh(() -> {});
@@ -481,7 +481,7 @@
             assertEquals(rate.named().perSecond(), 3.6, "named at " + router.mSelf);
             assertTrue(rate.named().ageMillis() >= 100, "age " + rate.named());
             assertTrue(rate.named().ageMillis() < 1000, "age " + rate.named());
-            assertEquals(rate.use(), new RecentUse(MANY - 1, MANY - 1, 2 * (MANY - 1)));
+            assertEquals(rate.use(), new RecentUsage(MANY - 1, MANY - 1, 2 * (MANY - 1)));
             assertEquals(rate.asked(), List.of(2L * (MANY - 1)));
         }
     }
--- a/troutpier-daemon/src/test/java/org/troutpier/daemon/limit/AskMeterTest.java
+++ b/troutpier-daemon/src/test/java/org/troutpier/daemon/limit/ArrivalMeterTest.java
@@ -8,30 +8,30 @@
 import org.troutpier.common.id.PartnerId;
 
 /** Who asked lately. */
-public final class AskMeterTest {
+public final class ArrivalMeterTest {
 
     private static final PartnerId COAST = new PartnerId("coast");
     private static final PartnerId INLAND = new PartnerId("inland");
 
     @Test
     public void ranksAndOrganisationsAreToldApartAndFade() {
-        AskMeter meter = new AskMeter(1000);
+        ArrivalMeter meter = new ArrivalMeter(1000);
         long now = 100_000;
-        meter.asked(new Asker(2, COAST), now);
-        meter.asked(new Asker(2, COAST), now);
-        meter.asked(new Asker(2, INLAND), now);
-        meter.asked(new Asker(0, INLAND), now);
+        meter.record(new FlowKey(2, COAST), now);
+        meter.record(new FlowKey(2, COAST), now);
+        meter.record(new FlowKey(2, INLAND), now);
+        meter.record(new FlowKey(0, INLAND), now);
         assertEquals(meter.byRank(now), List.of(1L, 0L, 3L));
         assertEquals(meter.byOrganisation(2, now), Map.of(COAST, 2.0, INLAND, 1.0));
         assertEquals(meter.byOrganisation(0, now), Map.of(INLAND, 1.0));
         assertEquals(meter.byRank(now + 2000), List.of());
-        meter.asked(new Asker(1, COAST), now + 2000);
+        meter.record(new FlowKey(1, COAST), now + 2000);
         assertEquals(meter.byOrganisation(2, now + 2000), Map.of());
     }
 
     @Test
     public void ranksBeyondThoseThatAreToldApartCountAsTheNearest() {
-        assertEquals(new Asker(-3, COAST).rank(), 0);
-        assertEquals(new Asker(1000, COAST).rank(), Asker.LEAST_URGENT);
+        assertEquals(new FlowKey(-3, COAST).rank(), 0);
+        assertEquals(new FlowKey(1000, COAST).rank(), FlowKey.LEAST_URGENT_RANK);
     }
 }
--- a/troutpier-daemon/src/test/java/org/troutpier/daemon/limit/LoweredLimitTest.java
+++ b/troutpier-daemon/src/test/java/org/troutpier/daemon/limit/GradualLimitTest.java
@@ -6,44 +6,44 @@
 import org.testng.annotations.Test;
 
 /** How a limit comes down. */
-public final class LoweredLimitTest {
+public final class GradualLimitTest {
 
     private static final double EXACT = 1e-9;
 
-    private LoweredLimit mLimit;
+    private GradualLimit mLimit;
 
     @BeforeMethod
     void start() {
-        mLimit = new LoweredLimit(100, 4000);
+        mLimit = new GradualLimit(100, 4000);
     }
 
     @Test
     public void theDifferenceIsTakenAwayOverAWindow() {
         mLimit.set(20, 10_000);
-        assertEquals(mLimit.inForce(), 20, EXACT);
-        assertEquals(mLimit.at(10_000), 100, EXACT);
-        assertEquals(mLimit.at(11_000), 80, EXACT);
-        assertEquals(mLimit.at(14_000), 20, EXACT);
-        assertEquals(mLimit.at(99_000), 20, EXACT);
+        assertEquals(mLimit.target(), 20, EXACT);
+        assertEquals(mLimit.current(10_000), 100, EXACT);
+        assertEquals(mLimit.current(11_000), 80, EXACT);
+        assertEquals(mLimit.current(14_000), 20, EXACT);
+        assertEquals(mLimit.current(99_000), 20, EXACT);
     }
 
     @Test
     public void oneThatIsLoweredAgainGoesOnFromWhereItIs() {
         mLimit.set(20, 10_000);
         mLimit.set(0, 12_000);
-        assertEquals(mLimit.at(12_000), 60, EXACT);
-        assertEquals(mLimit.at(14_000), 30, EXACT);
+        assertEquals(mLimit.current(12_000), 60, EXACT);
+        assertEquals(mLimit.current(14_000), 30, EXACT);
     }
 
     @Test
     public void aRaisedOneIsInForceAtOnce() {
         mLimit.set(300, 10_000);
-        assertEquals(mLimit.at(10_000), 300, EXACT);
+        assertEquals(mLimit.current(10_000), 300, EXACT);
     }
 
     @Test
     public void whatIsAllowedBeforeIsNeverBelowTheLimit() {
         mLimit.set(50, 10, 10_000);
-        assertEquals(mLimit.at(10_000), 50, EXACT);
+        assertEquals(mLimit.current(10_000), 50, EXACT);
     }
 }
--- a/troutpier-daemon/src/test/java/org/troutpier/daemon/limit/RateReportTest.java
+++ b/troutpier-daemon/src/test/java/org/troutpier/daemon/limit/RateReportTest.java
@@ -9,14 +9,18 @@
 public final class RateReportTest {
 
     private static final RateReport ONE =
-            new RateReport(new NamedRate(3.6, 100), new RecentUse(4, 1, 9), List.of(2L, 7L));
+            new RateReport(
+                    new LastAnnouncedRate(3.6, 100), new RecentUsage(4, 1, 9), List.of(2L, 7L));
     private static final RateReport OTHER =
-            new RateReport(NamedRate.NEVER, new RecentUse(1, 1, 1), List.of(1L));
+            new RateReport(LastAnnouncedRate.NEVER, new RecentUsage(1, 1, 1), List.of(1L));
 
     @Test
     public void useAndWhatWasAskedAddUpInAnyOrder() {
         RateReport both =
-                new RateReport(new NamedRate(3.6, 100), new RecentUse(5, 2, 10), List.of(3L, 7L));
+                new RateReport(
+                        new LastAnnouncedRate(3.6, 100),
+                        new RecentUsage(5, 2, 10),
+                        List.of(3L, 7L));
         assertEquals(ONE.plus(OTHER), both);
         assertEquals(OTHER.plus(ONE), both);
         assertEquals(ONE.plus(RateReport.NONE), ONE);
@@ -24,12 +28,13 @@
 
     @Test
     public void itsRateGrowsOlder() {
-        assertEquals(ONE.later(400).named(), new NamedRate(3.6, 500));
-        assertEquals(OTHER.later(400), OTHER);
+        assertEquals(ONE.aged(400).named(), new LastAnnouncedRate(3.6, 500));
+        assertEquals(OTHER.aged(400), OTHER);
     }
 
     @Test
     public void aReportWithoutRanksIsOneOfNobody() {
-        assertEquals(new RateReport(NamedRate.NEVER, RecentUse.NONE, null), RateReport.NONE);
+        assertEquals(
+                new RateReport(LastAnnouncedRate.NEVER, RecentUsage.NONE, null), RateReport.NONE);
     }
 }
--- a/troutpier-daemon/src/test/java/org/troutpier/daemon/organisation/OrganisationUseTest.java
+++ b/troutpier-daemon/src/test/java/org/troutpier/daemon/organisation/OrganisationUseTest.java
@@ -15,8 +15,8 @@
 import org.troutpier.common.declaration.KeyHash;
 import org.troutpier.common.http.ServerLimits;
 import org.troutpier.common.id.PartnerId;
-import org.troutpier.daemon.limit.RecentUse;
-import org.troutpier.daemon.limit.UseSettings;
+import org.troutpier.daemon.limit.RecentUsage;
+import org.troutpier.daemon.limit.UsageSettings;
 import org.troutpier.daemon.route.Organisation;
 import org.troutpier.daemon.route.RoutingConfiguration;
 import org.troutpier.daemon.route.UseLimit;
@@ -25,7 +25,7 @@
 public final class OrganisationUseTest {
 
     private static final PartnerId COAST = new PartnerId("coast");
-    private static final UseSettings SETTINGS = new UseSettings(10, 0, 0);
+    private static final UsageSettings SETTINGS = new UsageSettings(10, 0, 0);
     private static final long WINDOW = 10_000;
 
     private long mNow;
@@ -51,7 +51,7 @@
                     }
 
                     @Override
-                    public int routers() {
+                    public int peerCount() {
                         return mHeard;
                     }
                 };
@@ -93,7 +93,7 @@
 
     @Test
     public void whatTheOthersUsedLeavesThatMuchLess() {
-        mElsewhere = new UseReport(0, Map.of(COAST, new RecentUse(70, 0, 0)));
+        mElsewhere = new UseReport(0, Map.of(COAST, new RecentUsage(70, 0, 0)));
         assertEquals(letInOf(20, 10), 30.0);
         mNow += 2 * WINDOW;
         assertEquals(letInOf(20, 10), 30.0);
@@ -179,15 +179,15 @@
 
     @Test
     public void useThatNobodyTellsOfAnyMoreFades() {
-        assertEquals(new RecentUse(8, 4, 2).after(0.125), new RecentUse(7, 2, 1));
-        assertEquals(new RecentUse(8, 4, 2).after(1), RecentUse.NONE);
+        assertEquals(new RecentUsage(8, 4, 2).after(0.125), new RecentUsage(7, 2, 1));
+        assertEquals(new RecentUsage(8, 4, 2).after(1), RecentUsage.NONE);
     }
 
     @Test
     public void onlyUseAgainstALimitIsTold() {
         assertEquals(mUse.report(), UseReport.NONE);
         letIn(10);
-        assertEquals(mUse.report(), new UseReport(0, Map.of(COAST, new RecentUse(10, 10, 10))));
+        assertEquals(mUse.report(), new UseReport(0, Map.of(COAST, new RecentUsage(10, 10, 10))));
         limit(2, 0);
         assertEquals(letInOf(50, 10), 500.0);
         assertEquals(mUse.report(), UseReport.NONE);
--- a/troutpier-daemon/src/test/java/org/troutpier/daemon/serving/ExecutionTest.java
+++ b/troutpier-daemon/src/test/java/org/troutpier/daemon/serving/ExecutionTest.java
@@ -28,8 +28,8 @@
 import org.troutpier.daemon.decision.RetryPacer;
 import org.troutpier.daemon.directory.UpstreamDirectory;
 import org.troutpier.daemon.directory.UpstreamEntry;
-import org.troutpier.daemon.limit.Asker;
-import org.troutpier.daemon.limit.UseSettings;
+import org.troutpier.daemon.limit.FlowKey;
+import org.troutpier.daemon.limit.UsageSettings;
 import org.troutpier.daemon.node.ManualTime;
 import org.troutpier.daemon.notice.AnnouncedRate;
 import org.troutpier.daemon.organisation.OrganisationUse;
@@ -94,7 +94,7 @@
                         new ExtraCallBudget(0, 0, 10_000),
                         new PlaceAllocator(mTime.loop(), port, loads, admission, view, random),
                         new OrganisationUse(
-                                UseSettings.DEFAULT,
+                                UsageSettings.DEFAULT,
                                 mTime::millis,
                                 random,
                                 peers,
@@ -563,7 +563,7 @@
     /** Sends an upstream more than it takes, and has it name its rate. */
     private void fill(UpstreamEntry upstream) {
         for (int call = 0; call < 20; call++) {
-            mContext.admission().rates().tryTake(upstream, new Asker(0, Asker.NOBODY));
+            mContext.admission().rates().tryTake(upstream, new FlowKey(0, FlowKey.NO_ORGANISATION));
         }
         mContext.admission()
                 .rates()
--- a/troutpier-daemon/src/test/java/org/troutpier/daemon/serving/PlaceAllocatorTest.java
+++ b/troutpier-daemon/src/test/java/org/troutpier/daemon/serving/PlaceAllocatorTest.java
@@ -23,7 +23,7 @@
 import org.troutpier.daemon.cluster.UpstreamUse;
 import org.troutpier.daemon.decision.QueueTier;
 import org.troutpier.daemon.directory.UpstreamEntry;
-import org.troutpier.daemon.limit.Asker;
+import org.troutpier.daemon.limit.FlowKey;
 import org.troutpier.daemon.node.ManualTime;
 import org.troutpier.daemon.notice.AnnouncedRate;
 import org.troutpier.daemon.organisation.UseReport;
@@ -35,7 +35,7 @@
     private static final long PROMPT = 5000;
     private static final long MOST = 15_000;
     private static final double MARGIN = 16_000;
-    private static final Asker ASKER = new Asker(1, Asker.NOBODY);
+    private static final FlowKey ASKER = new FlowKey(1, FlowKey.NO_ORGANISATION);
 
     private final UpstreamEntry mFirst = Entries.decode("first");
     private final UpstreamEntry mSecond = Entries.decode("second");
@@ -279,7 +279,7 @@
     private void wait(String organisation, List<String> order) {
         mAllocator.find(
                 new PlaceAllocator.Wanted(
-                        new Asker(1, new PartnerId(organisation)),
+                        new FlowKey(1, new PartnerId(organisation)),
                         PROMPT,
                         MOST,
                         0,
--- a/troutpier-daemon/src/test/java/org/troutpier/daemon/serving/UpstreamRateSimulation.java
+++ b/troutpier-daemon/src/test/java/org/troutpier/daemon/serving/UpstreamRateSimulation.java
@@ -13,8 +13,8 @@
 import org.troutpier.common.id.UpstreamIncarnation;
 import org.troutpier.daemon.directory.UpstreamEntry;
 import org.troutpier.daemon.limit.Arrivals;
-import org.troutpier.daemon.limit.Asker;
-import org.troutpier.daemon.limit.OthersRates;
+import org.troutpier.daemon.limit.FlowKey;
+import org.troutpier.daemon.limit.PeerRates;
 import org.troutpier.daemon.limit.RateReport;
 import org.troutpier.daemon.node.ManualTime;
 import org.troutpier.daemon.notice.AnnouncedRate;
@@ -143,7 +143,7 @@
     }
 
     /** One router. */
-    private final class Router implements OthersRates {
+    private final class Router implements PeerRates {
         final Deque<Report> mReports = new ArrayDeque<>();
         Report mHeard = new Report(0, Map.of());
         int mGroup;
@@ -185,11 +185,11 @@
         @Override
         public RateReport rate(UpstreamIncarnation upstream, long now) {
             RateReport report = mOthers.get(upstream);
-            return report == null ? RateReport.NONE : report.later(now - mOthersAt);
+            return report == null ? RateReport.NONE : report.aged(now - mOthersAt);
         }
 
         @Override
-        public int routers() {
+        public int peerCount() {
             return mOthersCount;
         }
     }
@@ -289,7 +289,7 @@
         if (!router.works()) {
             return;
         }
-        Asker asker = new Asker(rank, Asker.NOBODY);
+        FlowKey asker = new FlowKey(rank, FlowKey.NO_ORGANISATION);
         mAsked[rank]++;
         List<Upstream> ordered = new ArrayList<>(mUpstreams);
         Collections.shuffle(ordered, mRandom);
@@ -357,7 +357,7 @@
                     .forEach(
                             (id, rate) ->
                                     router.mOthers.merge(
-                                            id, rate.later(now - heard.at()), RateReport::plus));
+                                            id, rate.aged(now - heard.at()), RateReport::plus));
         }
     }
 }
--- a/troutpier-daemon/src/test/java/org/troutpier/daemon/serving/UpstreamRatesTest.java
+++ b/troutpier-daemon/src/test/java/org/troutpier/daemon/serving/UpstreamRatesTest.java
@@ -14,11 +14,11 @@
 import org.troutpier.common.id.PartnerId;
 import org.troutpier.common.id.UpstreamIncarnation;
 import org.troutpier.daemon.directory.UpstreamEntry;
-import org.troutpier.daemon.limit.Asker;
-import org.troutpier.daemon.limit.NamedRate;
-import org.troutpier.daemon.limit.OthersRates;
+import org.troutpier.daemon.limit.FlowKey;
+import org.troutpier.daemon.limit.LastAnnouncedRate;
+import org.troutpier.daemon.limit.PeerRates;
 import org.troutpier.daemon.limit.RateReport;
-import org.troutpier.daemon.limit.RecentUse;
+import org.troutpier.daemon.limit.RecentUsage;
 import org.troutpier.daemon.node.ManualTime;
 import org.troutpier.daemon.notice.AnnouncedRate;
 
@@ -27,7 +27,7 @@
 
     private static final UpstreamEntry UPSTREAM = Entries.plain("web", "hall-a");
     private static final UpstreamIncarnation ID = UPSTREAM.incarnation();
-    private static final Asker ASKER = new Asker(1, Asker.NOBODY);
+    private static final FlowKey ASKER = new FlowKey(1, FlowKey.NO_ORGANISATION);
     private static final int STEP_MILLIS = 10;
     private static final int WORK_MILLIS = 50;
 
@@ -46,15 +46,15 @@
         mReported = RateReport.NONE;
         mRouters = 0;
         mKnown = 1;
-        OthersRates others =
-                new OthersRates() {
+        PeerRates others =
+                new PeerRates() {
                     @Override
                     public RateReport rate(UpstreamIncarnation upstream, long now) {
                         return upstream.equals(ID) ? mReported : RateReport.NONE;
                     }
 
                     @Override
-                    public int routers() {
+                    public int peerCount() {
                         return mRouters;
                     }
                 };
@@ -133,14 +133,19 @@
     public void whatAnotherRouterHeardLaterHoldsHere() {
         answer(AnnouncedRate.of(3.6));
         mTime.pass(1000);
-        mReported = new RateReport(new NamedRate(2, 100), new RecentUse(4, 1, 9), List.of(9L));
+        mReported =
+                new RateReport(
+                        new LastAnnouncedRate(2, 100), new RecentUsage(4, 1, 9), List.of(9L));
         assertEquals(rates(), List.of(2.0));
         assertEquals(mRates.standings().get(0).elsewhere(), 4);
         mReported =
-                new RateReport(new NamedRate(NamedRate.UNLIMITED, 0), RecentUse.NONE, List.of());
+                new RateReport(
+                        new LastAnnouncedRate(LastAnnouncedRate.UNLIMITED, 0),
+                        RecentUsage.NONE,
+                        List.of());
         mTime.pass(200);
         assertEquals(rates(), List.of());
-        mReported = new RateReport(new NamedRate(3.6, 5000), RecentUse.NONE, List.of());
+        mReported = new RateReport(new LastAnnouncedRate(3.6, 5000), RecentUsage.NONE, List.of());
         assertEquals(rates(), List.of(), "an earlier statement");
     }
 
@@ -150,9 +155,12 @@
         answer(AnnouncedRate.of(3.6));
         assertEquals(
                 mRates.report(),
-                Map.of(ID, new RateReport(new NamedRate(3.6, 0), RecentUse.NONE, List.of())));
+                Map.of(
+                        ID,
+                        new RateReport(
+                                new LastAnnouncedRate(3.6, 0), RecentUsage.NONE, List.of())));
         mTime.pass(1000);
-        mReported = new RateReport(new NamedRate(2, 100), RecentUse.NONE, List.of());
+        mReported = new RateReport(new LastAnnouncedRate(2, 100), RecentUsage.NONE, List.of());
         assertEquals(rates(), List.of(2.0));
         assertEquals(mRates.report(), Map.of());
         assertTrue(mRates.tryTake(UPSTREAM, ASKER));
@@ -160,7 +168,10 @@
                 mRates.report(),
                 Map.of(
                         ID,
-                        new RateReport(NamedRate.NEVER, new RecentUse(1, 1, 1), List.of(0L, 1L))));
+                        new RateReport(
+                                LastAnnouncedRate.NEVER,
+                                new RecentUsage(1, 1, 1),
+                                List.of(0L, 1L))));
     }
 
     @Test
@@ -184,7 +195,7 @@
     }
 
     /** Asks again and again for a while; returns how many were admitted of each asker. */
-    private long[] press(int millis, Asker... askers) {
+    private long[] press(int millis, FlowKey... askers) {
         long[] admitted = new long[askers.length];
         for (int passed = 0; passed < millis; passed += STEP_MILLIS) {
             mTime.pass(STEP_MILLIS);
@@ -219,7 +230,9 @@
     public void whatTheOthersSendIsTakenOff() {
         mRouters = 1;
         mKnown = 2;
-        mReported = new RateReport(new NamedRate(5, 0), new RecentUse(20, 5, 5), List.of(0L, 5L));
+        mReported =
+                new RateReport(
+                        new LastAnnouncedRate(5, 0), new RecentUsage(20, 5, 5), List.of(0L, 5L));
         mRates.tryTake(UPSTREAM, ASKER);
         assertEquals(rates(), List.of(5.0));
         mTime.pass(5000);
@@ -239,15 +252,19 @@
     public void theMoreUrgentGoesFirst() {
         answer(AnnouncedRate.of(5));
         mTime.pass(5000);
-        long[] sent = press(20_000, new Asker(2, Asker.NOBODY), new Asker(1, Asker.NOBODY));
+        long[] sent =
+                press(
+                        20_000,
+                        new FlowKey(2, FlowKey.NO_ORGANISATION),
+                        new FlowKey(1, FlowKey.NO_ORGANISATION));
         assertTrue(sent[1] >= 80, "the more urgent " + sent[1] + " of 100");
         assertTrue(sent[0] <= 10, "the less urgent " + sent[0]);
     }
 
     @Test
     public void organisationsTakeEvenTurns() {
-        Asker flood = new Asker(1, new PartnerId("flood"));
-        Asker calm = new Asker(1, new PartnerId("calm"));
+        FlowKey flood = new FlowKey(1, new PartnerId("flood"));
+        FlowKey calm = new FlowKey(1, new PartnerId("calm"));
         answer(AnnouncedRate.of(8));
         mTime.pass(5000);
         long[] sent = press(20_000, flood, flood, flood, flood, flood, flood, calm);
