--- a/troutpier-cli/src/test/java/org/troutpier/cli/OrganisationsCommandTest.java
+++ b/troutpier-cli/src/test/java/org/troutpier/cli/OrganisationsCommandTest.java
@@ -17,9 +17,9 @@
 import org.troutpier.common.http.ServerLimits;
 import org.troutpier.common.id.PartnerId;
 import org.troutpier.daemon.limit.UsageSettings;
-import org.troutpier.daemon.organisation.OrganisationUse;
-import org.troutpier.daemon.organisation.OthersUse;
-import org.troutpier.daemon.organisation.UseReport;
+import org.troutpier.daemon.organisation.OrganisationLimiter;
+import org.troutpier.daemon.organisation.PeerUsage;
+import org.troutpier.daemon.organisation.UsageReport;
 import org.troutpier.daemon.route.Organisation;
 import org.troutpier.daemon.route.RoutingConfiguration;
 import org.troutpier.daemon.route.UseLimit;
@@ -34,11 +34,11 @@
 
     @BeforeMethod
     void start() {
-        OthersUse nobody =
-                new OthersUse() {
+        PeerUsage nobody =
+                new PeerUsage() {
                     @Override
-                    public UseReport organisations() {
-                        return UseReport.NONE;
+                    public UsageReport organisations() {
+                        return UsageReport.NONE;
                     }
 
                     @Override
@@ -46,8 +46,8 @@
                         return 0;
                     }
                 };
-        OrganisationUse use =
-                new OrganisationUse(
+        OrganisationLimiter use =
+                new OrganisationLimiter(
                         new UsageSettings(10, 0, 0),
                         () -> mNow,
                         new Random(1),
@@ -60,7 +60,7 @@
                         Set.of(KeyHash.of(KEY)),
                         OptionalInt.empty(),
                         new UseLimit(UseLimit.Unit.TOKENS, 0, 1, 90));
-        use.configured(
+        use.applyConfiguration(
                 new RoutingConfiguration(
                         1,
                         List.of(),
@@ -69,10 +69,9 @@
                         ServerLimits.DEFAULT,
                         new byte[0]));
         mNow = 20_000;
-        use.take(coast, 60);
-        use.take(coast, 4000);
-        mRouter =
-                new RouterStandin(exchange -> exchange.answer(Answers.json(200, use.standings())));
+        use.admit(coast, 60);
+        use.admit(coast, 4000);
+        mRouter = new RouterStandin(exchange -> exchange.answer(Answers.json(200, use.statuses())));
     }
 
     @AfterMethod(alwaysRun = true)
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/cluster/LoadReport.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/cluster/LoadReport.java
@@ -9,7 +9,7 @@
 import java.util.Set;
 import org.troutpier.common.id.UpstreamIncarnation;
 import org.troutpier.daemon.limit.RateReport;
-import org.troutpier.daemon.organisation.UseReport;
+import org.troutpier.daemon.organisation.UsageReport;
 
 /**
  * What one or several routers tell the others of themselves. Immutable and thread safe. Each router
@@ -36,7 +36,7 @@
         Set<UpstreamIncarnation> refusing,
         Map<UpstreamIncarnation, UpstreamUse> uses,
         Map<String, Demand> demands,
-        UseReport organisations,
+        UsageReport organisations,
         Map<UpstreamIncarnation, RateReport> rates) {
 
     /** The report of no router. */
@@ -50,7 +50,7 @@
                     Set.of(),
                     Map.of(),
                     Map.of(),
-                    UseReport.NONE,
+                    UsageReport.NONE,
                     Map.of());
 
     /** Copies the maps. */
@@ -59,7 +59,7 @@
         refusing = Set.copyOf(refusing);
         uses = Map.copyOf(uses);
         demands = Map.copyOf(demands);
-        organisations = organisations == null ? UseReport.NONE : organisations;
+        organisations = organisations == null ? UsageReport.NONE : organisations;
         rates = rates == null ? Map.of() : Map.copyOf(rates);
     }
 
@@ -69,7 +69,7 @@
      * @param use the use
      * @return a report that tells of no router
      */
-    static LoadReport of(UseReport use) {
+    static LoadReport of(UsageReport use) {
         return NONE.with(use);
     }
 
@@ -79,7 +79,7 @@
      * @param use the use
      * @return a new report
      */
-    LoadReport with(UseReport use) {
+    LoadReport with(UsageReport use) {
         return with(use, rates);
     }
 
@@ -105,7 +105,7 @@
      * @param named the upstreams that name rates, and what they were sent
      * @return a new report
      */
-    private LoadReport with(UseReport use, Map<UpstreamIncarnation, RateReport> named) {
+    private LoadReport with(UsageReport use, Map<UpstreamIncarnation, RateReport> named) {
         return new LoadReport(
                 configuration,
                 routers,
@@ -169,7 +169,7 @@
         Set<UpstreamIncarnation> refused = new HashSet<>(refusing);
         Map<UpstreamIncarnation, UpstreamUse> allUses = new HashMap<>(uses);
         Map<String, Demand> allDemands = new HashMap<>(demands);
-        List<UseReport> allUse = new ArrayList<>();
+        List<UsageReport> allUse = new ArrayList<>();
         Map<UpstreamIncarnation, RateReport> allRates = new HashMap<>(rates);
         for (LoadReport other : others) {
             count += other.routers;
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/cluster/LoadReporter.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/cluster/LoadReporter.java
@@ -4,7 +4,7 @@
 import java.util.Map;
 import org.troutpier.common.id.UpstreamIncarnation;
 import org.troutpier.daemon.node.Control;
-import org.troutpier.daemon.organisation.OrganisationUse;
+import org.troutpier.daemon.organisation.OrganisationLimiter;
 import org.troutpier.daemon.role.RoleController;
 import org.troutpier.daemon.route.CurrentConfiguration;
 import org.troutpier.daemon.serving.PlaceAllocator;
@@ -34,7 +34,7 @@
     private final DemandMeter mDemand;
 
     /** What organisations used here. */
-    private final OrganisationUse mOrganisations;
+    private final OrganisationLimiter mOrganisations;
 
     /** The rates that upstreams name. */
     private final UpstreamRates mRates;
@@ -76,7 +76,7 @@
             UpstreamLoads loads,
             PlaceAllocator places,
             DemandMeter demand,
-            OrganisationUse organisations,
+            OrganisationLimiter organisations,
             UpstreamRates rates,
             CurrentConfiguration configuration,
             RoleController roles,
@@ -144,7 +144,7 @@
     private void report(Map<UpstreamIncarnation, UpstreamUse> uses) {
         mPace.reported();
         mReported = uses;
-        mConfiguration.current().ifPresent(mOrganisations::configured);
+        mConfiguration.current().ifPresent(mOrganisations::applyConfiguration);
         LoadReport report =
                 new LoadReport(
                         mConfiguration.version(),
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/cluster/PeerLoads.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/cluster/PeerLoads.java
@@ -14,8 +14,8 @@
 import org.troutpier.daemon.limit.PeerRates;
 import org.troutpier.daemon.limit.RateReport;
 import org.troutpier.daemon.limit.UsageSettings;
-import org.troutpier.daemon.organisation.OthersUse;
-import org.troutpier.daemon.organisation.UseReport;
+import org.troutpier.daemon.organisation.PeerUsage;
+import org.troutpier.daemon.organisation.UsageReport;
 
 /**
  * What the other routers said of their load and demand. Changes are confined to the control thread;
@@ -25,7 +25,7 @@
  * #BELIEVED_MILLIS} after it was heard; only reports of the scopes that are counted count, so that
  * no router's load is counted twice.
  */
-public final class PeerLoads implements OthersUse, PeerRates {
+public final class PeerLoads implements PeerUsage, PeerRates {
 
     /** How long a report counts, milliseconds: three of the longest pauses between two. */
     public static final long BELIEVED_MILLIS = 1500;
@@ -121,7 +121,8 @@
         if (!started) {
             mRetained.forget(source);
         }
-        LoadReport told = remembered ? report.with(report.organisations().remembered()) : report;
+        LoadReport told =
+                remembered ? report.with(report.organisations().withFullHistory()) : report;
         mHeard.put(from, new Heard(source, told, now));
         return before == null || before.scope() != scope || !before.report().sameLoad(report);
     }
@@ -148,7 +149,7 @@
                             Heard heard = each.getValue();
                             boolean dropped = gone.test(each.getKey(), heard);
                             if (dropped && heard.scope() != ReportScope.REST) {
-                                UseReport use = heard.report().organisations();
+                                UsageReport use = heard.report().organisations();
                                 mRetained.keep(heard.source(), use, heard.at());
                             }
                             return dropped;
@@ -203,7 +204,7 @@
      * @param now the monotonic clock, milliseconds
      * @return the use; of a hall whose group another router tells of, nothing
      */
-    private UseReport retained(Set<ReportScope> scopes, long now) {
+    private UsageReport retained(Set<ReportScope> scopes, long now) {
         return mRetained.sum(scopes, this::tellsOfGroup, now);
     }
 
@@ -306,7 +307,7 @@
 
     /** {@inheritDoc} */
     @Override
-    public UseReport organisations() {
+    public UsageReport organisations() {
         return mSum.report().organisations();
     }
 
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/cluster/RetainedUse.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/cluster/RetainedUse.java
@@ -6,7 +6,7 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.function.Predicate;
-import org.troutpier.daemon.organisation.UseReport;
+import org.troutpier.daemon.organisation.UsageReport;
 
 /**
  * What organisations used at routers that have fallen silent or started again, for as long as it
@@ -35,7 +35,7 @@
      * @param use what it told last
      * @param at when that was, milliseconds
      */
-    private record Kept(UseReport use, long at) {}
+    private record Kept(UsageReport use, long at) {}
 
     /**
      * Creates a memory of nothing.
@@ -53,7 +53,7 @@
      * @param use what it told last
      * @param at when that was, milliseconds
      */
-    void keep(Source source, UseReport use, long at) {
+    void keep(Source source, UsageReport use, long at) {
         if (!use.used().isEmpty()) {
             mKept.merge(
                     source,
@@ -89,16 +89,16 @@
      * @param now the monotonic clock, milliseconds
      * @return the use
      */
-    UseReport sum(Set<ReportScope> scopes, Predicate<Source> speaks, long now) {
+    UsageReport sum(Set<ReportScope> scopes, Predicate<Source> speaks, long now) {
         mKept.values().removeIf(kept -> now - kept.at() >= mWindowMillis);
-        List<UseReport> left = new ArrayList<>();
+        List<UsageReport> left = new ArrayList<>();
         mKept.forEach(
                 (source, kept) -> {
                     if (scopes.contains(source.scope()) && !speaks.test(source)) {
                         left.add(left(kept, now));
                     }
                 });
-        return left.isEmpty() ? UseReport.NONE : UseReport.NONE.plus(left);
+        return left.isEmpty() ? UsageReport.NONE : UsageReport.NONE.plus(left);
     }
 
     /**
@@ -108,7 +108,7 @@
      * @param now the monotonic clock, milliseconds
      * @return what is left
      */
-    private UseReport left(Kept kept, long now) {
+    private UsageReport left(Kept kept, long now) {
         return kept.use().after((now - kept.at()) / (double) mWindowMillis);
     }
 }
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/notice/AnnouncedBackOff.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/notice/AnnouncedBackOff.java
@@ -9,16 +9,17 @@
  * For how long an upstream that turned a call away wants no other from this router, by the {@code
  * Retry-After} of its answer (RFC 9110, with fractions of seconds). Immutable and thread safe.
  *
- * @param kind whether the answer asks for it
+ * @param state whether the answer asks for it
  * @param millis for how long, milliseconds; 0 where it does not ask
  */
-public record AnnouncedBackOff(Announced kind, long millis) {
+public record AnnouncedBackOff(NoticeState state, long millis) {
 
     /** An answer that asks for none. */
-    public static final AnnouncedBackOff NONE = new AnnouncedBackOff(Announced.NONE, 0);
+    public static final AnnouncedBackOff NONE = new AnnouncedBackOff(NoticeState.NONE, 0);
 
     /** An answer whose request cannot be read. */
-    public static final AnnouncedBackOff UNREADABLE = new AnnouncedBackOff(Announced.UNREADABLE, 0);
+    public static final AnnouncedBackOff UNREADABLE =
+            new AnnouncedBackOff(NoticeState.UNREADABLE, 0);
 
     /** How many milliseconds a second has. */
     private static final int MILLIS = 1000;
@@ -37,7 +38,7 @@
      * @return the announcement
      */
     public static AnnouncedBackOff of(long millis) {
-        return millis == 0 ? NONE : new AnnouncedBackOff(Announced.NAMED, millis);
+        return millis == 0 ? NONE : new AnnouncedBackOff(NoticeState.ANNOUNCED, millis);
     }
 
     /**
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/notice/AnnouncedRate.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/notice/AnnouncedRate.java
@@ -7,16 +7,16 @@
  * What one answer of an upstream announces of the requests a second that it takes from all routers
  * together. Immutable and thread safe.
  *
- * @param kind whether the answer names a rate
+ * @param state whether the answer names a rate
  * @param perSecond the rate, requests a second; 0 where none is named
  */
-public record AnnouncedRate(Announced kind, double perSecond) {
+public record AnnouncedRate(NoticeState state, double perSecond) {
 
     /** An answer that names no rate. */
-    public static final AnnouncedRate NONE = new AnnouncedRate(Announced.NONE, 0);
+    public static final AnnouncedRate NONE = new AnnouncedRate(NoticeState.NONE, 0);
 
     /** An answer whose rate cannot be read. */
-    public static final AnnouncedRate UNREADABLE = new AnnouncedRate(Announced.UNREADABLE, 0);
+    public static final AnnouncedRate UNREADABLE = new AnnouncedRate(NoticeState.UNREADABLE, 0);
 
     /** Checks the rate. */
     public AnnouncedRate {
@@ -32,7 +32,7 @@
      * @return the announcement
      */
     public static AnnouncedRate of(double perSecond) {
-        return new AnnouncedRate(Announced.NAMED, perSecond);
+        return new AnnouncedRate(NoticeState.ANNOUNCED, perSecond);
     }
 
     /**
@@ -45,7 +45,8 @@
         AnnouncedRate lowest = values.isEmpty() ? NONE : UNREADABLE;
         for (String value : HeaderValues.parts(values)) {
             OptionalDouble rate = HeaderValues.decimal(value);
-            boolean lower = lowest.kind != Announced.NAMED || rate.orElse(0) < lowest.perSecond;
+            boolean lower =
+                    lowest.state != NoticeState.ANNOUNCED || rate.orElse(0) < lowest.perSecond;
             lowest = rate.isPresent() && lower ? of(rate.getAsDouble()) : lowest;
         }
         return lowest;
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/notice/Announced.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/notice/NoticeState.java
@@ -3,11 +3,11 @@
 import java.util.List;
 
 /** Whether an answer announces something of its upstream. Immutable and thread safe. */
-public enum Announced {
+public enum NoticeState {
     /** It does not announce it. */
     NONE,
     /** It announces it. */
-    NAMED,
+    ANNOUNCED,
     /** It announces something that cannot be read, which changes nothing. */
     UNREADABLE;
 
@@ -23,10 +23,10 @@
      * @param values the values, as they came
      * @return whether any of them announces it; unreadable where none does and one is no such value
      */
-    public static Announced flag(List<String> values) {
+    public static NoticeState parseFlag(List<String> values) {
         List<String> parts = HeaderValues.parts(values);
         if (parts.stream().anyMatch(part -> contains(YES, part))) {
-            return NAMED;
+            return ANNOUNCED;
         }
         return parts.stream().allMatch(part -> contains(NO, part)) ? NONE : UNREADABLE;
     }
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/notice/UpstreamNotice.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/notice/UpstreamNotice.java
@@ -9,9 +9,9 @@
  * @param backOff for how long it wants no call from this router
  * @param leaving whether its start is about to end
  */
-public record UpstreamNotice(AnnouncedRate rate, AnnouncedBackOff backOff, Announced leaving) {
+public record UpstreamNotice(AnnouncedRate rate, AnnouncedBackOff backOff, NoticeState leaving) {
 
     /** An answer that announces nothing. */
     public static final UpstreamNotice NONE =
-            new UpstreamNotice(AnnouncedRate.NONE, AnnouncedBackOff.NONE, Announced.NONE);
+            new UpstreamNotice(AnnouncedRate.NONE, AnnouncedBackOff.NONE, NoticeState.NONE);
 }
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/organisation/KeyTrust.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/organisation/KeyTrust.java
@@ -30,7 +30,7 @@
     }
 
     /** Takes note that the configuration is the newest. */
-    public void confirmed() {
+    public void recordConfirmation() {
         mConfirmedAt = mMillis.getAsLong();
     }
 
@@ -39,7 +39,7 @@
      *
      * @return whether the keys were confirmed lately, or count without that
      */
-    public boolean keysCount() {
+    public boolean acceptsKeys() {
         return !mSettings.refuseUnconfirmed()
                 || mMillis.getAsLong() - mConfirmedAt <= mSettings.confirmedMillis();
     }
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/organisation/OrganisationUse.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/organisation/OrganisationLimiter.java
@@ -32,7 +32,7 @@
  * <p>It answers limits that hold a few requests for each router in a window: a fixed part of such a
  * limit is less than one request, and rejects nearly all that the whole would admit.
  */
-public final class OrganisationUse {
+public final class OrganisationLimiter {
 
     /** Where operators list the organisations. */
     public static final String PATH = "/organisations";
@@ -59,7 +59,7 @@
     private static final String FIGURES = "organisation.";
 
     /** Logs refusals and changed limits. */
-    private static final Logger LOGGER = LogManager.getLogger(OrganisationUse.class);
+    private static final Logger LOGGER = LogManager.getLogger(OrganisationLimiter.class);
 
     /** How strictly limits are kept. */
     private final UsageSettings mSettings;
@@ -71,7 +71,7 @@
     private final RandomGenerator mRandom;
 
     /** What the other routers used. */
-    private final OthersUse mOthers;
+    private final PeerUsage mOthers;
 
     /** Tells how many routers there may be. */
     private final IntSupplier mKnown;
@@ -111,7 +111,7 @@
      * @param refused how many requests were refused here since the start
      * @param keys the fingerprints of its keys
      */
-    public record Standing(
+    public record Status(
             String organisation,
             String unit,
             long limit,
@@ -161,11 +161,11 @@
      * @param known tells how many routers there may be, this one included
      * @param metrics counts by organisation
      */
-    public OrganisationUse(
+    public OrganisationLimiter(
             UsageSettings settings,
             LongSupplier millis,
             RandomGenerator random,
-            OthersUse others,
+            PeerUsage others,
             IntSupplier known,
             MetricRegistry metrics) {
         mSettings = settings;
@@ -182,7 +182,7 @@
      *
      * @param configuration the version in force
      */
-    public void configured(RoutingConfiguration configuration) {
+    public void applyConfiguration(RoutingConfiguration configuration) {
         if (configuration.version() == mVersion) {
             return;
         }
@@ -191,7 +191,7 @@
         if (mAccounts.keySet().retainAll(organisations.keySet())) {
             mMetrics.removeMatching((name, metric) -> name.startsWith(FIGURES) && !counted(name));
         }
-        organisations.values().forEach(this::configured);
+        organisations.values().forEach(this::applyConfiguration);
     }
 
     /**
@@ -212,7 +212,7 @@
      *
      * @param organisation the organisation
      */
-    private void configured(Organisation organisation) {
+    private void applyConfiguration(Organisation organisation) {
         long now = mMillis.getAsLong();
         double limit = organisation.limit().within(mSettings.windowSeconds());
         Account account = mAccounts.get(organisation.id());
@@ -238,7 +238,7 @@
      * @param cost what it uses, in the limit's unit
      * @return why it is rejected, or empty where it is admitted
      */
-    public Optional<Refusal> take(Organisation organisation, double cost) {
+    public Optional<Refusal> admit(Organisation organisation, double cost) {
         Account account = mAccounts.get(organisation.id());
         if (account == null) {
             return Optional.empty();
@@ -333,7 +333,7 @@
      * @param cost what it used
      * @param at when it was admitted, milliseconds
      */
-    public void giveBack(Organisation organisation, double cost, long at) {
+    public void refund(Organisation organisation, double cost, long at) {
         Account account = mAccounts.get(organisation.id());
         if (account != null) {
             account.mMeter.subtract(cost, at, mMillis.getAsLong());
@@ -404,10 +404,10 @@
      *
      * @return what each organisation with a limit used here
      */
-    public UseReport report() {
+    public UsageReport report() {
         long now = mMillis.getAsLong();
         if (mAccounts.isEmpty()) {
-            return UseReport.NONE;
+            return UsageReport.NONE;
         }
         Map<PartnerId, RecentUsage> used = new HashMap<>();
         mAccounts.forEach(
@@ -418,7 +418,7 @@
                         used.put(id, sum);
                     }
                 });
-        return new UseReport(forgotten(now), used);
+        return new UsageReport(forgotten(now), used);
     }
 
     /**
@@ -426,7 +426,7 @@
      *
      * @return the organisations by name
      */
-    public List<Standing> standings() {
+    public List<Status> statuses() {
         long now = mMillis.getAsLong();
         return mAccounts.values().stream()
                 .map(account -> standing(account, now))
@@ -441,11 +441,11 @@
      * @param now the monotonic clock, milliseconds
      * @return what operators see
      */
-    private Standing standing(Account account, long now) {
+    private Status standing(Account account, long now) {
         UseLimit limit = account.mOrganisation.limit();
         boolean bounded = limit.bounded();
         LimitHeadroom room = room(account, now);
-        return new Standing(
+        return new Status(
                 account.mOrganisation.id().value(),
                 limit.unit().name().toLowerCase(Locale.ROOT),
                 bounded ? Math.round(account.mLimit.target()) : 0,
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/organisation/OthersUse.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/organisation/PeerUsage.java
@@ -1,14 +1,14 @@
 package org.troutpier.daemon.organisation;
 
 /** What the other routers reported of organisations' usage. Thread safe. */
-public interface OthersUse {
+public interface PeerUsage {
 
     /**
      * Returns what the others used, and those that have fallen silent since.
      *
      * @return the sum, as it was known last
      */
-    UseReport organisations();
+    UsageReport organisations();
 
     /**
      * Returns how many others were heard of lately.
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/organisation/Requester.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/organisation/Requester.java
@@ -32,13 +32,13 @@
      * @param key the caller's key, if it sent one that can be read
      * @return who asks, or empty where the key is missing or not known
      */
-    static Optional<Requester> of(
+    static Optional<Requester> authenticate(
             RoutingConfiguration configuration, Route route, Optional<KeyHash> key) {
         if (!configuration.asksForKeys()) {
             return Optional.of(new Unchecked());
         }
         if (route.open()) {
-            return Optional.of(new Anyone());
+            return Optional.of(new PublicCaller());
         }
         return key.flatMap(configuration::organisation).map(Member::new);
     }
@@ -60,7 +60,7 @@
     }
 
     /** A caller of a route that asks for no key. */
-    record Anyone() implements Requester {
+    record PublicCaller() implements Requester {
 
         /** {@inheritDoc} */
         @Override
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/organisation/UseReport.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/organisation/UsageReport.java
@@ -15,13 +15,13 @@
  * @param used what each organisation used lately
  */
 @JsonFormat(shape = JsonFormat.Shape.ARRAY)
-public record UseReport(double forgotten, Map<PartnerId, RecentUsage> used) {
+public record UsageReport(double forgotten, Map<PartnerId, RecentUsage> used) {
 
     /** The report of no router. */
-    public static final UseReport NONE = new UseReport(0, Map.of());
+    public static final UsageReport NONE = new UsageReport(0, Map.of());
 
     /** Copies the map. */
-    public UseReport {
+    public UsageReport {
         used = Map.copyOf(used);
     }
 
@@ -31,14 +31,14 @@
      * @param others the others' reports
      * @return a new report
      */
-    public UseReport plus(Iterable<UseReport> others) {
+    public UsageReport plus(Iterable<UsageReport> others) {
         double routers = forgotten;
         Map<PartnerId, RecentUsage> sum = new HashMap<>(used);
-        for (UseReport other : others) {
+        for (UsageReport other : others) {
             routers += other.forgotten;
             other.used.forEach((id, more) -> sum.merge(id, more, RecentUsage::plus));
         }
-        return new UseReport(routers, sum);
+        return new UsageReport(routers, sum);
     }
 
     /**
@@ -46,8 +46,8 @@
      *
      * @return the same use, with nothing forgotten
      */
-    public UseReport remembered() {
-        return new UseReport(0, used);
+    public UsageReport withFullHistory() {
+        return new UsageReport(0, used);
     }
 
     /**
@@ -56,9 +56,9 @@
      * @param passed how long ago that was, as a part of the window
      * @return a new report
      */
-    public UseReport after(double passed) {
+    public UsageReport after(double passed) {
         Map<PartnerId, RecentUsage> left = new HashMap<>();
         used.forEach((organisation, use) -> left.put(organisation, use.after(passed)));
-        return new UseReport(0, left);
+        return new UsageReport(0, left);
     }
 }
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/RequestExecution.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/RequestExecution.java
@@ -9,7 +9,7 @@
 import org.troutpier.common.result.ResultCode;
 import org.troutpier.daemon.directory.UpstreamEntry;
 import org.troutpier.daemon.limit.FlowKey;
-import org.troutpier.daemon.organisation.OrganisationUse;
+import org.troutpier.daemon.organisation.OrganisationLimiter;
 import org.troutpier.daemon.request.Knowledge;
 import org.troutpier.daemon.route.Organisation;
 import org.troutpier.daemon.route.Route;
@@ -139,7 +139,8 @@
             return true;
         }
         double cost = organisation.get().limit().cost(mRequest.tokens());
-        Optional<OrganisationUse.Refusal> refusal = mContext.use().take(organisation.get(), cost);
+        Optional<OrganisationLimiter.Refusal> refusal =
+                mContext.use().admit(organisation.get(), cost);
         if (refusal.isPresent()) {
             long returnMillis = refusal.get().returnMillis();
             refuse(ResultCode.USE_LIMIT, refusal.get().detail(), returnMillis);
@@ -154,7 +155,7 @@
     private void giveBackUse() {
         if (mCost > 0 && (!mSent || mNotRun)) {
             mRequest.organisation()
-                    .ifPresent(each -> mContext.use().giveBack(each, mCost, mCountedAt));
+                    .ifPresent(each -> mContext.use().refund(each, mCost, mCountedAt));
         }
     }
 
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/RequestRouter.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/RequestRouter.java
@@ -64,14 +64,14 @@
             return;
         }
         Optional<Requester> requester =
-                Requester.of(configuration.get(), route.get(), request.key());
+                Requester.authenticate(configuration.get(), route.get(), request.key());
         Optional<TroutpierException> stranger = stranger(requester);
         if (stranger.isPresent()) {
             ResultCode code = stranger.get().code();
             refuse(request, caller, code, code.retryAfterSeconds() * MILLIS_PER_SECOND);
             return;
         }
-        mContext.use().configured(configuration.get());
+        mContext.use().applyConfiguration(configuration.get());
         String name = route.get().service(mContext.random().nextDouble());
         Optional<Service> service = configuration.get().service(name);
         RequestExecution execution =
@@ -93,7 +93,7 @@
         Optional<TroutpierException> stranger =
                 configuration
                         .flatMap(each -> each.route(host, path(target)))
-                        .map(route -> Requester.of(configuration.get(), route, key))
+                        .map(route -> Requester.authenticate(configuration.get(), route, key))
                         .flatMap(this::stranger);
         stranger.ifPresent(why -> mContext.metrics().ended(why.code().label()));
         return stranger;
@@ -110,7 +110,7 @@
         if (keyless) {
             return Optional.empty();
         }
-        if (!mKeys.keysCount()) {
+        if (!mKeys.acceptsKeys()) {
             return refusal(ResultCode.KEYS_UNCONFIRMED);
         }
         return requester.isEmpty() ? refusal(ResultCode.UNKNOWN_TOKEN) : Optional.empty();
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/ServingContext.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/ServingContext.java
@@ -9,7 +9,7 @@
 import org.troutpier.daemon.decision.LatencyEstimator;
 import org.troutpier.daemon.decision.RetryPacer;
 import org.troutpier.daemon.directory.UpstreamDirectory;
-import org.troutpier.daemon.organisation.OrganisationUse;
+import org.troutpier.daemon.organisation.OrganisationLimiter;
 
 /**
  * The collaborators of each request's execution. Immutable; confined to the traffic loop, as are
@@ -44,7 +44,7 @@
         UpstreamAdmission admission,
         ExtraCallBudget budget,
         PlaceAllocator places,
-        OrganisationUse use,
+        OrganisationLimiter use,
         ReturningRequests returning,
         CrashGuard crashes,
         RetryPacer pacer,
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/UpstreamAdmission.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/UpstreamAdmission.java
@@ -7,7 +7,7 @@
 import org.troutpier.common.id.UpstreamIncarnation;
 import org.troutpier.daemon.directory.UpstreamEntry;
 import org.troutpier.daemon.limit.FlowKey;
-import org.troutpier.daemon.notice.Announced;
+import org.troutpier.daemon.notice.NoticeState;
 import org.troutpier.daemon.notice.UpstreamNotice;
 
 /**
@@ -57,7 +57,7 @@
      */
     public void received(UpstreamEntry upstream, UpstreamNotice notice) {
         notices.received(upstream, notice);
-        if (notice.rate().kind() != Announced.NONE) {
+        if (notice.rate().state() != NoticeState.NONE) {
             rates.heard(upstream, notice.rate(), UpstreamPort.Verdict.OWN_FAILURE, 0);
         }
     }
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/UpstreamNotices.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/UpstreamNotices.java
@@ -13,7 +13,7 @@
 import org.apache.logging.log4j.Logger;
 import org.troutpier.common.id.UpstreamIncarnation;
 import org.troutpier.daemon.directory.UpstreamEntry;
-import org.troutpier.daemon.notice.Announced;
+import org.troutpier.daemon.notice.NoticeState;
 import org.troutpier.daemon.notice.UpstreamNotice;
 
 /**
@@ -102,14 +102,14 @@
      * @param notice what it announces
      */
     void received(UpstreamEntry upstream, UpstreamNotice notice) {
-        if (notice.leaving() == Announced.NAMED) {
+        if (notice.leaving() == NoticeState.ANNOUNCED) {
             leaves(upstream);
         }
-        if (notice.backOff().kind() == Announced.NAMED) {
+        if (notice.backOff().state() == NoticeState.ANNOUNCED) {
             backsOff(upstream, notice.backOff().millis());
         }
-        if (notice.leaving() == Announced.UNREADABLE
-                || notice.backOff().kind() == Announced.UNREADABLE) {
+        if (notice.leaving() == NoticeState.UNREADABLE
+                || notice.backOff().state() == NoticeState.UNREADABLE) {
             count(upstream, "notice-unreadable");
             LOGGER.debug("upstream notice not readable id={}", upstream.incarnation());
         }
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/UpstreamRates.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/UpstreamRates.java
@@ -20,8 +20,8 @@
 import org.troutpier.daemon.limit.PeerRates;
 import org.troutpier.daemon.limit.RateReport;
 import org.troutpier.daemon.limit.RecentUsage;
-import org.troutpier.daemon.notice.Announced;
 import org.troutpier.daemon.notice.AnnouncedRate;
+import org.troutpier.daemon.notice.NoticeState;
 
 /**
  * Keeps upstreams in need to the rates that they name in their answers, over all routers: each
@@ -136,11 +136,11 @@
         }
         long elapsed = mElapsed.getAsLong();
         UpstreamRate rate = updated(upstream.incarnation(), reported(upstream.incarnation()));
-        if (announced.kind() == Announced.NAMED) {
+        if (announced.state() == NoticeState.ANNOUNCED) {
             count(rate, "rate-named");
             mUnreported |= announced.perSecond() != rate.perSecond();
             rate.learn(announced.perSecond(), elapsed, true, mLoop.millis());
-        } else if (announced.kind() == Announced.UNREADABLE) {
+        } else if (announced.state() == NoticeState.UNREADABLE) {
             count(rate, "rate-unreadable");
             if (rate.lineDue(mLoop.millis())) {
                 LOGGER.warn("upstream rate not readable id={}", upstream.incarnation());
--- a/troutpier-daemon/src/test/java/org/troutpier/daemon/cluster/LimitSimulation.java
+++ b/troutpier-daemon/src/test/java/org/troutpier/daemon/cluster/LimitSimulation.java
@@ -18,9 +18,9 @@
 import org.troutpier.daemon.limit.Arrivals;
 import org.troutpier.daemon.limit.RecentUsage;
 import org.troutpier.daemon.limit.UsageSettings;
-import org.troutpier.daemon.organisation.OrganisationUse;
-import org.troutpier.daemon.organisation.OthersUse;
-import org.troutpier.daemon.organisation.UseReport;
+import org.troutpier.daemon.organisation.OrganisationLimiter;
+import org.troutpier.daemon.organisation.PeerUsage;
+import org.troutpier.daemon.organisation.UsageReport;
 import org.troutpier.daemon.route.Organisation;
 import org.troutpier.daemon.route.RoutingConfiguration;
 import org.troutpier.daemon.route.UseLimit;
@@ -99,7 +99,7 @@
     /** Routers that hear each other, and what they told. */
     private static final class Group {
         final PeerLoads mLoads = new PeerLoads(SETTINGS);
-        final Map<Incarnation, UseReport> mHeard = new HashMap<>();
+        final Map<Incarnation, UsageReport> mHeard = new HashMap<>();
         final Deque<Told> mOnTheWay = new ArrayDeque<>();
 
         /** What the routers that hand out parts have given, by organisation. */
@@ -109,19 +109,19 @@
     }
 
     /** A report that arrives later. */
-    private record Told(long at, Incarnation from, UseReport use) {}
+    private record Told(long at, Incarnation from, UsageReport use) {}
 
     /** One router. */
-    private final class Router implements OthersUse {
+    private final class Router implements PeerUsage {
         final int mNumber;
         int mStart;
         int mGroup;
         boolean mDown;
         long mDownUntil;
         long mFrozenUntil;
-        OrganisationUse mUse;
+        OrganisationLimiter mUse;
         final Map<PartnerId, Double> mGranted = new HashMap<>();
-        UseReport mElsewhere = UseReport.NONE;
+        UsageReport mElsewhere = UsageReport.NONE;
         int mHeard;
 
         Router(int number) {
@@ -136,17 +136,17 @@
         void start() {
             mStart++;
             mGranted.clear();
-            mElsewhere = UseReport.NONE;
+            mElsewhere = UsageReport.NONE;
             mHeard = 0;
             mUse =
-                    new OrganisationUse(
+                    new OrganisationLimiter(
                             SETTINGS,
                             () -> mNow,
                             mRandom,
                             this,
                             () -> mRouters,
                             new MetricRegistry());
-            mUse.configured(configuration());
+            mUse.applyConfiguration(configuration());
         }
 
         boolean works() {
@@ -154,7 +154,7 @@
         }
 
         @Override
-        public UseReport organisations() {
+        public UsageReport organisations() {
             return mElsewhere;
         }
 
@@ -201,7 +201,7 @@
         asking.mBindsAt = mNow + SETTINGS.windowMillis() + 1;
         asking.mOrganisation = Asking.named(asking.mOrganisation.id().value(), perSecond);
         mVersion++;
-        mAll.forEach(router -> router.mUse.configured(configuration()));
+        mAll.forEach(router -> router.mUse.applyConfiguration(configuration()));
     }
 
     /** Kills some routers; they start again after a while and know nothing. */
@@ -270,7 +270,7 @@
             }
         }
         mGroups.values().forEach(this::hear);
-        Map<Integer, UseReport> sums = new HashMap<>();
+        Map<Integer, UsageReport> sums = new HashMap<>();
         mGroups.forEach(
                 (number, group) -> {
                     group.mLoads.sum(mNow);
@@ -304,7 +304,7 @@
     }
 
     /** Shows a router the sum of its group without itself. */
-    private void view(Router router, Group group, UseReport sum) {
+    private void view(Router router, Group group, UsageReport sum) {
         boolean heard = group.mHeard.containsKey(router.incarnation());
         router.mHeard = Math.max(0, group.mLoads.peerCount() - (heard ? 1 : 0));
         if (!heard) {
@@ -314,7 +314,7 @@
         router.mElsewhere = minus(sum, group.mHeard.get(router.incarnation()));
     }
 
-    private static UseReport minus(UseReport sum, UseReport own) {
+    private static UsageReport minus(UsageReport sum, UsageReport own) {
         Map<PartnerId, RecentUsage> left = new HashMap<>(sum.used());
         own.used()
                 .forEach(
@@ -324,7 +324,7 @@
                                         new RecentUsage(
                                                 -used.window(), -used.pace(), -used.asked()),
                                         RecentUsage::plus));
-        return new UseReport(Math.max(0, sum.forgotten() - own.forgotten()), left);
+        return new UsageReport(Math.max(0, sum.forgotten() - own.forgotten()), left);
     }
 
     /** Has an organisation's callers ask, and judges what upstreams ran. */
@@ -362,10 +362,11 @@
             return granted(router, asking, cost);
         }
         if (mWay == Way.FIXED_PART) {
-            router.mElsewhere = UseReport.NONE;
+            router.mElsewhere = UsageReport.NONE;
             router.mHeard = 0;
         }
-        Optional<OrganisationUse.Refusal> refusal = router.mUse.take(asking.mOrganisation, cost);
+        Optional<OrganisationLimiter.Refusal> refusal =
+                router.mUse.admit(asking.mOrganisation, cost);
         return refusal.isEmpty();
     }
 
--- a/troutpier-daemon/src/test/java/org/troutpier/daemon/cluster/PeerExchangeTest.java
+++ b/troutpier-daemon/src/test/java/org/troutpier/daemon/cluster/PeerExchangeTest.java
@@ -27,7 +27,7 @@
 import org.troutpier.daemon.node.ManualTime;
 import org.troutpier.daemon.node.Node;
 import org.troutpier.daemon.node.TestNode;
-import org.troutpier.daemon.organisation.UseReport;
+import org.troutpier.daemon.organisation.UsageReport;
 import org.troutpier.daemon.peer.Membership.Member;
 import org.troutpier.daemon.peer.PeerLinks;
 import org.troutpier.daemon.peer.PeerMesh;
@@ -157,7 +157,7 @@
         int mCalls = 1;
 
         /** What organisations used here. */
-        UseReport mUse = UseReport.NONE;
+        UsageReport mUse = UsageReport.NONE;
 
         /** What was heard and sent here of upstreams that name rates. */
         Map<UpstreamIncarnation, RateReport> mRates = Map.of();
--- a/troutpier-daemon/src/test/java/org/troutpier/daemon/organisation/OrganisationUseTest.java
+++ b/troutpier-daemon/src/test/java/org/troutpier/daemon/organisation/OrganisationLimiterTest.java
@@ -22,7 +22,7 @@
 import org.troutpier.daemon.route.UseLimit;
 
 /** What one router admits, by what it counts and receives. */
-public final class OrganisationUseTest {
+public final class OrganisationLimiterTest {
 
     private static final PartnerId COAST = new PartnerId("coast");
     private static final UsageSettings SETTINGS = new UsageSettings(10, 0, 0);
@@ -31,9 +31,9 @@
     private long mNow;
     private int mHeard;
     private int mKnown;
-    private UseReport mElsewhere;
+    private UsageReport mElsewhere;
     private MetricRegistry mMetrics;
-    private OrganisationUse mUse;
+    private OrganisationLimiter mUse;
     private Organisation mCoast;
 
     @BeforeMethod
@@ -41,12 +41,12 @@
         mNow = 50_000;
         mHeard = 0;
         mKnown = 1;
-        mElsewhere = UseReport.NONE;
+        mElsewhere = UsageReport.NONE;
         mMetrics = new MetricRegistry();
-        OthersUse others =
-                new OthersUse() {
+        PeerUsage others =
+                new PeerUsage() {
                     @Override
-                    public UseReport organisations() {
+                    public UsageReport organisations() {
                         return mElsewhere;
                     }
 
@@ -56,7 +56,7 @@
                     }
                 };
         mUse =
-                new OrganisationUse(
+                new OrganisationLimiter(
                         SETTINGS, () -> mNow, new Random(1), others, () -> mKnown, mMetrics);
         mNow += WINDOW;
         limit(1, 10);
@@ -70,7 +70,7 @@
     private void limit(long version, double perSecond, double burst) {
         UseLimit limit = new UseLimit(UseLimit.Unit.TOKENS, 0, perSecond, burst);
         mCoast = new Organisation(COAST, Set.of(KeyHash.of("key")), OptionalInt.empty(), limit);
-        mUse.configured(configuration(version, List.of(mCoast)));
+        mUse.applyConfiguration(configuration(version, List.of(mCoast)));
     }
 
     private static RoutingConfiguration configuration(
@@ -80,7 +80,7 @@
     }
 
     private boolean letIn(double cost) {
-        return mUse.take(mCoast, cost).isEmpty();
+        return mUse.admit(mCoast, cost).isEmpty();
     }
 
     private double letInOf(int requests, double cost) {
@@ -93,7 +93,7 @@
 
     @Test
     public void whatTheOthersUsedLeavesThatMuchLess() {
-        mElsewhere = new UseReport(0, Map.of(COAST, new RecentUsage(70, 0, 0)));
+        mElsewhere = new UsageReport(0, Map.of(COAST, new RecentUsage(70, 0, 0)));
         assertEquals(letInOf(20, 10), 30.0);
         mNow += 2 * WINDOW;
         assertEquals(letInOf(20, 10), 30.0);
@@ -104,14 +104,14 @@
         long at = mNow;
         assertEquals(letInOf(20, 10), 100.0);
         assertFalse(letIn(10));
-        mUse.giveBack(mCoast, 20, at);
+        mUse.refund(mCoast, 20, at);
         assertTrue(letIn(10));
     }
 
     @Test
     public void aRefusalTellsWhenThereIsRoom() {
         letInOf(20, 10);
-        OrganisationUse.Refusal refusal = mUse.take(mCoast, 20).get();
+        OrganisationLimiter.Refusal refusal = mUse.admit(mCoast, 20).get();
         assertTrue(refusal.returnMillis() / 10 == 200, "return " + refusal.returnMillis());
         assertTrue(refusal.detail().contains("coast"), refusal.detail());
         assertEquals(mMetrics.counter("organisation.coast.refused").getCount(), 11);
@@ -132,17 +132,17 @@
     @Test
     public void aRouterThatStartsTakesTheWindowBeforeAsUsed() {
         limit(2, 10, 0);
-        mElsewhere = new UseReport(1, Map.of());
+        mElsewhere = new UsageReport(1, Map.of());
         mHeard = 1;
         mKnown = 2;
-        assertEquals(mUse.standings().get(0).most(), 50);
-        mElsewhere = new UseReport(2, Map.of());
+        assertEquals(mUse.statuses().get(0).most(), 50);
+        mElsewhere = new UsageReport(2, Map.of());
         assertFalse(letIn(10));
         limit(3, 8, 20);
-        mElsewhere = new UseReport(1, Map.of());
-        assertEquals(mUse.standings().get(0).most(), 35);
-        mElsewhere = new UseReport(0.25, Map.of());
-        assertEquals(mUse.standings().get(0).most(), 78);
+        mElsewhere = new UsageReport(1, Map.of());
+        assertEquals(mUse.statuses().get(0).most(), 35);
+        mElsewhere = new UsageReport(0.25, Map.of());
+        assertEquals(mUse.statuses().get(0).most(), 78);
     }
 
     @Test
@@ -161,20 +161,20 @@
         limit(2, 5);
         assertFalse(letIn(10));
         mNow += WINDOW / 2;
-        assertEquals(mUse.standings().get(0).most(), 75);
+        assertEquals(mUse.statuses().get(0).most(), 75);
         mNow += WINDOW / 2;
-        assertEquals(mUse.standings().get(0).most(), 50);
+        assertEquals(mUse.statuses().get(0).most(), 50);
         limit(3, 20);
-        assertEquals(mUse.standings().get(0).most(), 200);
+        assertEquals(mUse.statuses().get(0).most(), 200);
     }
 
     @Test
     public void anOrganisationThatIsGoneLeavesNoFigures() {
         letIn(10);
         assertEquals(mMetrics.counter("organisation.coast.used").getCount(), 10);
-        mUse.configured(configuration(2, List.of()));
+        mUse.applyConfiguration(configuration(2, List.of()));
         assertFalse(mMetrics.getCounters().containsKey("organisation.coast.used"));
-        assertTrue(mUse.standings().isEmpty());
+        assertTrue(mUse.statuses().isEmpty());
     }
 
     @Test
@@ -185,11 +185,11 @@
 
     @Test
     public void onlyUseAgainstALimitIsTold() {
-        assertEquals(mUse.report(), UseReport.NONE);
+        assertEquals(mUse.report(), UsageReport.NONE);
         letIn(10);
-        assertEquals(mUse.report(), new UseReport(0, Map.of(COAST, new RecentUsage(10, 10, 10))));
+        assertEquals(mUse.report(), new UsageReport(0, Map.of(COAST, new RecentUsage(10, 10, 10))));
         limit(2, 0);
         assertEquals(letInOf(50, 10), 500.0);
-        assertEquals(mUse.report(), UseReport.NONE);
+        assertEquals(mUse.report(), UsageReport.NONE);
     }
 }
--- a/troutpier-daemon/src/test/java/org/troutpier/daemon/serving/ExecutionTest.java
+++ b/troutpier-daemon/src/test/java/org/troutpier/daemon/serving/ExecutionTest.java
@@ -32,7 +32,7 @@
 import org.troutpier.daemon.limit.UsageSettings;
 import org.troutpier.daemon.node.ManualTime;
 import org.troutpier.daemon.notice.AnnouncedRate;
-import org.troutpier.daemon.organisation.OrganisationUse;
+import org.troutpier.daemon.organisation.OrganisationLimiter;
 import org.troutpier.daemon.organisation.Requester;
 import org.troutpier.daemon.quarantine.Quarantine;
 import org.troutpier.daemon.quarantine.QuarantineSettings;
@@ -93,7 +93,7 @@
                         admission,
                         new ExtraCallBudget(0, 0, 10_000),
                         new PlaceAllocator(mTime.loop(), port, loads, admission, view, random),
-                        new OrganisationUse(
+                        new OrganisationLimiter(
                                 UsageSettings.DEFAULT,
                                 mTime::millis,
                                 random,
--- a/troutpier-daemon/src/test/java/org/troutpier/daemon/serving/FailingEnginesTest.java
+++ b/troutpier-daemon/src/test/java/org/troutpier/daemon/serving/FailingEnginesTest.java
@@ -14,7 +14,7 @@
 import org.troutpier.daemon.cluster.ReportScope;
 import org.troutpier.daemon.directory.UpstreamEntry;
 import org.troutpier.daemon.node.ManualTime;
-import org.troutpier.daemon.organisation.UseReport;
+import org.troutpier.daemon.organisation.UsageReport;
 
 /**
  * Engines that say they are well and fail all their runs at once, under many routers of which each
@@ -113,7 +113,7 @@
                             Set.of(),
                             loads.uses(),
                             Map.of(),
-                            UseReport.NONE,
+                            UsageReport.NONE,
                             Map.of()));
         }
         for (int router = 0; router < ROUTERS; router++) {
--- a/troutpier-daemon/src/test/java/org/troutpier/daemon/serving/PlaceAllocatorTest.java
+++ b/troutpier-daemon/src/test/java/org/troutpier/daemon/serving/PlaceAllocatorTest.java
@@ -26,7 +26,7 @@
 import org.troutpier.daemon.limit.FlowKey;
 import org.troutpier.daemon.node.ManualTime;
 import org.troutpier.daemon.notice.AnnouncedRate;
-import org.troutpier.daemon.organisation.UseReport;
+import org.troutpier.daemon.organisation.UsageReport;
 
 /** How places at decode engines are found. */
 public final class PlaceAllocatorTest {
@@ -114,7 +114,7 @@
                                 mFirst.incarnation(), UpstreamUse.of(1, first),
                                 mSecond.incarnation(), UpstreamUse.of(1, second)),
                         Map.of(),
-                        UseReport.NONE,
+                        UsageReport.NONE,
                         Map.of());
         Incarnation peer = new Incarnation("peer~1");
         assertEquals(peer.instance(), new InstanceId("peer"));
--- a/troutpier-daemon/src/test/java/org/troutpier/daemon/serving/ReportedUseTest.java
+++ b/troutpier-daemon/src/test/java/org/troutpier/daemon/serving/ReportedUseTest.java
@@ -18,7 +18,7 @@
 import org.troutpier.daemon.directory.UpstreamDirectory;
 import org.troutpier.daemon.directory.UpstreamEntry;
 import org.troutpier.daemon.node.ManualTime;
-import org.troutpier.daemon.organisation.UseReport;
+import org.troutpier.daemon.organisation.UsageReport;
 import org.troutpier.daemon.role.EngineOrders;
 
 /** What is learnt of runs that no router tells of. */
@@ -122,7 +122,7 @@
                         Set.of(),
                         Map.of(mEngine.incarnation(), UpstreamUse.of(1, tokens)),
                         Map.of(),
-                        UseReport.NONE,
+                        UsageReport.NONE,
                         Map.of());
         mPeers.heard(PEER, Entries.HALL, ReportScope.OWN, report, mTime.millis());
         mPeers.sum(mTime.millis());
--- a/troutpier-daemon/src/test/java/org/troutpier/daemon/serving/UpstreamLoadsTest.java
+++ b/troutpier-daemon/src/test/java/org/troutpier/daemon/serving/UpstreamLoadsTest.java
@@ -18,7 +18,7 @@
 import org.troutpier.daemon.cluster.UpstreamUse;
 import org.troutpier.daemon.directory.UpstreamEntry;
 import org.troutpier.daemon.node.ManualTime;
-import org.troutpier.daemon.organisation.UseReport;
+import org.troutpier.daemon.organisation.UsageReport;
 
 /** Which upstream a call goes to. */
 public final class UpstreamLoadsTest {
@@ -63,7 +63,7 @@
                         Set.of(),
                         Map.of(mNear.incarnation(), UpstreamUse.of(5, 0)),
                         Map.of(),
-                        UseReport.NONE,
+                        UsageReport.NONE,
                         Map.of());
         mPeers.heard(
                 new Incarnation("peer~1"), Entries.HALL, ReportScope.OWN, report, mTime.millis());
@@ -136,7 +136,7 @@
                         Set.of(idle.incarnation()),
                         Map.of(),
                         Map.of(),
-                        UseReport.NONE,
+                        UsageReport.NONE,
                         Map.of());
         mPeers.heard(
                 new Incarnation("peer~1"), Entries.HALL, ReportScope.OWN, report, mTime.millis());
