--- a/troutpier-cli/src/test/java/org/troutpier/cli/OrganisationsCommandTest.java
+++ b/troutpier-cli/src/test/java/org/troutpier/cli/OrganisationsCommandTest.java
@@ -16,10 +16,10 @@
 import org.troutpier.common.http.Answers;
 import org.troutpier.common.http.ServerLimits;
 import org.troutpier.common.id.PartnerId;
-import org.troutpier.daemon.limit.UseSettings;
-import org.troutpier.daemon.organisation.OrganisationUse;
-import org.troutpier.daemon.organisation.OthersUse;
-import org.troutpier.daemon.organisation.UseReport;
+import org.troutpier.daemon.limit.UsageSettings;
+import org.troutpier.daemon.organisation.OrganisationLimiter;
+import org.troutpier.daemon.organisation.PeerUsage;
+import org.troutpier.daemon.organisation.UsageReport;
 import org.troutpier.daemon.route.Organisation;
 import org.troutpier.daemon.route.RoutingConfiguration;
 import org.troutpier.daemon.route.UsageLimit;
@@ -34,21 +34,21 @@
 
     @BeforeMethod
     void start() {
-        OthersUse nobody =
-                new OthersUse() {
+        PeerUsage nobody =
+                new PeerUsage() {
                     @Override
-                    public UseReport organisations() {
-                        return UseReport.NONE;
+                    public UsageReport organisations() {
+                        return UsageReport.NONE;
                     }
 
                     @Override
-                    public int routers() {
+                    public int peerCount() {
                         return 0;
                     }
                 };
-        OrganisationUse use =
-                new OrganisationUse(
-                        new UseSettings(10, 0, 0),
+        OrganisationLimiter use =
+                new OrganisationLimiter(
+                        new UsageSettings(10, 0, 0),
                         () -> mNow,
                         new Random(1),
                         nobody,
@@ -60,7 +60,7 @@
                         Set.of(KeyHash.of(KEY)),
                         OptionalInt.empty(),
                         new UsageLimit(UsageLimit.Unit.TOKENS, 0, 1, 90));
-        use.configured(
+        use.applyConfiguration(
                 new RoutingConfiguration(
                         1,
                         List.of(),
@@ -69,10 +69,10 @@
                         ServerLimits.DEFAULT,
                         new byte[0]));
         mNow = 20_000;
-        use.take(coast, 60);
-        use.take(coast, 4000);
+        use.admit(coast, 60);
+        use.admit(coast, 4000);
         mRouter =
-                new RouterStandin(exchange -> exchange.answer(Answers.json(200, use.standings())));
+                new RouterStandin(exchange -> exchange.answer(Answers.json(200, use.statuses())));
     }
 
     @AfterMethod(alwaysRun = true)
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/cluster/PeerExchange.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/cluster/PeerExchange.java
@@ -15,8 +15,8 @@
 import org.troutpier.daemon.directory.UpstreamEntry;
 import org.troutpier.daemon.instancelist.InstanceList.Instance;
 import org.troutpier.daemon.node.Node;
-import org.troutpier.daemon.peer.Membership;
 import org.troutpier.daemon.peer.Membership.Member;
+import org.troutpier.daemon.peer.Membership;
 import org.troutpier.daemon.peer.PeerLinks;
 import org.troutpier.daemon.peer.PeerMesh;
 import org.troutpier.daemon.peer.PeerMessage;
@@ -450,9 +450,9 @@
         }
         mLoads.refresh(mNode.millis());
         mRelay.repeat();
-        if (mLoads.routers() != mHeardCount) {
-            LOGGER.info("routers heard before={} now={}", mHeardCount, mLoads.routers());
-            mHeardCount = mLoads.routers();
+        if (mLoads.peerCount() != mHeardCount) {
+            LOGGER.info("routers heard before={} now={}", mHeardCount, mLoads.peerCount());
+            mHeardCount = mLoads.peerCount();
         }
     }
 
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/cluster/PeerLoads.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/cluster/PeerLoads.java
@@ -11,21 +11,21 @@
 import org.troutpier.common.id.HallId;
 import org.troutpier.common.id.Incarnation;
 import org.troutpier.common.id.UpstreamIncarnation;
-import org.troutpier.daemon.limit.OthersRates;
+import org.troutpier.daemon.limit.PeerRates;
 import org.troutpier.daemon.limit.RateReport;
-import org.troutpier.daemon.limit.UseSettings;
-import org.troutpier.daemon.organisation.OthersUse;
-import org.troutpier.daemon.organisation.UseReport;
+import org.troutpier.daemon.limit.UsageSettings;
+import org.troutpier.daemon.organisation.PeerUsage;
+import org.troutpier.daemon.organisation.UsageReport;
 
 /**
  * What the other routers said of their load and demand. Changes are confined to the control thread;
  * {@link #upstreamUse}, {@link #demand}, {@link #organisations()}, {@link #rate}, {@link
- * #isChangingRole}, {@link #isRefusing}, {@link #waitingTokens()}, {@link #routers()} and {@link
+ * #isChangingRole}, {@link #isRefusing}, {@link #waitingTokens()}, {@link #peerCount()} and {@link
  * #hasRoleHolder()} are thread safe and answer as of the last {@link #aggregate}. Invariants: a
  * report counts until {@link #REPORT_TTL_MILLIS} after it was heard; only reports of the scopes
  * that are counted count, so that no router's load is counted twice.
  */
-public final class PeerLoads implements OthersUse, OthersRates {
+public final class PeerLoads implements PeerUsage, PeerRates {
 
     /** How long a report counts, milliseconds: three of the longest pauses between two. */
     public static final long REPORT_TTL_MILLIS = 1500;
@@ -84,7 +84,7 @@
 
     /** Creates a view in which nobody has said anything, with the limits' default window. */
     public PeerLoads() {
-        this(UseSettings.DEFAULT);
+        this(UsageSettings.DEFAULT);
     }
 
     /**
@@ -92,7 +92,7 @@
      *
      * @param use how long organisations' use counts
      */
-    public PeerLoads(UseSettings use) {
+    public PeerLoads(UsageSettings use) {
         mRetained = new RetainedUse(use.windowMillis());
     }
 
@@ -121,7 +121,7 @@
         if (!started) {
             mRetained.forget(source);
         }
-        LoadReport told = remembered ? report.with(report.organisations().remembered()) : report;
+        LoadReport told = remembered ? report.with(report.organisations().withFullHistory()) : report;
         mHeard.put(from, new Heard(source, told, now));
         return before == null || before.scope() != scope || !before.report().sameLoad(report);
     }
@@ -148,7 +148,7 @@
                             Heard heard = each.getValue();
                             boolean dropped = gone.test(each.getKey(), heard);
                             if (dropped && heard.scope() != ReportScope.REST) {
-                                UseReport use = heard.report().organisations();
+                                UsageReport use = heard.report().organisations();
                                 mRetained.keep(heard.source(), use, heard.at());
                             }
                             return dropped;
@@ -203,7 +203,7 @@
      * @param now the monotonic clock, milliseconds
      * @return the use; of a hall whose group another router tells of, nothing
      */
-    private UseReport retained(Set<ReportScope> scopes, long now) {
+    private UsageReport retained(Set<ReportScope> scopes, long now) {
         return mRetained.sum(scopes, this::tellsOfGroup, now);
     }
 
@@ -306,7 +306,7 @@
 
     /** {@inheritDoc} */
     @Override
-    public UseReport organisations() {
+    public UsageReport organisations() {
         return mSum.report().organisations();
     }
 
@@ -315,12 +315,12 @@
     public RateReport rate(UpstreamIncarnation upstream, long now) {
         Summed sum = mSum;
         RateReport rate = sum.report().rates().get(upstream);
-        return rate == null ? RateReport.NONE : rate.later(now - sum.at());
+        return rate == null ? RateReport.NONE : rate.aged(now - sum.at());
     }
 
     /** {@inheritDoc} */
     @Override
-    public int routers() {
+    public int peerCount() {
         return mSum.report().routers();
     }
 
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/organisation/OrganisationUse.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/organisation/OrganisationLimiter.java
@@ -15,11 +15,11 @@
 import org.troutpier.common.id.PartnerId;
 import org.troutpier.common.logging.LinePause;
 import org.troutpier.daemon.decision.LimitShare;
-import org.troutpier.daemon.limit.LoweredLimit;
-import org.troutpier.daemon.limit.RecentUse;
-import org.troutpier.daemon.limit.SharedRoom;
-import org.troutpier.daemon.limit.UseMeter;
-import org.troutpier.daemon.limit.UseSettings;
+import org.troutpier.daemon.limit.GradualLimit;
+import org.troutpier.daemon.limit.LimitHeadroom;
+import org.troutpier.daemon.limit.RecentUsage;
+import org.troutpier.daemon.limit.UsageMeter;
+import org.troutpier.daemon.limit.UsageSettings;
 import org.troutpier.daemon.route.Organisation;
 import org.troutpier.daemon.route.RoutingConfiguration;
 import org.troutpier.daemon.route.UsageLimit;
@@ -32,7 +32,7 @@
  * <p>It answers limits that hold a few requests for each router in a window: a fixed part of such a
  * limit is less than one request, and rejects nearly all that the whole would admit.
  */
-public final class OrganisationUse {
+public final class OrganisationLimiter {
 
     /** Where operators list the organisations. */
     public static final String PATH = "/organisations";
@@ -59,10 +59,10 @@
     private static final String FIGURES = "organisation.";
 
     /** Logs refusals and changed limits. */
-    private static final Logger LOGGER = LogManager.getLogger(OrganisationUse.class);
+    private static final Logger LOGGER = LogManager.getLogger(OrganisationLimiter.class);
 
     /** How strictly limits are kept. */
-    private final UseSettings mSettings;
+    private final UsageSettings mSettings;
 
     /** The monotonic clock, milliseconds. */
     private final LongSupplier mMillis;
@@ -71,7 +71,7 @@
     private final RandomGenerator mRandom;
 
     /** What the other routers used. */
-    private final OthersUse mOthers;
+    private final PeerUsage mOthers;
 
     /** Tells how many routers there may be. */
     private final IntSupplier mKnown;
@@ -111,7 +111,7 @@
      * @param refused how many requests were refused here since the start
      * @param keys the fingerprints of its keys
      */
-    public record Standing(
+    public record Status(
             String organisation,
             String unit,
             long limit,
@@ -125,10 +125,10 @@
     private static final class Account {
 
         /** What it used and asked here. */
-        private final UseMeter mMeter;
+        private final UsageMeter mMeter;
 
         /** What it may use in a window. */
-        private final LoweredLimit mLimit;
+        private final GradualLimit mLimit;
 
         /** The organisation as the version in force has it. */
         private Organisation mOrganisation;
@@ -146,8 +146,8 @@
          * @param windowMillis how long the window is, milliseconds
          */
         Account(double limit, long windowMillis) {
-            mMeter = new UseMeter(windowMillis);
-            mLimit = new LoweredLimit(limit, windowMillis);
+            mMeter = new UsageMeter(windowMillis);
+            mLimit = new GradualLimit(limit, windowMillis);
         }
     }
 
@@ -161,11 +161,11 @@
      * @param known tells how many routers there may be, this one included
      * @param metrics counts by organisation
      */
-    public OrganisationUse(
-            UseSettings settings,
+    public OrganisationLimiter(
+            UsageSettings settings,
             LongSupplier millis,
             RandomGenerator random,
-            OthersUse others,
+            PeerUsage others,
             IntSupplier known,
             MetricRegistry metrics) {
         mSettings = settings;
@@ -182,7 +182,7 @@
      *
      * @param configuration the version in force
      */
-    public void configured(RoutingConfiguration configuration) {
+    public void applyConfiguration(RoutingConfiguration configuration) {
         if (configuration.version() == mVersion) {
             return;
         }
@@ -191,7 +191,7 @@
         if (mAccounts.keySet().retainAll(organisations.keySet())) {
             mMetrics.removeMatching((name, metric) -> name.startsWith(FIGURES) && !counted(name));
         }
-        organisations.values().forEach(this::configured);
+        organisations.values().forEach(this::applyConfiguration);
     }
 
     /**
@@ -212,18 +212,18 @@
      *
      * @param organisation the organisation
      */
-    private void configured(Organisation organisation) {
+    private void applyConfiguration(Organisation organisation) {
         long now = mMillis.getAsLong();
         double limit = organisation.limit().allowance(mSettings.windowSeconds());
         Account account = mAccounts.get(organisation.id());
         if (account == null) {
             account = new Account(limit, mSettings.windowMillis());
             mAccounts.put(organisation.id(), account);
-        } else if (limit != account.mLimit.inForce()) {
+        } else if (limit != account.mLimit.target()) {
             LOGGER.info(
                     "limit changed organisation={} before={} now={}",
                     organisation.id(),
-                    (long) account.mLimit.inForce(),
+                    (long) account.mLimit.target(),
                     (long) limit);
             account.mLimit.set(limit, now);
         }
@@ -238,20 +238,20 @@
      * @param cost what it uses, in the limit's unit
      * @return why it is rejected, or empty where it is admitted
      */
-    public Optional<Refusal> take(Organisation organisation, double cost) {
+    public Optional<Refusal> admit(Organisation organisation, double cost) {
         Account account = mAccounts.get(organisation.id());
         if (account == null) {
             return Optional.empty();
         }
         long now = mMillis.getAsLong();
-        account.mMeter.asked(cost, now);
+        account.mMeter.recordRequested(cost, now);
         if (organisation.limit().isLimited()) {
-            SharedRoom room = room(account, now);
-            if (!room.fits(cost, mRandom)) {
+            LimitHeadroom room = room(account, now);
+            if (!room.admits(cost, mRandom)) {
                 return Optional.of(refuse(account, cost, room, now));
             }
         }
-        account.mMeter.used(cost, now);
+        account.mMeter.recordUsed(cost, now);
         count(organisation.id(), "used", Math.round(cost));
         return Optional.empty();
     }
@@ -263,17 +263,17 @@
      * @param now the monotonic clock, milliseconds
      * @return the room
      */
-    private SharedRoom room(Account account, long now) {
-        double limit = account.mLimit.at(now);
+    private LimitHeadroom room(Account account, long now) {
+        double limit = account.mLimit.current(now);
         UsageLimit inForce = account.mOrganisation.limit();
-        double burst = limit > account.mLimit.inForce() ? inForce.burst() : 0;
+        double burst = limit > account.mLimit.target() ? inForce.burst() : 0;
         double paced = inForce.allowance(mSettings.paceSeconds()) - burst;
-        return new SharedRoom(
+        return new LimitHeadroom(
                 account.mMeter.recent(now),
                 elsewhere(account.mOrganisation.id()),
-                share(limit, forgottenUse(account, limit, now)).most(),
-                share(paced, 0).most(),
-                mSettings.windowMillis() * UseSettings.PACE_PART);
+                share(limit, forgottenUse(account, limit, now)).allowed(),
+                share(paced, 0).allowed(),
+                mSettings.windowMillis() * UsageSettings.PACE_FRACTION);
     }
 
     /**
@@ -304,7 +304,7 @@
      * @param now the monotonic clock, milliseconds
      * @return the refusal
      */
-    private Refusal refuse(Account account, double cost, SharedRoom room, long now) {
+    private Refusal refuse(Account account, double cost, LimitHeadroom room, long now) {
         PartnerId id = account.mOrganisation.id();
         account.mRefused++;
         count(id, "refused", 1);
@@ -312,15 +312,15 @@
                 "%s used %d here and %d elsewhere of %d in %d ms"
                         .formatted(
                                 id,
-                                room.here().window(),
-                                room.elsewhere().window(),
-                                (long) room.most(),
+                                room.local().window(),
+                                room.remote().window(),
+                                (long) room.allowed(),
                                 mSettings.windowMillis());
         if (account.mLines.over(now)) {
             LOGGER.info("organisation beyond its limit: {}", detail);
         }
-        double beyond = cost - room.left();
-        double freedPerMilli = Math.max(1, account.mLimit.inForce()) / mSettings.windowMillis();
+        double beyond = cost - room.remaining();
+        double freedPerMilli = Math.max(1, account.mLimit.target()) / mSettings.windowMillis();
         long wait = Math.round(beyond / freedPerMilli);
         long returnMillis = Math.max(LEAST_RETURN_MILLIS, Math.min(mSettings.windowMillis(), wait));
         return new Refusal(detail, returnMillis);
@@ -333,10 +333,10 @@
      * @param cost what it used
      * @param at when it was admitted, milliseconds
      */
-    public void giveBack(Organisation organisation, double cost, long at) {
+    public void refund(Organisation organisation, double cost, long at) {
         Account account = mAccounts.get(organisation.id());
         if (account != null) {
-            account.mMeter.takeBack(cost, at, mMillis.getAsLong());
+            account.mMeter.subtract(cost, at, mMillis.getAsLong());
             count(organisation.id(), "given-back", Math.round(cost));
         }
     }
@@ -360,7 +360,7 @@
      * @return the share
      */
     private LimitShare share(double limit, double assumed) {
-        int heard = mOthers.routers() + 1;
+        int heard = mOthers.peerCount() + 1;
         int known = known();
         boolean part = heard < known;
         if (part != mPartToldOf) {
@@ -376,7 +376,7 @@
      * @return the count, this one included
      */
     private int known() {
-        return Math.max(mOthers.routers() + 1, mKnown.getAsInt());
+        return Math.max(mOthers.peerCount() + 1, mKnown.getAsInt());
     }
 
     /**
@@ -385,8 +385,8 @@
      * @param organisation the organisation
      * @return its use
      */
-    private RecentUse elsewhere(PartnerId organisation) {
-        return mOthers.organisations().used().getOrDefault(organisation, RecentUse.NONE);
+    private RecentUsage elsewhere(PartnerId organisation) {
+        return mOthers.organisations().used().getOrDefault(organisation, RecentUsage.NONE);
     }
 
     /**
@@ -404,21 +404,21 @@
      *
      * @return what each organisation with a limit used here
      */
-    public UseReport report() {
+    public UsageReport report() {
         long now = mMillis.getAsLong();
         if (mAccounts.isEmpty()) {
-            return UseReport.NONE;
+            return UsageReport.NONE;
         }
-        Map<PartnerId, RecentUse> used = new HashMap<>();
+        Map<PartnerId, RecentUsage> used = new HashMap<>();
         mAccounts.forEach(
                 (id, account) -> {
-                    RecentUse sum = account.mMeter.recent(now);
+                    RecentUsage sum = account.mMeter.recent(now);
                     if ((sum.window() > 0 || sum.asked() > 0)
                             && account.mOrganisation.limit().isLimited()) {
                         used.put(id, sum);
                     }
                 });
-        return new UseReport(forgotten(now), used);
+        return new UsageReport(forgotten(now), used);
     }
 
     /**
@@ -426,7 +426,7 @@
      *
      * @return the organisations by name
      */
-    public List<Standing> standings() {
+    public List<Status> statuses() {
         long now = mMillis.getAsLong();
         return mAccounts.values().stream()
                 .map(account -> standing(account, now))
@@ -441,17 +441,17 @@
      * @param now the monotonic clock, milliseconds
      * @return what operators see
      */
-    private Standing standing(Account account, long now) {
+    private Status standing(Account account, long now) {
         UsageLimit limit = account.mOrganisation.limit();
         boolean bounded = limit.isLimited();
-        SharedRoom room = room(account, now);
-        return new Standing(
+        LimitHeadroom room = room(account, now);
+        return new Status(
                 account.mOrganisation.id().value(),
                 limit.unit().name().toLowerCase(Locale.ROOT),
-                bounded ? Math.round(account.mLimit.inForce()) : 0,
-                bounded ? Math.round(room.most()) : 0,
-                room.here().window(),
-                room.elsewhere().window(),
+                bounded ? Math.round(account.mLimit.target()) : 0,
+                bounded ? Math.round(room.allowed()) : 0,
+                room.local().window(),
+                room.remote().window(),
                 account.mRefused,
                 account.mOrganisation.keys().stream().map(KeyHash::fingerprint).sorted().toList());
     }
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/DecodePlace.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/DecodePlace.java
@@ -3,10 +3,10 @@
 import java.util.List;
 import java.util.Optional;
 import java.util.function.Supplier;
-import org.troutpier.daemon.decision.RoomForecast;
-import org.troutpier.daemon.decision.Standing;
+import org.troutpier.daemon.decision.MemoryWaitForecast;
+import org.troutpier.daemon.decision.QueueTier;
 import org.troutpier.daemon.directory.UpstreamEntry;
-import org.troutpier.daemon.limit.Asker;
+import org.troutpier.daemon.limit.FlowKey;
 import org.troutpier.daemon.route.EngineTraits;
 
 /**
@@ -26,7 +26,7 @@
     private final EngineTraits mTraits;
 
     /** Who asks. */
-    private final Asker mAsker;
+    private final FlowKey mAsker;
 
     /** The prompt's length. */
     private final long mPromptTokens;
@@ -66,7 +66,7 @@
             ServingContext context,
             String service,
             EngineTraits traits,
-            Asker asker,
+            FlowKey asker,
             long promptTokens,
             long mostTokens) {
         mContext = context;
@@ -89,7 +89,7 @@
      */
     void search(
             long waitMillis,
-            Standing standing,
+            QueueTier standing,
             long events,
             Supplier<List<UpstreamEntry>> engines,
             ReservationAllocator.Listener listener) {
@@ -122,14 +122,14 @@
         UpstreamLoads loads = mContext.loads();
         long used = engines.stream().mapToLong(loads::tokens).sum();
         long waiting = mContext.reservations().waitingTokens() + mContext.peers().waitingTokens();
-        RoomForecast forecast =
-                new RoomForecast(
+        MemoryWaitForecast forecast =
+                new MemoryWaitForecast(
                         engines.size(),
                         used,
                         mTraits.memoryTokens() - marginTokens(),
                         waiting,
                         mContext.demanded(mService).meanRunMillis());
-        return forecast.millis(mPromptTokens);
+        return forecast.waitMillis(mPromptTokens);
     }
 
     /**
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/ReservationAllocator.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/ReservationAllocator.java
@@ -13,9 +13,9 @@
 import org.troutpier.common.id.UpstreamIncarnation;
 import org.troutpier.daemon.admission.FairQueue;
 import org.troutpier.daemon.cluster.LoadView;
-import org.troutpier.daemon.decision.Standing;
+import org.troutpier.daemon.decision.QueueTier;
 import org.troutpier.daemon.directory.UpstreamEntry;
-import org.troutpier.daemon.limit.Asker;
+import org.troutpier.daemon.limit.FlowKey;
 import org.troutpier.daemon.notice.UpstreamNotice;
 import org.troutpier.daemon.upstream.AttemptEnd;
 
@@ -65,7 +65,7 @@
      * tokens that they were given, so that one's flood does not take the room of the others; an
      * organisation's own go by age.
      */
-    private final Map<Standing, FairQueue<Search>> mWaiting = new EnumMap<>(Standing.class);
+    private final Map<QueueTier, FairQueue<Search>> mWaiting = new EnumMap<>(QueueTier.class);
 
     /** How many searches there were. */
     private long mSearches;
@@ -96,7 +96,7 @@
         mLoads = loads;
         mAdmission = admission;
         mRandom = random;
-        for (Standing standing : Standing.values()) {
+        for (QueueTier standing : QueueTier.values()) {
             mWaiting.put(standing, new FairQueue<>());
         }
     }
@@ -135,14 +135,14 @@
      * @param engines the engines that may be used, asked again for each round
      */
     public record Wanted(
-            Asker asker,
+            FlowKey asker,
             long promptTokens,
             long mostTokens,
             double marginTokens,
             long memoryTokens,
             int placeMillis,
             long waitMillis,
-            Standing standing,
+            QueueTier standing,
             Supplier<List<UpstreamEntry>> engines) {}
 
     /**
@@ -346,7 +346,7 @@
          * @return tokens
          */
         private long leftToOthers() {
-            return mWanted.standing() == Standing.IN_TIME ? 0 : mWanted.promptTokens();
+            return mWanted.standing() == QueueTier.IN_TIME ? 0 : mWanted.promptTokens();
         }
 
         /**
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/ServingContext.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/ServingContext.java
@@ -5,11 +5,11 @@
 import org.troutpier.daemon.cluster.DemandMeter;
 import org.troutpier.daemon.cluster.LoadView;
 import org.troutpier.daemon.cluster.PeerLoads;
-import org.troutpier.daemon.decision.DelayEstimate;
 import org.troutpier.daemon.decision.GrowthMargin;
-import org.troutpier.daemon.decision.ReturnPacer;
+import org.troutpier.daemon.decision.LatencyEstimator;
+import org.troutpier.daemon.decision.RetryPacer;
 import org.troutpier.daemon.directory.UpstreamDirectory;
-import org.troutpier.daemon.organisation.OrganisationUse;
+import org.troutpier.daemon.organisation.OrganisationLimiter;
 
 /**
  * The collaborators of each request's execution. Immutable; confined to the traffic loop, as are
@@ -44,13 +44,13 @@
         UpstreamAdmission admission,
         ExtraCallBudget budget,
         ReservationAllocator reservations,
-        OrganisationUse organisationLimiter,
+        OrganisationLimiter organisationLimiter,
         RecentRefusals recentRefusals,
         CrashGuard crashGuard,
-        ReturnPacer pacer,
+        RetryPacer pacer,
         GrowthMargin margin,
-        DelayEstimate readingExcess,
-        DelayEstimate firstEvent,
+        LatencyEstimator readingExcess,
+        LatencyEstimator firstEvent,
         PeerLoads peers,
         LoadView view,
         DemandMeter demand,
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/UpstreamAdmission.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/UpstreamAdmission.java
@@ -6,8 +6,8 @@
 import java.util.random.RandomGenerator;
 import org.troutpier.common.id.UpstreamIncarnation;
 import org.troutpier.daemon.directory.UpstreamEntry;
-import org.troutpier.daemon.limit.Asker;
-import org.troutpier.daemon.notice.Announced;
+import org.troutpier.daemon.limit.FlowKey;
+import org.troutpier.daemon.notice.NoticeState;
 import org.troutpier.daemon.notice.UpstreamNotice;
 
 /**
@@ -57,7 +57,7 @@
      */
     public void recordNotice(UpstreamEntry upstream, UpstreamNotice notice) {
         notices.received(upstream, notice);
-        if (notice.rate().kind() != Announced.NONE) {
+        if (notice.rate().state() != NoticeState.NONE) {
             rates.recordAnnouncement(upstream, notice.rate(), UpstreamPort.Verdict.OWN_FAILURE, 0);
         }
     }
@@ -69,7 +69,7 @@
      * @param asker the request's rank and organisation
      * @return whether it may be sent
      */
-    boolean tryAcquire(UpstreamEntry upstream, Asker asker) {
+    boolean tryAcquire(UpstreamEntry upstream, FlowKey asker) {
         boolean taken = admits(upstream) && rates.tryAcquire(upstream, asker);
         if (taken) {
             notices.sent(upstream);
@@ -104,7 +104,7 @@
      * @param asker the request's rank and organisation
      * @return the upstream; empty where none may be sent it
      */
-    Optional<UpstreamEntry> acquireFirst(List<UpstreamEntry> upstreams, Asker asker) {
+    Optional<UpstreamEntry> acquireFirst(List<UpstreamEntry> upstreams, FlowKey asker) {
         return upstreams.stream().filter(each -> tryAcquire(each, asker)).findFirst();
     }
 
--- a/troutpier-daemon/src/test/java/org/troutpier/daemon/cluster/PeerExchangeTest.java
+++ b/troutpier-daemon/src/test/java/org/troutpier/daemon/cluster/PeerExchangeTest.java
@@ -21,13 +21,13 @@
 import org.troutpier.common.id.InstanceId;
 import org.troutpier.common.id.UpstreamIncarnation;
 import org.troutpier.common.settings.Address;
-import org.troutpier.daemon.limit.NamedRate;
+import org.troutpier.daemon.limit.LastAnnouncedRate;
 import org.troutpier.daemon.limit.RateReport;
-import org.troutpier.daemon.limit.RecentUse;
+import org.troutpier.daemon.limit.RecentUsage;
 import org.troutpier.daemon.node.ManualTime;
 import org.troutpier.daemon.node.Node;
 import org.troutpier.daemon.node.TestNode;
-import org.troutpier.daemon.organisation.UseReport;
+import org.troutpier.daemon.organisation.UsageReport;
 import org.troutpier.daemon.peer.Membership.Member;
 import org.troutpier.daemon.peer.PeerLinks;
 import org.troutpier.daemon.peer.PeerMesh;
@@ -40,8 +40,8 @@
 import org.troutpier.daemon.rows.FakeRowStore;
 import org.troutpier.daemon.rows.RowStore.Row;
 import org.troutpier.daemon.rows.TableFollower;
-import org.troutpier.standins.platform.VersionedRows;
 import org.troutpier.standins.platform.VersionedRows.Key;
+import org.troutpier.standins.platform.VersionedRows;
 
 /** Many routers that tell each other of their load, over a network in memory. */
 public final class PeerExchangeTest {
@@ -158,7 +158,7 @@
         int mCalls = 1;
 
         /** What organisations used here. */
-        UseReport mUse = UseReport.NONE;
+        UsageReport mUse = UsageReport.NONE;
 
         /** What was heard and sent here of upstreams that name rates. */
         Map<UpstreamIncarnation, RateReport> mRates = Map.of();
@@ -289,7 +289,7 @@
         List<Router> living = living();
         for (Router router : living) {
             int others = living.size() - 1;
-            assertEquals(router.mLoads.routers(), others, "routers at " + router.mSelf);
+            assertEquals(router.mLoads.peerCount(), others, "routers at " + router.mSelf);
             assertEquals(
                     router.mLoads.upstreamUse(ENGINE).calls(), others, "calls at " + router.mSelf);
         }
@@ -471,11 +471,11 @@
         routers(MANY);
         mTime.pass(2000);
         List<Router> all = List.copyOf(mRouters.values());
-        RecentUse one = new RecentUse(1, 1, 2);
-        RateReport sent = new RateReport(NamedRate.NEVER, one, List.of(2L));
+        RecentUsage one = new RecentUsage(1, 1, 2);
+        RateReport sent = new RateReport(LastAnnouncedRate.NEVER, one, List.of(2L));
         all.forEach(router -> router.mRates = Map.of(ENGINE, sent));
         all.get(MANY - 1).mRates =
-                Map.of(ENGINE, new RateReport(new NamedRate(3.6, 100), one, List.of(2L)));
+                Map.of(ENGINE, new RateReport(new LastAnnouncedRate(3.6, 100), one, List.of(2L)));
         mTime.pass(1000);
         for (Router router : all) {
             router.mExchange.refreshLoads(() -> {});
@@ -486,7 +486,7 @@
             assertEquals(rate.named().perSecond(), 3.6, "named at " + router.mSelf);
             assertTrue(rate.named().ageMillis() >= 100, "age " + rate.named());
             assertTrue(rate.named().ageMillis() < 1000, "age " + rate.named());
-            assertEquals(rate.use(), new RecentUse(MANY - 1, MANY - 1, 2 * (MANY - 1)));
+            assertEquals(rate.use(), new RecentUsage(MANY - 1, MANY - 1, 2 * (MANY - 1)));
             assertEquals(rate.asked(), List.of(2L * (MANY - 1)));
         }
     }
--- a/troutpier-daemon/src/test/java/org/troutpier/daemon/serving/ExecutionTest.java
+++ b/troutpier-daemon/src/test/java/org/troutpier/daemon/serving/ExecutionTest.java
@@ -23,16 +23,16 @@
 import org.troutpier.daemon.cluster.DemandMeter;
 import org.troutpier.daemon.cluster.LoadView;
 import org.troutpier.daemon.cluster.PeerLoads;
-import org.troutpier.daemon.decision.DelayEstimate;
 import org.troutpier.daemon.decision.GrowthMargin;
-import org.troutpier.daemon.decision.ReturnPacer;
+import org.troutpier.daemon.decision.LatencyEstimator;
+import org.troutpier.daemon.decision.RetryPacer;
 import org.troutpier.daemon.directory.UpstreamDirectory;
 import org.troutpier.daemon.directory.UpstreamEntry;
-import org.troutpier.daemon.limit.Asker;
-import org.troutpier.daemon.limit.UseSettings;
+import org.troutpier.daemon.limit.FlowKey;
+import org.troutpier.daemon.limit.UsageSettings;
 import org.troutpier.daemon.node.ManualTime;
 import org.troutpier.daemon.notice.AnnouncedRate;
-import org.troutpier.daemon.organisation.OrganisationUse;
+import org.troutpier.daemon.organisation.OrganisationLimiter;
 import org.troutpier.daemon.organisation.Requester;
 import org.troutpier.daemon.quarantine.Quarantine;
 import org.troutpier.daemon.quarantine.QuarantineSettings;
@@ -94,8 +94,8 @@
                         new ExtraCallBudget(0, 0, 10_000),
                         new ReservationAllocator(
                                 mTime.loop(), port, loads, admission, view, random),
-                        new OrganisationUse(
-                                UseSettings.DEFAULT,
+                        new OrganisationLimiter(
+                                UsageSettings.DEFAULT,
                                 mTime::millis,
                                 random,
                                 peers,
@@ -103,10 +103,10 @@
                                 metrics),
                         new RecentRefusals(),
                         new CrashGuard(mTime.loop(), port, mDirectory, mQuarantine, metrics),
-                        new ReturnPacer(random),
+                        new RetryPacer(random),
                         new GrowthMargin(),
-                        DelayEstimate.ofExcess(),
-                        DelayEstimate.ofFirstEvent(),
+                        LatencyEstimator.forPrefillExcess(),
+                        LatencyEstimator.forFirstEvent(),
                         peers,
                         view,
                         new DemandMeter(),
@@ -579,7 +579,7 @@
     /** Sends an upstream more than it takes, and has it name its rate. */
     private void fill(UpstreamEntry upstream) {
         for (int call = 0; call < 20; call++) {
-            mContext.admission().rates().tryAcquire(upstream, new Asker(0, Asker.NOBODY));
+            mContext.admission().rates().tryAcquire(upstream, new FlowKey(0, FlowKey.NO_ORGANISATION));
         }
         mContext.admission()
                 .rates()
--- a/troutpier-daemon/src/test/java/org/troutpier/daemon/serving/ReservationAllocatorTest.java
+++ b/troutpier-daemon/src/test/java/org/troutpier/daemon/serving/ReservationAllocatorTest.java
@@ -21,12 +21,12 @@
 import org.troutpier.daemon.cluster.PeerLoads;
 import org.troutpier.daemon.cluster.ReportScope;
 import org.troutpier.daemon.cluster.UpstreamUse;
-import org.troutpier.daemon.decision.Standing;
+import org.troutpier.daemon.decision.QueueTier;
 import org.troutpier.daemon.directory.UpstreamEntry;
-import org.troutpier.daemon.limit.Asker;
+import org.troutpier.daemon.limit.FlowKey;
 import org.troutpier.daemon.node.ManualTime;
 import org.troutpier.daemon.notice.AnnouncedRate;
-import org.troutpier.daemon.organisation.UseReport;
+import org.troutpier.daemon.organisation.UsageReport;
 
 /** How places at decode engines are found. */
 public final class ReservationAllocatorTest {
@@ -35,7 +35,7 @@
     private static final long PROMPT = 5000;
     private static final long MOST = 15_000;
     private static final double MARGIN = 16_000;
-    private static final Asker ASKER = new Asker(1, Asker.NOBODY);
+    private static final FlowKey ASKER = new FlowKey(1, FlowKey.NO_ORGANISATION);
 
     private final UpstreamEntry mFirst = TestUpstreams.decode("first");
     private final UpstreamEntry mSecond = TestUpstreams.decode("second");
@@ -76,15 +76,15 @@
     }
 
     private ReservationAllocator.Search find(long waitMillis) {
-        return find(waitMillis, Standing.IN_TIME);
+        return find(waitMillis, QueueTier.IN_TIME);
     }
 
-    private ReservationAllocator.Search find(long waitMillis, Standing standing) {
+    private ReservationAllocator.Search find(long waitMillis, QueueTier standing) {
         return find(waitMillis, standing, () -> List.of(mFirst, mSecond));
     }
 
     private ReservationAllocator.Search find(
-            long waitMillis, Standing standing, Supplier<List<UpstreamEntry>> engines) {
+            long waitMillis, QueueTier standing, Supplier<List<UpstreamEntry>> engines) {
         return mAllocator.find(
                 new ReservationAllocator.Wanted(
                         ASKER, PROMPT, MOST, MARGIN, MEMORY, 2000, waitMillis, standing, engines),
@@ -115,7 +115,7 @@
                                 mFirst.incarnation(), UpstreamUse.of(1, first),
                                 mSecond.incarnation(), UpstreamUse.of(1, second)),
                         Map.of(),
-                        UseReport.NONE,
+                        UsageReport.NONE,
                         Map.of());
         Incarnation peer = new Incarnation("peer~1");
         assertEquals(peer.instance(), new InstanceId("peer"));
@@ -149,7 +149,7 @@
         long until = mTime.millis() + 150;
         find(
                 200,
-                Standing.IN_TIME,
+                QueueTier.IN_TIME,
                 () -> mTime.millis() < until ? List.of(mFirst, mSecond) : List.of());
         mTime.pass(300);
         assertTrue(mRefused.matches("no place after [1-9]\\d* refusals: .*"), mRefused);
@@ -158,7 +158,7 @@
 
     @Test
     public void whereNoEngineMayEverBeAskedTheRefusalSaysSo() {
-        find(200, Standing.IN_TIME, List::of);
+        find(200, QueueTier.IN_TIME, List::of);
         mTime.pass(300);
         assertTrue(mRefused.endsWith(", no engine may be asked"), mRefused);
     }
@@ -212,7 +212,7 @@
 
     @Test
     public void withoutEnginesASearchIsRefusedAfterItsWait() {
-        find(100, Standing.IN_TIME, List::of);
+        find(100, QueueTier.IN_TIME, List::of);
         mTime.pass(150);
         assertTrue(mRefused != null);
     }
@@ -221,17 +221,17 @@
     public void aLateRequestLeavesRoomForOneThatCanBeInTime() {
         long justEnough = MEMORY - PROMPT - (long) MARGIN;
         peersUse(justEnough, justEnough);
-        find(0, Standing.LATE);
+        find(0, QueueTier.LATE);
         assertTrue(mRefused != null);
-        find(0, Standing.IN_TIME);
+        find(0, QueueTier.IN_TIME);
         assertTrue(mGranted != null);
     }
 
     @Test
     public void whoCanBeInTimeGoesBeforeAStreamThatBrokeOffAndThatBeforeWhoIsLate() {
         mPort.mFull.addAll(Set.of(mFirst.incarnation(), mSecond.incarnation()));
-        List<Standing> order = new ArrayList<>();
-        for (Standing standing : List.of(Standing.LATE, Standing.CONTINUED, Standing.IN_TIME)) {
+        List<QueueTier> order = new ArrayList<>();
+        for (QueueTier standing : List.of(QueueTier.LATE, QueueTier.CONTINUED, QueueTier.IN_TIME)) {
             mAllocator.find(
                     new ReservationAllocator.Wanted(
                             ASKER,
@@ -258,7 +258,7 @@
         mTime.pass(100);
         mPort.mFull.clear();
         mTime.pass(100);
-        assertEquals(order, List.of(Standing.IN_TIME, Standing.CONTINUED, Standing.LATE));
+        assertEquals(order, List.of(QueueTier.IN_TIME, QueueTier.CONTINUED, QueueTier.LATE));
         assertEquals(mAllocator.waitingTokens(), 0);
     }
 
@@ -280,14 +280,14 @@
     private void wait(String organisation, List<String> order) {
         mAllocator.find(
                 new ReservationAllocator.Wanted(
-                        new Asker(1, new PartnerId(organisation)),
+                        new FlowKey(1, new PartnerId(organisation)),
                         PROMPT,
                         MOST,
                         0,
                         MEMORY,
                         2000,
                         1000,
-                        Standing.IN_TIME,
+                        QueueTier.IN_TIME,
                         () -> List.of(mFirst)),
                 new ReservationAllocator.Listener() {
                     @Override
