--- a/troutpier-cli/src/test/java/org/troutpier/cli/OrganisationsCommandTest.java
+++ b/troutpier-cli/src/test/java/org/troutpier/cli/OrganisationsCommandTest.java
@@ -71,8 +71,7 @@
         mNow = 20_000;
         use.admit(coast, 60);
         use.admit(coast, 4000);
-        mRouter =
-                new RouterStandin(exchange -> exchange.answer(Answers.json(200, use.statuses())));
+        mRouter = new RouterStandin(exchange -> exchange.answer(Answers.json(200, use.statuses())));
     }
 
     @AfterMethod(alwaysRun = true)
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/cluster/PeerLoads.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/cluster/PeerLoads.java
@@ -121,7 +121,8 @@
         if (!started) {
             mRetained.forget(source);
         }
-        LoadReport told = remembered ? report.with(report.organisations().withFullHistory()) : report;
+        LoadReport told =
+                remembered ? report.with(report.organisations().withFullHistory()) : report;
         mHeard.put(from, new Heard(source, told, now));
         return before == null || before.scope() != scope || !before.report().sameLoad(report);
     }
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/RequestExecution.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/RequestExecution.java
@@ -156,9 +156,7 @@
         if (mCost > 0 && (!mSent || mNotRun)) {
             mRequest.organisation()
                     .ifPresent(
-                            each ->
-                                    mContext.organisationLimiter()
-                                            .refund(each, mCost, mCountedAt));
+                            each -> mContext.organisationLimiter().refund(each, mCost, mCountedAt));
         }
     }
 
@@ -180,7 +178,8 @@
      */
     protected FlowKey asker() {
         return new FlowKey(
-                priority(), mRequest.organisation().map(Organisation::id).orElse(FlowKey.NO_ORGANISATION));
+                priority(),
+                mRequest.organisation().map(Organisation::id).orElse(FlowKey.NO_ORGANISATION));
     }
 
     /** Looks for an upstream for the first time. */
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/StreamExecution.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/StreamExecution.java
@@ -164,7 +164,8 @@
      */
     private WaitBudget.Prediction prediction() {
         return new WaitBudget.Prediction(
-                readMillis() + mContext.readingExcess().predictedMillis(), mContext.firstEvent().predictedMillis());
+                readMillis() + mContext.readingExcess().predictedMillis(),
+                mContext.firstEvent().predictedMillis());
     }
 
     /**
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/UpstreamLoads.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/UpstreamLoads.java
@@ -140,10 +140,12 @@
         private UpstreamEntry.Role mReplacedRole;
 
         /** Calls that failed lately though the upstream was reached. */
-        private final SlidingWindowSum mFailedLately = new SlidingWindowSum(ENDS_MILLIS, ENDS_STEPS);
+        private final SlidingWindowSum mFailedLately =
+                new SlidingWindowSum(ENDS_MILLIS, ENDS_STEPS);
 
         /** Calls that went well lately. */
-        private final SlidingWindowSum mSucceededLately = new SlidingWindowSum(ENDS_MILLIS, ENDS_STEPS);
+        private final SlidingWindowSum mSucceededLately =
+                new SlidingWindowSum(ENDS_MILLIS, ENDS_STEPS);
 
         /** Runs that it refused since the last success. */
         private int mRefusals;
--- a/troutpier-daemon/src/test/java/org/troutpier/daemon/cluster/LimitSimulation.java
+++ b/troutpier-daemon/src/test/java/org/troutpier/daemon/cluster/LimitSimulation.java
@@ -321,7 +321,8 @@
                         (id, used) ->
                                 left.merge(
                                         id,
-                                        new RecentUsage(-used.window(), -used.pace(), -used.asked()),
+                                        new RecentUsage(
+                                                -used.window(), -used.pace(), -used.asked()),
                                         RecentUsage::plus));
         return new UsageReport(Math.max(0, sum.forgotten() - own.forgotten()), left);
     }
@@ -364,7 +365,8 @@
             router.mElsewhere = UsageReport.NONE;
             router.mHeard = 0;
         }
-        Optional<OrganisationLimiter.Refusal> refusal = router.mUse.admit(asking.mOrganisation, cost);
+        Optional<OrganisationLimiter.Refusal> refusal =
+                router.mUse.admit(asking.mOrganisation, cost);
         return refusal.isEmpty();
     }
 
--- a/troutpier-daemon/src/test/java/org/troutpier/daemon/cluster/PeerExchangeTest.java
+++ b/troutpier-daemon/src/test/java/org/troutpier/daemon/cluster/PeerExchangeTest.java
@@ -40,8 +40,8 @@
 import org.troutpier.daemon.rows.FakeRowStore;
 import org.troutpier.daemon.rows.RowStore.Row;
 import org.troutpier.daemon.rows.TableFollower;
-import org.troutpier.standins.platform.VersionedRows.Key;
 import org.troutpier.standins.platform.VersionedRows;
+import org.troutpier.standins.platform.VersionedRows.Key;
 
 /** Many routers that tell each other of their load, over a network in memory. */
 public final class PeerExchangeTest {
--- a/troutpier-daemon/src/test/java/org/troutpier/daemon/serving/ExecutionTest.java
+++ b/troutpier-daemon/src/test/java/org/troutpier/daemon/serving/ExecutionTest.java
@@ -579,7 +579,9 @@
     /** Sends an upstream more than it takes, and has it name its rate. */
     private void fill(UpstreamEntry upstream) {
         for (int call = 0; call < 20; call++) {
-            mContext.admission().rates().tryAcquire(upstream, new FlowKey(0, FlowKey.NO_ORGANISATION));
+            mContext.admission()
+                    .rates()
+                    .tryAcquire(upstream, new FlowKey(0, FlowKey.NO_ORGANISATION));
         }
         mContext.admission()
                 .rates()
--- a/troutpier-daemon/src/test/java/org/troutpier/daemon/serving/UpstreamRatesTest.java
+++ b/troutpier-daemon/src/test/java/org/troutpier/daemon/serving/UpstreamRatesTest.java
@@ -133,11 +133,16 @@
     public void whatAnotherRouterHeardLaterHoldsHere() {
         answer(AnnouncedRate.of(3.6));
         mTime.pass(1000);
-        mReported = new RateReport(new LastAnnouncedRate(2, 100), new RecentUsage(4, 1, 9), List.of(9L));
+        mReported =
+                new RateReport(
+                        new LastAnnouncedRate(2, 100), new RecentUsage(4, 1, 9), List.of(9L));
         assertEquals(rates(), List.of(2.0));
         assertEquals(mRates.statuses().get(0).elsewhere(), 4);
         mReported =
-                new RateReport(new LastAnnouncedRate(LastAnnouncedRate.UNLIMITED, 0), RecentUsage.NONE, List.of());
+                new RateReport(
+                        new LastAnnouncedRate(LastAnnouncedRate.UNLIMITED, 0),
+                        RecentUsage.NONE,
+                        List.of());
         mTime.pass(200);
         assertEquals(rates(), List.of());
         mReported = new RateReport(new LastAnnouncedRate(3.6, 5000), RecentUsage.NONE, List.of());
@@ -150,7 +155,10 @@
         answer(AnnouncedRate.of(3.6));
         assertEquals(
                 mRates.report(),
-                Map.of(ID, new RateReport(new LastAnnouncedRate(3.6, 0), RecentUsage.NONE, List.of())));
+                Map.of(
+                        ID,
+                        new RateReport(
+                                new LastAnnouncedRate(3.6, 0), RecentUsage.NONE, List.of())));
         mTime.pass(1000);
         mReported = new RateReport(new LastAnnouncedRate(2, 100), RecentUsage.NONE, List.of());
         assertEquals(rates(), List.of(2.0));
@@ -160,7 +168,10 @@
                 mRates.report(),
                 Map.of(
                         ID,
-                        new RateReport(LastAnnouncedRate.NEVER, new RecentUsage(1, 1, 1), List.of(0L, 1L))));
+                        new RateReport(
+                                LastAnnouncedRate.NEVER,
+                                new RecentUsage(1, 1, 1),
+                                List.of(0L, 1L))));
     }
 
     @Test
@@ -219,7 +230,9 @@
     public void whatTheOthersSendIsTakenOff() {
         mRouters = 1;
         mKnown = 2;
-        mReported = new RateReport(new LastAnnouncedRate(5, 0), new RecentUsage(20, 5, 5), List.of(0L, 5L));
+        mReported =
+                new RateReport(
+                        new LastAnnouncedRate(5, 0), new RecentUsage(20, 5, 5), List.of(0L, 5L));
         mRates.tryAcquire(UPSTREAM, ASKER);
         assertEquals(rates(), List.of(5.0));
         mTime.pass(5000);
@@ -239,7 +252,11 @@
     public void theMoreUrgentGoesFirst() {
         answer(AnnouncedRate.of(5));
         mTime.pass(5000);
-        long[] sent = press(20_000, new FlowKey(2, FlowKey.NO_ORGANISATION), new FlowKey(1, FlowKey.NO_ORGANISATION));
+        long[] sent =
+                press(
+                        20_000,
+                        new FlowKey(2, FlowKey.NO_ORGANISATION),
+                        new FlowKey(1, FlowKey.NO_ORGANISATION));
         assertTrue(sent[1] >= 80, "the more urgent " + sent[1] + " of 100");
         assertTrue(sent[0] <= 10, "the less urgent " + sent[0]);
     }
