--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/WholeAnswer.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/BufferedResponse.java
@@ -4,11 +4,13 @@
 import io.netty.buffer.ByteBufUtil;
 import io.netty.buffer.Unpooled;
 
-/** Gathers an answer's body. Confined to the traffic loop. Invariant: bounded by {@link #MOST}. */
-final class WholeAnswer {
+/**
+ * Gathers an answer's body. Confined to the traffic loop. Invariant: bounded by {@link #MAX_BYTES}.
+ */
+final class BufferedResponse {
 
     /** The largest body that is gathered, bytes; larger ones are told as failed. */
-    static final int MOST = 16 * 1024 * 1024;
+    static final int MAX_BYTES = 16 * 1024 * 1024;
 
     /** The head. */
     private final UpstreamPort.Head mHead;
@@ -21,7 +23,7 @@
      *
      * @param head the head
      */
-    WholeAnswer(UpstreamPort.Head head) {
+    BufferedResponse(UpstreamPort.Head head) {
         mHead = head;
     }
 
@@ -31,9 +33,9 @@
      * @param part the bytes
      * @return whether the body is still within its bound
      */
-    boolean add(byte[] part) {
+    boolean append(byte[] part) {
         mBody.writeBytes(part);
-        return mBody.readableBytes() <= MOST;
+        return mBody.readableBytes() <= MAX_BYTES;
     }
 
     /**
@@ -51,6 +53,6 @@
      * @param caller the caller
      */
     void sendTo(CallerChannel caller) {
-        caller.answer(mHead.status(), mHead.headers(), ByteBufUtil.getBytes(mBody));
+        caller.sendResponse(mHead.status(), mHead.headers(), ByteBufUtil.getBytes(mBody));
     }
 }
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/CallerChannel.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/CallerChannel.java
@@ -24,7 +24,7 @@
      * @param headers the headers
      * @param body the body
      */
-    void answer(int status, HttpHeaders headers, byte[] body);
+    void sendResponse(int status, HttpHeaders headers, byte[] body);
 
     /**
      * Refuses.
@@ -41,7 +41,7 @@
      * @param status the HTTP status
      * @param headers the headers
      */
-    void begin(int status, HttpHeaders headers);
+    void beginStream(int status, HttpHeaders headers);
 
     /**
      * Writes a part of a stream.
@@ -51,24 +51,24 @@
     void write(byte[] part);
 
     /** Ends a stream whole. */
-    void end();
+    void endStream();
 
     /** Breaks the answer off so that the caller can tell. */
-    void cut();
+    void abort();
 
     /**
      * Returns whether the caller takes more without a growing buffer.
      *
      * @return whether to write on
      */
-    boolean writable();
+    boolean isWritable();
 
     /**
      * Sets what runs when the caller leaves before the answer is ended.
      *
      * @param action the action
      */
-    void onGone(Runnable action);
+    void onDisconnect(Runnable action);
 
     /**
      * Sets what runs when the caller takes more again.
@@ -94,7 +94,7 @@
 
         /** {@inheritDoc} */
         @Override
-        public void answer(int status, HttpHeaders headers, byte[] body) {
+        public void sendResponse(int status, HttpHeaders headers, byte[] body) {
             FullHttpResponse answer =
                     new DefaultFullHttpResponse(
                             HttpVersion.HTTP_1_1,
@@ -113,7 +113,7 @@
 
         /** {@inheritDoc} */
         @Override
-        public void begin(int status, HttpHeaders headers) {
+        public void beginStream(int status, HttpHeaders headers) {
             mExchange.begin(status, headers);
         }
 
@@ -125,25 +125,25 @@
 
         /** {@inheritDoc} */
         @Override
-        public void end() {
+        public void endStream() {
             mExchange.end();
         }
 
         /** {@inheritDoc} */
         @Override
-        public void cut() {
+        public void abort() {
             mExchange.cut();
         }
 
         /** {@inheritDoc} */
         @Override
-        public boolean writable() {
+        public boolean isWritable() {
             return mExchange.writable();
         }
 
         /** {@inheritDoc} */
         @Override
-        public void onGone(Runnable action) {
+        public void onDisconnect(Runnable action) {
             mExchange.onGone(action);
         }
 
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/DecisionLog.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/DecisionLog.java
@@ -9,28 +9,28 @@
 
 /**
  * Logs what was decided about requests: one line for each request at its end, with the stages it
- * went through. Confined to the traffic loop. Invariant: at most {@link #LINES_PER_SECOND} lines a
- * second; what is left out is counted.
+ * went through. Confined to the traffic loop. Invariant: at most {@link #MAX_LINES_PER_SECOND}
+ * lines a second; what is left out is counted.
  */
 public final class DecisionLog {
 
     /** How many lines a second are written at most. */
-    private static final int LINES_PER_SECOND = 200;
+    private static final int MAX_LINES_PER_SECOND = 200;
 
     /**
      * How many of them may tell of ordinary successes: enough to see what one looks like. Counters
      * and histograms tell the rest.
      */
-    private static final int ORDINARY_PER_SECOND = 1;
+    private static final int MAX_SUCCESS_LINES_PER_SECOND = 1;
 
     /** Writes the lines. */
     private static final Logger LOGGER = LogManager.getLogger("decision");
 
     /** Counts lines of ordinary successes that are left out. */
-    private final Counter mFolded;
+    private final Counter mFoldedLines;
 
     /** Counts other lines that are left out. */
-    private final Counter mLeftOut;
+    private final Counter mDroppedLines;
 
     /** The time line. */
     private final EventRing mEvents;
@@ -39,7 +39,7 @@
     private final TrafficLoop mLoop;
 
     /** The second that lines are counted in. */
-    private long mSecond;
+    private long mCurrentSecond;
 
     /** How many lines were written in it. */
     private int mLines;
@@ -56,8 +56,8 @@
      */
     public DecisionLog(MetricRegistry metrics, EventRing events, TrafficLoop loop) {
         mEvents = events;
-        mFolded = metrics.counter("log.folded");
-        mLeftOut = metrics.counter("log.left-out");
+        mFoldedLines = metrics.counter("log.folded");
+        mDroppedLines = metrics.counter("log.left-out");
         mLoop = loop;
     }
 
@@ -67,10 +67,10 @@
      * @param trace what happened to it
      * @param outcome how it ended
      */
-    public void ended(RequestTrace trace, String outcome) {
+    public void requestEnded(RequestTrace trace, String outcome) {
         mEvents.record("request " + outcome, trace.id(), trace.steps());
-        if (admitted(trace.ordinary(outcome))) {
-            LOGGER.info(trace.message(outcome));
+        if (tryWrite(trace.isOrdinarySuccess(outcome))) {
+            LOGGER.info(trace.toLogMessage(outcome));
         }
     }
 
@@ -80,19 +80,19 @@
      * @param ordinary whether it tells of an ordinary success
      * @return whether to write it
      */
-    private boolean admitted(boolean ordinary) {
+    private boolean tryWrite(boolean ordinary) {
         long second = TimeUnit.NANOSECONDS.toSeconds(mLoop.nanos());
-        if (second != mSecond) {
-            mSecond = second;
+        if (second != mCurrentSecond) {
+            mCurrentSecond = second;
             mLines = 0;
             mOrdinary = 0;
         }
-        if (ordinary && ++mOrdinary > ORDINARY_PER_SECOND) {
-            mFolded.inc();
+        if (ordinary && ++mOrdinary > MAX_SUCCESS_LINES_PER_SECOND) {
+            mFoldedLines.inc();
             return false;
         }
-        if (mLines >= LINES_PER_SECOND) {
-            mLeftOut.inc();
+        if (mLines >= MAX_LINES_PER_SECOND) {
+            mDroppedLines.inc();
             return false;
         }
         mLines++;
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/DecodePlace.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/DecodeReservation.java
@@ -14,7 +14,7 @@
  * that was set aside there, and the memory that the request takes. Confined to the traffic loop.
  * Invariants: at most one search is under way; a place is used or released; memory is freed.
  */
-final class DecodePlace {
+final class DecodeReservation {
 
     /** The collaborators. */
     private final ServingContext mContext;
@@ -26,19 +26,19 @@
     private final EngineTraits mTraits;
 
     /** Who asks. */
-    private final FlowKey mAsker;
+    private final FlowKey mFlowKey;
 
     /** The prompt's length. */
     private final long mPromptTokens;
 
     /** The prompt's length and the most output. */
-    private final long mMostTokens;
+    private final long mMaxTokens;
 
     /** What the run needs at first: the prompt and what was made of the stream before. */
-    private long mNeededTokens;
+    private long mInitialTokens;
 
     /** When the last search began, milliseconds. */
-    private long mSearchBegan;
+    private long mSearchStart;
 
     /** Looks for a place, or null. */
     private ReservationAllocator.Search mSearch;
@@ -47,7 +47,7 @@
     private UpstreamEntry mEngine;
 
     /** The place that was set aside there and not used yet. */
-    private Optional<UpstreamPort.Reservation> mPlace = Optional.empty();
+    private Optional<UpstreamPort.Reservation> mReservation = Optional.empty();
 
     /** What the request takes at the engine, or null. */
     private EngineMemory mMemory;
@@ -62,7 +62,7 @@
      * @param promptTokens the prompt's length
      * @param mostTokens the prompt's length and the most output
      */
-    DecodePlace(
+    DecodeReservation(
             ServingContext context,
             String service,
             EngineTraits traits,
@@ -72,9 +72,9 @@
         mContext = context;
         mService = service;
         mTraits = traits;
-        mAsker = asker;
+        mFlowKey = asker;
         mPromptTokens = promptTokens;
-        mMostTokens = mostTokens;
+        mMaxTokens = mostTokens;
     }
 
     /**
@@ -85,7 +85,7 @@
      * @param events how many events of the stream were made before, which are read again with the
      *     prompt
      * @param engines the engines that may be used, asked again for each round
-     * @param listener receives the end; it calls {@link #take} or {@link #searched}
+     * @param listener receives the end; it calls {@link #accept} or {@link #endSearch}
      */
     void search(
             long waitMillis,
@@ -93,17 +93,17 @@
             long events,
             Supplier<List<UpstreamEntry>> engines,
             ReservationAllocator.Listener listener) {
-        mSearchBegan = mContext.loop().millis();
-        mNeededTokens = mPromptTokens + events * mTraits.eventTokens();
-        mContext.metrics().waitsForPlace(true);
+        mSearchStart = mContext.loop().millis();
+        mInitialTokens = mPromptTokens + events * mTraits.eventTokens();
+        mContext.metrics().reservationWaitChanged(true);
         mSearch =
                 mContext.reservations()
-                        .find(
-                                new ReservationAllocator.Wanted(
-                                        mAsker,
-                                        mNeededTokens,
-                                        Math.max(mMostTokens, mNeededTokens),
-                                        marginTokens(),
+                        .search(
+                                new ReservationAllocator.Requirements(
+                                        mFlowKey,
+                                        mInitialTokens,
+                                        Math.max(mMaxTokens, mInitialTokens),
+                                        growthMarginTokens(),
                                         mTraits.memoryTokens(),
                                         mTraits.reservationMillis(),
                                         waitMillis,
@@ -118,17 +118,18 @@
      * @param engines the service's decode engines
      * @return milliseconds; 0 where nothing is known
      */
-    double predictedMillis(List<UpstreamEntry> engines) {
+    double predictedWaitMillis(List<UpstreamEntry> engines) {
         UpstreamLoads loads = mContext.loads();
         long used = engines.stream().mapToLong(loads::tokens).sum();
-        long waiting = mContext.reservations().waitingTokens() + mContext.peers().waitingTokens();
+        long waiting =
+                mContext.reservations().waitingTokens() + mContext.peerLoads().waitingTokens();
         MemoryWaitForecast forecast =
                 new MemoryWaitForecast(
                         engines.size(),
                         used,
-                        mTraits.memoryTokens() - marginTokens(),
+                        mTraits.memoryTokens() - growthMarginTokens(),
                         waiting,
-                        mContext.demanded(mService).meanRunMillis());
+                        mContext.demandFor(mService).meanRunMillis());
         return forecast.waitMillis(mPromptTokens);
     }
 
@@ -137,11 +138,11 @@
      *
      * @return tokens
      */
-    private double marginTokens() {
-        return mContext.margin()
+    private double growthMarginTokens() {
+        return mContext.growthMargin()
                 .tokens(
-                        mContext.demanded(mService).meanOutputTokens(),
-                        mMostTokens - mPromptTokens,
+                        mContext.demandFor(mService).meanOutputTokens(),
+                        mMaxTokens - mPromptTokens,
                         mTraits.memoryTokens());
     }
 
@@ -150,15 +151,15 @@
      *
      * @return milliseconds
      */
-    long searchedMillis() {
-        return mContext.loop().millis() - mSearchBegan;
+    long searchMillis() {
+        return mContext.loop().millis() - mSearchStart;
     }
 
     /** Records that the search is over. */
-    void searched() {
+    void endSearch() {
         mSearch = null;
-        mContext.metrics().waitsForPlace(false);
-        mContext.metrics().stage("place", searchedMillis());
+        mContext.metrics().reservationWaitChanged(false);
+        mContext.metrics().recordStage("place", searchMillis());
     }
 
     /**
@@ -167,11 +168,11 @@
      * @param engine where it is
      * @param place the place; empty where engines do not set places aside
      */
-    void take(UpstreamEntry engine, Optional<UpstreamPort.Reservation> place) {
-        searched();
+    void accept(UpstreamEntry engine, Optional<UpstreamPort.Reservation> place) {
+        endSearch();
         mEngine = engine;
-        mPlace = place;
-        mMemory = new EngineMemory(mContext.loads(), engine, mNeededTokens);
+        mReservation = place;
+        mMemory = new EngineMemory(mContext.loads(), engine, mInitialTokens);
     }
 
     /**
@@ -188,9 +189,9 @@
      *
      * @return the place, if one was set aside
      */
-    Optional<UpstreamPort.Reservation> use() {
-        Optional<UpstreamPort.Reservation> place = mPlace;
-        mPlace = Optional.empty();
+    Optional<UpstreamPort.Reservation> takeReservation() {
+        Optional<UpstreamPort.Reservation> place = mReservation;
+        mReservation = Optional.empty();
         return place;
     }
 
@@ -199,14 +200,14 @@
      *
      * @param events how many events it made
      */
-    void grow(long events) {
+    void recordEvents(long events) {
         if (mMemory != null) {
             mMemory.grow(events * mTraits.eventTokens());
         }
     }
 
     /** Records that the engine's memory is no longer used. */
-    void free() {
+    void freeMemory() {
         if (mMemory != null) {
             mMemory.free();
             mMemory = null;
@@ -216,11 +217,11 @@
     /** Stops the search, frees the memory and gives the place back. */
     void release() {
         if (mSearch != null) {
-            mSearch.stop();
+            mSearch.cancel();
             mSearch = null;
-            mContext.metrics().waitsForPlace(false);
+            mContext.metrics().reservationWaitChanged(false);
         }
-        free();
-        use().ifPresent(place -> mContext.port().release(mEngine, place));
+        freeMemory();
+        takeReservation().ifPresent(place -> mContext.port().release(mEngine, place));
     }
 }
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/EventRelay.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/EventRelay.java
@@ -19,13 +19,13 @@
     private final CallerChannel mCaller;
 
     /** Cuts the run's bytes into events. */
-    private EventFrames mFrames = new EventFrames();
+    private EventFrames mParser = new EventFrames();
 
     /** The last event that the caller has, if any. */
-    private OptionalLong mLast;
+    private OptionalLong mLastEventId;
 
     /** How many events were handed on. */
-    private long mEvents;
+    private long mEventCount;
 
     /**
      * Creates a relay.
@@ -35,12 +35,12 @@
      */
     EventRelay(CallerChannel caller, OptionalLong last) {
         mCaller = caller;
-        mLast = last;
+        mLastEventId = last;
     }
 
     /** Begins with the bytes of another run. */
-    void beginRun() {
-        mFrames = new EventFrames();
+    void startRun() {
+        mParser = new EventFrames();
     }
 
     /**
@@ -50,7 +50,7 @@
      * @throws TroutpierException when an event is out of order or cannot be read
      */
     void feed(byte[] bytes) {
-        mFrames.feed(bytes, this::event);
+        mParser.feed(bytes, this::relay);
     }
 
     /**
@@ -58,8 +58,8 @@
      *
      * @return whether an end now would be whole
      */
-    boolean betweenEvents() {
-        return !mFrames.insideEvent();
+    boolean atEventBoundary() {
+        return !mParser.insideEvent();
     }
 
     /**
@@ -67,8 +67,8 @@
      *
      * @return its id, if there is one
      */
-    OptionalLong last() {
-        return mLast;
+    OptionalLong lastEventId() {
+        return mLastEventId;
     }
 
     /**
@@ -76,8 +76,8 @@
      *
      * @return the count
      */
-    long events() {
-        return mEvents;
+    long eventCount() {
+        return mEventCount;
     }
 
     /**
@@ -85,18 +85,19 @@
      *
      * @param event its bytes, with the blank line that ends it
      */
-    private void event(byte[] event) {
-        OptionalLong id = id(event);
+    private void relay(byte[] event) {
+        OptionalLong id = parseId(event);
         if (id.isPresent()) {
-            boolean inOrder = mLast.isEmpty() || id.getAsLong() == mLast.getAsLong() + 1;
+            boolean inOrder =
+                    mLastEventId.isEmpty() || id.getAsLong() == mLastEventId.getAsLong() + 1;
             if (!inOrder) {
                 throw new TroutpierException(
                         ResultCode.UPSTREAM_FAILED,
-                        "event " + id.getAsLong() + " came after " + mLast.getAsLong());
+                        "event " + id.getAsLong() + " came after " + mLastEventId.getAsLong());
             }
-            mLast = id;
+            mLastEventId = id;
         }
-        mEvents++;
+        mEventCount++;
         mCaller.write(event);
     }
 
@@ -106,7 +107,7 @@
      * @param event its bytes
      * @return the id, if it has one
      */
-    private static OptionalLong id(byte[] event) {
+    private static OptionalLong parseId(byte[] event) {
         String text = new String(event, StandardCharsets.ISO_8859_1);
         int from = text.startsWith(ID_FIELD) ? 0 : text.indexOf("\n" + ID_FIELD) + 1;
         if (from == 0 && !text.startsWith(ID_FIELD)) {
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/GracefulShutdown.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/GracefulShutdown.java
@@ -19,13 +19,13 @@
      * How long callers may still come, milliseconds: the platform asks for readiness every second
      * and takes a router out after two misses.
      */
-    private static final long NOTICE_MILLIS = 2600;
+    private static final long READINESS_DELAY_MILLIS = 2600;
 
     /** How much of the time that is given is left unused, milliseconds. */
-    private static final long SPARE_MILLIS = 300;
+    private static final long EXIT_MARGIN_MILLIS = 300;
 
     /** How often it is looked whether requests are in progress, milliseconds. */
-    private static final long LOOK_MILLIS = 50;
+    private static final long POLL_MILLIS = 50;
 
     /** Logs the stop. */
     private static final Logger LOGGER = LogManager.getLogger(GracefulShutdown.class);
@@ -58,10 +58,10 @@
         mReadiness.stopping();
         mServer.drain();
         LOGGER.info("stop begins busy={} graceMillis={}", mServer.busy(), mGraceMillis);
-        waitUntil(() -> elapsed(start) >= NOTICE_MILLIS, start);
+        waitUntil(() -> elapsedMillis(start) >= READINESS_DELAY_MILLIS, start);
         mServer.close();
-        waitUntil(this::closed, start);
-        LOGGER.info("stop ends busy={} millis={}", mServer.busy(), elapsed(start));
+        waitUntil(this::closeIdleConnections, start);
+        LOGGER.info("stop ends busy={} millis={}", mServer.busy(), elapsedMillis(start));
     }
 
     /**
@@ -69,7 +69,7 @@
      *
      * @return whether no connection is left
      */
-    private boolean closed() {
+    private boolean closeIdleConnections() {
         mServer.closeIdle();
         return mServer.connections() == 0;
     }
@@ -81,9 +81,10 @@
      * @param start when the stop began, nanoseconds
      */
     private void waitUntil(BooleanSupplier condition, long start) {
-        while (!condition.getAsBoolean() && elapsed(start) < mGraceMillis - SPARE_MILLIS) {
+        while (!condition.getAsBoolean()
+                && elapsedMillis(start) < mGraceMillis - EXIT_MARGIN_MILLIS) {
             try {
-                Thread.sleep(LOOK_MILLIS);
+                Thread.sleep(POLL_MILLIS);
             } catch (InterruptedException exception) {
                 Thread.currentThread().interrupt();
                 LOGGER.warn("stop interrupted busy={}", mServer.busy());
@@ -98,7 +99,7 @@
      * @param start the moment, nanoseconds
      * @return milliseconds
      */
-    private static long elapsed(long start) {
+    private static long elapsedMillis(long start) {
         return (System.nanoTime() - start) / 1_000_000;
     }
 }
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/PlainExecution.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/PlainExecution.java
@@ -17,13 +17,13 @@
     private Attempt mAttempt;
 
     /** Where the request goes next, admitted there already; or null where that is not known. */
-    private UpstreamEntry mNext;
+    private UpstreamEntry mNextUpstream;
 
     /** When it was admitted where it goes next, milliseconds. */
     private long mAdmittedAt;
 
     /** An upstream's own failure, told if nothing better comes; or null. */
-    private WholeAnswer mFailure;
+    private BufferedResponse mUpstreamFailure;
 
     /**
      * Creates an execution.
@@ -46,26 +46,26 @@
     /** {@inheritDoc} */
     @Override
     void start() {
-        send();
+        sendNext();
     }
 
     /** Sends the request to an upstream that has not had it. */
-    private void send() {
-        if (withheld()) {
+    private void sendNext() {
+        if (refuseIfQuarantined()) {
             return;
         }
-        if (mNext == null) {
+        if (mNextUpstream == null) {
             List<UpstreamEntry> candidates = candidates();
-            if (!findNext(candidates)) {
-                giveUpUnsent(candidates);
+            if (!admitNext(candidates)) {
+                giveUpWithoutUpstream(candidates);
                 return;
             }
         }
-        UpstreamEntry upstream = mNext;
-        mNext = null;
-        sent(upstream, "sent");
+        UpstreamEntry upstream = mNextUpstream;
+        mNextUpstream = null;
+        recordDispatch(upstream, "sent");
         mAttempt = new Attempt(upstream);
-        mAttempt.begin();
+        mAttempt.start();
     }
 
     /**
@@ -74,17 +74,17 @@
      * @param candidates where it may be sent
      * @return whether there is such an upstream
      */
-    private boolean findNext(List<UpstreamEntry> candidates) {
-        mNext = mContext.admission().acquireFirst(candidates, asker()).orElse(null);
+    private boolean admitNext(List<UpstreamEntry> candidates) {
+        mNextUpstream = mContext.admission().acquireFirst(candidates, flowKey()).orElse(null);
         mAdmittedAt = mContext.loop().millis();
-        return mNext != null;
+        return mNextUpstream != null;
     }
 
     /** Gives back that the request was admitted where it is not going to be sent. */
-    private void forgetNext() {
-        if (mNext != null) {
-            mContext.admission().refund(mNext, mAdmittedAt);
-            mNext = null;
+    private void releaseNext() {
+        if (mNextUpstream != null) {
+            mContext.admission().refund(mNextUpstream, mAdmittedAt);
+            mNextUpstream = null;
         }
     }
 
@@ -94,7 +94,7 @@
      * @return the upstreams that have not had it, the least loaded first
      */
     private List<UpstreamEntry> candidates() {
-        return mContext.loads().byCalls(upstreams(UpstreamEntry.Role.PLAIN), excluded());
+        return mContext.loads().byCalls(upstreams(UpstreamEntry.Role.PLAIN), excludedUpstreams());
     }
 
     /**
@@ -102,7 +102,7 @@
      *
      * @param candidates where it might have been sent
      */
-    private void giveUpUnsent(List<UpstreamEntry> candidates) {
+    private void giveUpWithoutUpstream(List<UpstreamEntry> candidates) {
         if (candidates.isEmpty()) {
             giveUp(
                     ResultCode.NO_UPSTREAM,
@@ -110,10 +110,10 @@
                     ServingSettings.RETRY_AFTER_MILLIS);
             return;
         }
-        long limit = (long) (leftMillis() * ServingSettings.RETURN_PART);
+        long limit = (long) (remainingMillis() * ServingSettings.MAX_RETRY_AFTER_RATIO);
         giveUp(
                 ResultCode.UPSTREAM_RATE,
-                candidates.size() + " upstreams of " + mService + why(candidates),
+                candidates.size() + " upstreams of " + mService + refusalReason(candidates),
                 mContext.admission().retryAfterMillis(candidates, limit));
     }
 
@@ -123,7 +123,7 @@
      * @param candidates the upstreams
      * @return the end of the refusal's detail
      */
-    private String why(List<UpstreamEntry> candidates) {
+    private String refusalReason(List<UpstreamEntry> candidates) {
         long backOff = mContext.admission().backOffMillis(candidates);
         return backOff > 0 ? " asked for a back-off of " + backOff + " ms" : " are at their rates";
     }
@@ -136,11 +136,11 @@
      * @param returnMillis when to come back, milliseconds
      */
     private void giveUp(ResultCode code, String detail, long returnMillis) {
-        if (mFailure != null && !over()) {
-            mFailure.sendTo(mCaller);
-            mTrace.notable();
-            mTrace.step("status=" + mFailure.head().status());
-            answered();
+        if (mUpstreamFailure != null && !isEnded()) {
+            mUpstreamFailure.sendTo(mCaller);
+            mTrace.markNotable();
+            mTrace.addStep("status=" + mUpstreamFailure.head().status());
+            finishAnswered();
             return;
         }
         refuse(code, detail, returnMillis);
@@ -148,8 +148,8 @@
 
     /** {@inheritDoc} */
     @Override
-    protected void stopUpstream() {
-        forgetNext();
+    protected void releaseUpstream() {
+        releaseNext();
         if (mAttempt != null) {
             mAttempt.abort();
         }
@@ -157,7 +157,7 @@
 
     /** {@inheritDoc} */
     @Override
-    protected boolean atUpstream() {
+    protected boolean isAtUpstream() {
         return mAttempt != null;
     }
 
@@ -167,13 +167,13 @@
      * @param upstream where it was
      * @param end how it ended
      */
-    private void failed(UpstreamEntry upstream, AttemptEnd end) {
-        learn(upstream, end);
+    private void onAttemptFailed(UpstreamEntry upstream, AttemptEnd end) {
+        recordFailure(upstream, end);
         if (end.notStarted() || mRoute.kind().repeatable()) {
-            whenJudged(upstream, end, ended -> sendAgain(upstream, end));
+            afterCrashAttribution(upstream, end, ended -> retry(upstream, end));
             return;
         }
-        whenJudged(upstream, end, ended -> {});
+        afterCrashAttribution(upstream, end, ended -> {});
         giveUp(end);
     }
 
@@ -192,11 +192,11 @@
      * @param upstream where it was
      * @param end how it ended
      */
-    private void sendAgain(UpstreamEntry upstream, AttemptEnd end) {
-        if (mayTryAgain(upstream, end)) {
-            send();
+    private void retry(UpstreamEntry upstream, AttemptEnd end) {
+        if (mayRetry(upstream, end)) {
+            sendNext();
         } else {
-            forgetNext();
+            releaseNext();
             giveUp(end);
         }
     }
@@ -205,7 +205,7 @@
     private final class Attempt extends UpstreamRun {
 
         /** The answer so far, or null before its head. */
-        private WholeAnswer mAnswer;
+        private BufferedResponse mResponse;
 
         /**
          * Creates an attempt.
@@ -217,32 +217,32 @@
         }
 
         /** Sends the call. */
-        void begin() {
+        void start() {
             mContext.loads().begin(mUpstream, 0);
-            send(mRequest, UpstreamPort.RunPlan.plain(leftMillis(), priority()));
-            long silence = (long) (mRoute.targetMillis() * ServingSettings.SILENCE_PART);
+            send(mRequest, UpstreamPort.RunPlan.plain(remainingMillis(), priority()));
+            long silence = (long) (mRoute.targetMillis() * ServingSettings.PLAIN_SILENCE_FACTOR);
             boolean another =
                     mRoute.kind().repeatable()
-                            && mTried.size() < mRoute.maxAttempts()
-                            && silence + mRoute.targetMillis() < leftMillis();
+                            && mAttempted.size() < mRoute.maxAttempts()
+                            && silence + mRoute.targetMillis() < remainingMillis();
             if (another) {
-                expectWithin(silence);
+                startSilenceTimer(silence);
             }
         }
 
         /** {@inheritDoc} Another upstream is asked, if there is one. */
         @Override
-        protected void silent() {
-            if (!findNext(candidates())) {
+        protected void onSilence() {
+            if (!admitNext(candidates())) {
                 return;
             }
             abort();
-            failed(mUpstream, AttemptEnd.lost("silent"));
+            onAttemptFailed(mUpstream, AttemptEnd.lost("silent"));
         }
 
         /** {@inheritDoc} */
         @Override
-        protected void closed() {
+        protected void onClosed() {
             mAttempt = null;
             mContext.loads().end(mUpstream, 0);
         }
@@ -250,15 +250,15 @@
         /** {@inheritDoc} */
         @Override
         public void onHead(UpstreamPort.Head head) {
-            mAnswer = new WholeAnswer(head);
+            mResponse = new BufferedResponse(head);
         }
 
         /** {@inheritDoc} */
         @Override
         public void onPart(byte[] part) {
-            if (!mAnswer.add(part)) {
+            if (!mResponse.append(part)) {
                 abort();
-                failed(
+                onAttemptFailed(
                         mUpstream,
                         AttemptEnd.failed(ResultCode.UPSTREAM_FAILED, "the answer is too large"));
             }
@@ -268,23 +268,23 @@
         @Override
         public void onEnd() {
             close();
-            UpstreamPort.Head head = mAnswer.head();
+            UpstreamPort.Head head = mResponse.head();
             switch (head.verdict()) {
                 case SUCCESS -> {
-                    succeeded(mUpstream, "plain", millis());
-                    mTrace.step("status=" + head.status());
-                    lateAfter(mTrace.elapsedMillis());
-                    mAnswer.sendTo(mCaller);
-                    answered();
+                    recordSuccess(mUpstream, "plain", elapsedMillis());
+                    mTrace.addStep("status=" + head.status());
+                    markIfLate(mTrace.elapsedMillis());
+                    mResponse.sendTo(mCaller);
+                    finishAnswered();
                 }
                 case OWN_FAILURE -> {
-                    mFailure = mAnswer;
-                    failed(
+                    mUpstreamFailure = mResponse;
+                    onAttemptFailed(
                             mUpstream,
                             AttemptEnd.failed(
                                     ResultCode.UPSTREAM_FAILED, "status " + head.status()));
                 }
-                default -> failed(mUpstream, AttemptEnds.end(head));
+                default -> onAttemptFailed(mUpstream, AttemptEnds.end(head));
             }
         }
 
@@ -292,8 +292,8 @@
         @Override
         public void onFailure(AttemptEnd end) {
             close();
-            giveBackUnreached(end);
-            failed(mUpstream, end);
+            refundIfUnreached(end);
+            onAttemptFailed(mUpstream, end);
         }
     }
 }
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/PromptReading.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/PrefillCall.java
@@ -8,7 +8,7 @@
  * The reading of one prompt at one prefill engine. Confined to the traffic loop. Invariant: it ends
  * once: read, failed or aborted; a silent engine is given up.
  */
-final class PromptReading implements UpstreamPort.ResultListener<UpstreamPort.StoredPrompt> {
+final class PrefillCall implements UpstreamPort.ResultListener<UpstreamPort.StoredPrompt> {
 
     /** The collaborators. */
     private final ServingContext mContext;
@@ -32,23 +32,23 @@
     private final double mPredictedMillis;
 
     /** Gives the reading up. */
-    private final TrafficLoop.Timer mTimer;
+    private final TrafficLoop.Timer mTimeout;
 
     /** The call. */
     private UpstreamPort.Call mCall;
 
     /** Whether it has ended. */
-    private boolean mOver;
+    private boolean mEnded;
 
     /**
      * A prompt that is to be read.
      *
      * @param service the service that its request goes to
      * @param tokens its length
-     * @param alone whether nothing is known to wait before it and it was not read before, so that
-     *     its time tells the engine's pace
+     * @param measurable whether nothing is known to wait before it and it was not read before, so
+     *     that its time tells the engine's pace
      */
-    record Prompt(String service, long tokens, boolean alone) {}
+    record Prompt(String service, long tokens, boolean measurable) {}
 
     /** Receives how a reading ends, on the traffic loop. */
     interface Listener {
@@ -58,7 +58,7 @@
          *
          * @param prompt where it is kept
          */
-        void read(UpstreamPort.StoredPrompt prompt);
+        void onPrefilled(UpstreamPort.StoredPrompt prompt);
 
         /**
          * Called when the engine did not read it.
@@ -66,7 +66,7 @@
          * @param engine the engine
          * @param end how the call ended
          */
-        void failed(UpstreamEntry engine, AttemptEnd end);
+        void onFailed(UpstreamEntry engine, AttemptEnd end);
     }
 
     /**
@@ -78,7 +78,7 @@
      * @param trace the steps of the request
      * @param listener receives the end
      */
-    PromptReading(
+    PrefillCall(
             ServingContext context,
             Prompt prompt,
             UpstreamEntry engine,
@@ -91,10 +91,10 @@
         mListener = listener;
         mStart = context.loop().millis();
         mPredictedMillis =
-                context.demanded(prompt.service())
+                context.demandFor(prompt.service())
                         .reading()
                         .predictedMillis(context.loads().tokens(engine) + prompt.tokens());
-        mTimer = context.loop().schedule(this::silent, patienceMillis());
+        mTimeout = context.loop().schedule(this::onTimeout, timeoutMillis());
     }
 
     /**
@@ -103,8 +103,8 @@
      * @param request the request whose prompt it is
      * @param plan what goes with it
      */
-    void begin(ServingRequest request, UpstreamPort.RunPlan plan) {
-        mTrace.step("prefill@" + mEngine.id());
+    void send(ServingRequest request, UpstreamPort.RunPlan plan) {
+        mTrace.addStep("prefill@" + mEngine.id());
         mContext.loads().begin(mEngine, mPrompt.tokens());
         mCall = mContext.port().prefill(mEngine, request, plan, this);
     }
@@ -115,20 +115,20 @@
      *
      * @return milliseconds
      */
-    private long patienceMillis() {
+    private long timeoutMillis() {
         if (mPredictedMillis <= 0) {
-            return ServingSettings.PREFILL_MILLIS;
+            return ServingSettings.MAX_PREFILL_MILLIS;
         }
-        double patience = mPredictedMillis * ServingSettings.PREFILL_PATIENCE;
+        double patience = mPredictedMillis * ServingSettings.PREFILL_TIMEOUT_FACTOR;
         return (long)
                 Math.min(
-                        ServingSettings.PREFILL_MILLIS,
-                        Math.max(ServingSettings.LEAST_PREFILL_MILLIS, patience));
+                        ServingSettings.MAX_PREFILL_MILLIS,
+                        Math.max(ServingSettings.MIN_PREFILL_TIMEOUT_MILLIS, patience));
     }
 
     /** Gives the reading up because the engine is silent. */
-    private void silent() {
-        if (!mOver) {
+    private void onTimeout() {
+        if (!mEnded) {
             mCall.abort();
             onFailure(AttemptEnd.lost("prefill silent"));
         }
@@ -142,9 +142,9 @@
 
     /** Records that the call is over. */
     private void close() {
-        mTimer.cancel();
-        if (!mOver) {
-            mOver = true;
+        mTimeout.cancel();
+        if (!mEnded) {
+            mEnded = true;
             mContext.loads().end(mEngine, mPrompt.tokens());
         }
     }
@@ -161,17 +161,18 @@
     public void onResult(UpstreamPort.StoredPrompt prompt) {
         close();
         long now = mContext.loop().millis();
-        if (mPrompt.alone()) {
-            mContext.demand().recordPrefill(mPrompt.service(), mPrompt.tokens(), now - mStart, now);
+        if (mPrompt.measurable()) {
+            mContext.demandMeter()
+                    .recordPrefill(mPrompt.service(), mPrompt.tokens(), now - mStart, now);
         }
         if (mPredictedMillis > 0) {
-            mContext.readingExcess().record(now - mStart - mPredictedMillis);
-            mContext.metrics().predicted("prefill", mPredictedMillis, now - mStart);
+            mContext.prefillExcess().record(now - mStart - mPredictedMillis);
+            mContext.metrics().recordPredictionError("prefill", mPredictedMillis, now - mStart);
         }
         mContext.loads().succeeded(mEngine);
-        mContext.metrics().succeeded(mEngine.id(), "prefill", now - mStart);
-        mTrace.step("read");
-        mListener.read(prompt);
+        mContext.metrics().callSucceeded(mEngine.id(), "prefill", now - mStart);
+        mTrace.addStep("read");
+        mListener.onPrefilled(prompt);
     }
 
     /** {@inheritDoc} */
@@ -181,8 +182,8 @@
         if (end.neverReached()) {
             mContext.admission().refund(mEngine, mStart);
         }
-        mTrace.step("prefill failed(" + end.detail() + ")");
-        mContext.metrics().ended(mEngine.id(), end.notStarted());
+        mTrace.addStep("prefill failed(" + end.detail() + ")");
+        mContext.metrics().callFailed(mEngine.id(), end.notStarted());
         if (end.notStarted() && end.leaving()) {
             mContext.loads().replaced(mEngine);
         } else if (end.notStarted() && !end.unreachable()) {
@@ -190,6 +191,6 @@
         } else {
             mContext.loads().failed(mEngine, end.unreachable(), end.detail());
         }
-        mListener.failed(mEngine, end);
+        mListener.onFailed(mEngine, end);
     }
 }
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/PromptMetadata.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/PromptMetadata.java
@@ -33,7 +33,7 @@
      *
      * @return tokens
      */
-    public long mostTokens() {
+    public long maxTokens() {
         return (long) promptTokens + outputTokens;
     }
 
@@ -42,7 +42,7 @@
      *
      * @return the last part's id; empty for a prompt without parts
      */
-    public String ownPart() {
+    public String ownPartId() {
         return parts.isEmpty() ? "" : parts.get(parts.size() - 1).id();
     }
 }
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/RecentRefusals.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/RecentRefusals.java
@@ -11,16 +11,17 @@
 public final class RecentRefusals {
 
     /** How long a refusal is remembered, milliseconds: longer than callers are sent away for. */
-    private static final long REMEMBERED_MILLIS = 7000;
+    private static final long RETENTION_MILLIS = 7000;
 
     /** How many refusals are remembered. */
-    private static final int MOST = 20_000;
+    private static final int MAX_ENTRIES = 20_000;
 
     /** The keys that were refused. */
-    private final AgingMap<String, Boolean> mRefused = new AgingMap<>(MOST, REMEMBERED_MILLIS);
+    private final AgingMap<String, Boolean> mRefused =
+            new AgingMap<>(MAX_ENTRIES, RETENTION_MILLIS);
 
     /** Tells the other routers of a refusal. */
-    private volatile Consumer<String> mTeller = key -> {};
+    private volatile Consumer<String> mListener = key -> {};
 
     /**
      * Sets who tells the other routers.
@@ -28,7 +29,7 @@
      * @param teller takes the key of each refused request, on the traffic loop
      */
     public void onRefusal(Consumer<String> teller) {
-        mTeller = teller;
+        mListener = teller;
     }
 
     /**
@@ -37,11 +38,11 @@
      * @param prompt the request's prompt
      * @param now the monotonic clock, milliseconds
      */
-    void refused(PromptMetadata prompt, long now) {
-        String key = prompt.ownPart();
+    void recordRefusal(PromptMetadata prompt, long now) {
+        String key = prompt.ownPartId();
         if (!key.isEmpty()) {
             recordPeerRefusal(key, now);
-            mTeller.accept(key);
+            mListener.accept(key);
         }
     }
 
@@ -62,7 +63,7 @@
      * @param now the monotonic clock, milliseconds
      * @return whether it comes back
      */
-    boolean comesBack(PromptMetadata prompt, long now) {
-        return mRefused.contains(prompt.ownPart(), now);
+    boolean isReturning(PromptMetadata prompt, long now) {
+        return mRefused.contains(prompt.ownPartId(), now);
     }
 }
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/RequestExecution.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/RequestExecution.java
@@ -41,7 +41,7 @@
     protected final Knowledge mKnowledge = new Knowledge();
 
     /** Where it was sent to be run. */
-    protected final Set<UpstreamIncarnation> mTried = new HashSet<>();
+    protected final Set<UpstreamIncarnation> mAttempted = new HashSet<>();
 
     /** Which upstreams never received the request: not reached, or another stood in their place. */
     private final Set<UpstreamIncarnation> mUnreached = new HashSet<>();
@@ -50,28 +50,28 @@
     protected final RequestTrace mTrace;
 
     /** When it ends at the latest, milliseconds on the loop's clock. */
-    private final long mDeadline;
+    private final long mDeadlineMillis;
 
     /** Fires at the deadline. */
-    private final TrafficLoop.Timer mTimer;
+    private final TrafficLoop.Timer mDeadlineTimer;
 
     /** Whether it has ended. */
-    private boolean mOver;
+    private boolean mEnded;
 
     /** Names what is asked for. */
-    private final LazyFingerprint mContent;
+    private final LazyFingerprint mFingerprint;
 
     /** Whether it was sent to be run. */
-    private boolean mSent;
+    private boolean mDispatched;
 
     /** Whether it was refused as certainly not run. */
-    private boolean mNotRun;
+    private boolean mRefusedAsNotRun;
 
     /** What it counts as against its organisation's limit, or 0 where it was not counted. */
-    private double mCost;
+    private double mUsageCost;
 
     /** When it was counted, milliseconds on the loop's clock. */
-    private long mCountedAt;
+    private long mChargedAt;
 
     /**
      * Creates an execution.
@@ -90,7 +90,7 @@
             CallerChannel caller) {
         mContext = context;
         mRequest = request;
-        mContent = new LazyFingerprint(request);
+        mFingerprint = new LazyFingerprint(request);
         mRoute = route;
         mService = service;
         mCaller = caller;
@@ -99,13 +99,13 @@
                 Math.min(
                         route.timeoutMillis(),
                         request.deadlineMillis() - ServingSettings.ANSWER_MARGIN_MILLIS);
-        mDeadline = context.loop().millis() + Math.max(1, held);
-        mTimer = context.loop().schedule(this::expire, Math.max(1, held));
-        mTrace.input("routersHeard", context.peers().peerCount());
-        request.organisation().ifPresent(organisation -> mTrace.organisation(organisation.id()));
-        context.metrics().began();
-        caller.onGone(this::callerGone);
-        context.budget().recordRequest(service, context.loop().millis());
+        mDeadlineMillis = context.loop().millis() + Math.max(1, held);
+        mDeadlineTimer = context.loop().schedule(this::onDeadline, Math.max(1, held));
+        mTrace.addInput("routersHeard", context.peerLoads().peerCount());
+        request.organisation().ifPresent(organisation -> mTrace.addOrganisation(organisation.id()));
+        context.metrics().requestStarted();
+        caller.onDisconnect(this::onCallerDisconnect);
+        context.extraCallBudget().recordRequest(service, context.loop().millis());
     }
 
     /**
@@ -119,10 +119,10 @@
 
     /** Begins to serve, once the use of upstreams is known as it is now. */
     final void begin() {
-        mContext.view()
+        mContext.loadView()
                 .whenFresh(
                         () -> {
-                            if (!mOver && withinLimit()) {
+                            if (!mEnded && chargeUsage()) {
                                 start();
                             }
                         });
@@ -133,12 +133,12 @@
      *
      * @return whether it may be served
      */
-    private boolean withinLimit() {
+    private boolean chargeUsage() {
         Optional<Organisation> organisation = mRequest.organisation();
         if (organisation.isEmpty()) {
             return true;
         }
-        double cost = organisation.get().limit().cost(mRequest.tokens());
+        double cost = organisation.get().limit().cost(mRequest.maxTokens());
         Optional<OrganisationLimiter.Refusal> refusal =
                 mContext.organisationLimiter().admit(organisation.get(), cost);
         if (refusal.isPresent()) {
@@ -146,17 +146,19 @@
             refuse(ResultCode.USE_LIMIT, refusal.get().detail(), returnMillis);
             return false;
         }
-        mCost = cost;
-        mCountedAt = mContext.loop().millis();
+        mUsageCost = cost;
+        mChargedAt = mContext.loop().millis();
         return true;
     }
 
     /** Gives back what the request counted as, where it certainly did not run. */
-    private void giveBackUse() {
-        if (mCost > 0 && (!mSent || mNotRun)) {
+    private void refundUsage() {
+        if (mUsageCost > 0 && (!mDispatched || mRefusedAsNotRun)) {
             mRequest.organisation()
                     .ifPresent(
-                            each -> mContext.organisationLimiter().refund(each, mCost, mCountedAt));
+                            each ->
+                                    mContext.organisationLimiter()
+                                            .refund(each, mUsageCost, mChargedAt));
         }
     }
 
@@ -176,7 +178,7 @@
      *
      * @return the request's rank and organisation
      */
-    protected FlowKey asker() {
+    protected FlowKey flowKey() {
         return new FlowKey(
                 priority(),
                 mRequest.organisation().map(Organisation::id).orElse(FlowKey.NO_ORGANISATION));
@@ -186,22 +188,22 @@
     abstract void start();
 
     /** Stops whatever is under way upstream and gives back whatever is held. */
-    protected abstract void stopUpstream();
+    protected abstract void releaseUpstream();
 
     /**
      * Returns whether an upstream may be working on the request just now.
      *
      * @return whether the request was handed to one and has not come back
      */
-    protected abstract boolean atUpstream();
+    protected abstract boolean isAtUpstream();
 
     /**
      * Returns the time that is left.
      *
      * @return milliseconds, at least 1
      */
-    protected long leftMillis() {
-        return Math.max(1, mDeadline - mContext.loop().millis());
+    protected long remainingMillis() {
+        return Math.max(1, mDeadlineMillis - mContext.loop().millis());
     }
 
     /**
@@ -209,8 +211,8 @@
      *
      * @return whether nothing more is to be done
      */
-    protected boolean over() {
-        return mOver;
+    protected boolean isEnded() {
+        return mEnded;
     }
 
     /**
@@ -231,10 +233,10 @@
      * @param upstream where it was
      * @param end how it ended
      */
-    protected void learn(UpstreamEntry upstream, AttemptEnd end) {
+    protected void recordFailure(UpstreamEntry upstream, AttemptEnd end) {
         mKnowledge.learn(end);
-        mContext.metrics().ended(upstream.id(), end.notStarted());
-        mTrace.step("failed@" + upstream.id() + "(" + end.detail() + ")");
+        mContext.metrics().callFailed(upstream.id(), end.notStarted());
+        mTrace.addStep("failed@" + upstream.id() + "(" + end.detail() + ")");
         if (end.notStarted() && end.leaving()) {
             mContext.loads().replaced(upstream);
         } else if (!end.notStarted() || end.unreachable()) {
@@ -253,18 +255,19 @@
      * @param next told whether the upstream is known to have ended; not called where the request
      *     has ended meanwhile
      */
-    protected void whenJudged(UpstreamEntry upstream, AttemptEnd end, Consumer<Boolean> next) {
+    protected void afterCrashAttribution(
+            UpstreamEntry upstream, AttemptEnd end, Consumer<Boolean> next) {
         if (end.notStarted() || !end.unreachable()) {
             next.accept(false);
             return;
         }
-        mTrace.content(mContent.get());
+        mTrace.addFingerprint(mFingerprint.get());
         mContext.crashGuard()
                 .attributeLoss(
                         upstream,
-                        mContent.get(),
+                        mFingerprint.get(),
                         ended -> {
-                            if (!mOver) {
+                            if (!mEnded) {
                                 next.accept(ended);
                             }
                         });
@@ -276,15 +279,15 @@
      *
      * @return whether it must not be run, and has ended
      */
-    protected boolean withheld() {
-        if (mOver || !mContext.crashGuard().isQuarantined(mContent)) {
+    protected boolean refuseIfQuarantined() {
+        if (mEnded || !mContext.crashGuard().isQuarantined(mFingerprint)) {
             return false;
         }
-        mTrace.content(mContent.get());
-        mTrace.notable();
-        String detail = "upstreams ended under what it asks for, " + mContent.get();
-        if (streaming()) {
-            cut(detail);
+        mTrace.addFingerprint(mFingerprint.get());
+        mTrace.markNotable();
+        String detail = "upstreams ended under what it asks for, " + mFingerprint.get();
+        if (isStreaming()) {
+            abortStream(detail);
         } else {
             refuse(ResultCode.REQUEST_QUARANTINED, detail, 0);
         }
@@ -300,19 +303,19 @@
      * @param end how it ended
      * @return whether attempts, time and the budget of extra calls allow it
      */
-    protected boolean mayTryAgain(UpstreamEntry upstream, AttemptEnd end) {
-        if (leftMillis() <= ServingSettings.ANSWER_MARGIN_MILLIS) {
+    protected boolean mayRetry(UpstreamEntry upstream, AttemptEnd end) {
+        if (remainingMillis() <= ServingSettings.ANSWER_MARGIN_MILLIS) {
             return false;
         }
         boolean another = end.notStarted() && end.leaving();
         boolean unreached = end.neverReached();
         if (another || unreached) {
-            mTried.remove(upstream.incarnation());
+            mAttempted.remove(upstream.incarnation());
             mUnreached.add(upstream.incarnation());
-            boolean more = mUnreached.size() <= ServingSettings.MOST_UNREACHED;
-            return more && (unreached || mayCallOnceMore());
+            boolean more = mUnreached.size() <= ServingSettings.MAX_UNREACHED;
+            return more && (unreached || tryAcquireExtraCall());
         }
-        return mTried.size() < mRoute.maxAttempts() && mayCallOnceMore();
+        return mAttempted.size() < mRoute.maxAttempts() && tryAcquireExtraCall();
     }
 
     /**
@@ -321,8 +324,8 @@
      *
      * @return whether time and the budget of extra calls allow it
      */
-    protected boolean mayRepeat() {
-        return leftMillis() > ServingSettings.ANSWER_MARGIN_MILLIS && mayCallOnceMore();
+    protected boolean mayResend() {
+        return remainingMillis() > ServingSettings.ANSWER_MARGIN_MILLIS && tryAcquireExtraCall();
     }
 
     /**
@@ -330,11 +333,11 @@
      *
      * @return whether it does; it is taken from the budget then
      */
-    protected boolean mayCallOnceMore() {
-        boolean made = mContext.budget().tryAcquire(mService, mContext.loop().millis());
-        mContext.metrics().extraCall(made);
+    protected boolean tryAcquireExtraCall() {
+        boolean made = mContext.extraCallBudget().tryAcquire(mService, mContext.loop().millis());
+        mContext.metrics().recordExtraCall(made);
         if (!made) {
-            mTrace.step("budget of extra calls is used up");
+            mTrace.addStep("budget of extra calls is used up");
         }
         return made;
     }
@@ -344,8 +347,8 @@
      *
      * @return those that had it and those that could not be reached
      */
-    protected Set<UpstreamIncarnation> excluded() {
-        Set<UpstreamIncarnation> excluded = new HashSet<>(mTried);
+    protected Set<UpstreamIncarnation> excludedUpstreams() {
+        Set<UpstreamIncarnation> excluded = new HashSet<>(mAttempted);
         excluded.addAll(mUnreached);
         return excluded;
     }
@@ -356,11 +359,11 @@
      * @param upstream where to
      * @param step what it is called in the log
      */
-    protected void sent(UpstreamEntry upstream, String step) {
-        mSent = true;
-        mTried.add(upstream.incarnation());
-        mTrace.step(step + "@" + upstream.id());
-        mContext.metrics().sent(upstream.id());
+    protected void recordDispatch(UpstreamEntry upstream, String step) {
+        mDispatched = true;
+        mAttempted.add(upstream.incarnation());
+        mTrace.addStep(step + "@" + upstream.id());
+        mContext.metrics().callSent(upstream.id());
     }
 
     /**
@@ -370,10 +373,10 @@
      * @param stage the stage that is over
      * @param millis how long it took
      */
-    protected void succeeded(UpstreamEntry upstream, String stage, long millis) {
+    protected void recordSuccess(UpstreamEntry upstream, String stage, long millis) {
         mContext.loads().succeeded(upstream);
-        mContext.crashGuard().recordCompletion(mContent);
-        mContext.metrics().succeeded(upstream.id(), stage, millis);
+        mContext.crashGuard().recordCompletion(mFingerprint);
+        mContext.metrics().callSucceeded(upstream.id(), stage, millis);
     }
 
     /**
@@ -381,15 +384,15 @@
      *
      * @param millis how long its answer took to come
      */
-    protected void lateAfter(long millis) {
+    protected void markIfLate(long millis) {
         if (millis > mRoute.targetMillis()) {
-            mTrace.notable();
+            mTrace.markNotable();
         }
     }
 
     /** Ends the request after an upstream's whole answer went to the caller. */
-    protected void answered() {
-        close(RequestTrace.ANSWERED);
+    protected void finishAnswered() {
+        finish(RequestTrace.ANSWERED);
     }
 
     /**
@@ -400,16 +403,16 @@
      * @param retryAfterMillis when to come back, milliseconds
      */
     protected void refuse(ResultCode wished, String detail, long retryAfterMillis) {
-        if (mOver) {
+        if (mEnded) {
             return;
         }
         ResultCode code = mKnowledge.truthful(wished);
-        mNotRun = code.family() == ResultCode.Family.NOT_RUN;
-        boolean comeBack = mNotRun || mRoute.kind().repeatable();
-        mTrace.step(code.label() + "(" + detail + ")");
-        stopUpstream();
+        mRefusedAsNotRun = code.family() == ResultCode.Family.NOT_RUN;
+        boolean comeBack = mRefusedAsNotRun || mRoute.kind().repeatable();
+        mTrace.addStep(code.label() + "(" + detail + ")");
+        releaseUpstream();
         mCaller.refuse(code, detail, comeBack ? retryAfterMillis : 0);
-        close(code.label());
+        finish(code.label());
     }
 
     /**
@@ -417,26 +420,26 @@
      *
      * @param reason why, for the log
      */
-    protected void cut(String reason) {
-        if (mOver) {
+    protected void abortStream(String reason) {
+        if (mEnded) {
             return;
         }
-        mTrace.step("cut(" + reason + ")");
-        stopUpstream();
-        mCaller.cut();
-        close("cut");
+        mTrace.addStep("cut(" + reason + ")");
+        releaseUpstream();
+        mCaller.abort();
+        finish("cut");
     }
 
     /** Ends the request at its deadline. */
-    private void expire() {
-        if (mOver) {
+    private void onDeadline() {
+        if (mEnded) {
             return;
         }
-        mTrace.step("deadline");
-        mKnowledge.mayHaveRun(atUpstream());
-        if (streaming()) {
-            cut("deadline");
-        } else if (atUpstream()) {
+        mTrace.addStep("deadline");
+        mKnowledge.mayHaveRun(isAtUpstream());
+        if (isStreaming()) {
+            abortStream("deadline");
+        } else if (isAtUpstream()) {
             refuse(ResultCode.DEADLINE_WHILE_RUNNING, "deadline at the upstream", 0);
         } else {
             refuse(
@@ -451,17 +454,17 @@
      *
      * @return whether a refusal can no longer be told
      */
-    protected boolean streaming() {
+    protected boolean isStreaming() {
         return false;
     }
 
     /** Ends the request after its caller has left. */
-    private void callerGone() {
-        if (mOver) {
+    private void onCallerDisconnect() {
+        if (mEnded) {
             return;
         }
-        stopUpstream();
-        close("caller-gone");
+        releaseUpstream();
+        finish("caller-gone");
     }
 
     /**
@@ -469,11 +472,11 @@
      *
      * @param outcome how, for the log
      */
-    private void close(String outcome) {
-        mOver = true;
-        mTimer.cancel();
-        giveBackUse();
-        mContext.metrics().ended(mRoute.name(), outcome, mTrace.elapsedMillis());
-        mContext.decisions().ended(mTrace, outcome);
+    private void finish(String outcome) {
+        mEnded = true;
+        mDeadlineTimer.cancel();
+        refundUsage();
+        mContext.metrics().requestEnded(mRoute.name(), outcome, mTrace.elapsedMillis());
+        mContext.decisionLog().requestEnded(mTrace, outcome);
     }
 }
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/RequestRouter.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/RequestRouter.java
@@ -18,7 +18,7 @@
 public final class RequestRouter {
 
     /** How long until a router that starts has a configuration, milliseconds, roughly. */
-    private static final long START_MILLIS = 500;
+    private static final long STARTUP_RETRY_MILLIS = 500;
 
     /** How many milliseconds a second has. */
     private static final long MILLIS_PER_SECOND = 1000;
@@ -55,7 +55,7 @@
     public void serve(ServingRequest request, CallerChannel caller) {
         Optional<RoutingConfiguration> configuration = mConfiguration.current();
         if (configuration.isEmpty()) {
-            refuse(request, caller, ResultCode.ROUTER_NOT_READY, START_MILLIS);
+            refuse(request, caller, ResultCode.ROUTER_NOT_READY, STARTUP_RETRY_MILLIS);
             return;
         }
         Optional<Route> route =
@@ -66,7 +66,7 @@
         }
         Optional<Requester> requester =
                 Requester.authenticate(configuration.get(), route.get(), request.key());
-        Optional<TroutpierException> stranger = stranger(requester);
+        Optional<TroutpierException> stranger = authenticationFailure(requester);
         if (stranger.isPresent()) {
             ResultCode code = stranger.get().code();
             refuse(request, caller, code, code.retryAfterSeconds() * MILLIS_PER_SECOND);
@@ -76,8 +76,13 @@
         String name = route.get().selectService(mContext.random().nextDouble());
         Optional<Service> service = configuration.get().findService(name);
         RequestExecution execution =
-                execution(request.by(requester.orElseThrow()), route.get(), name, service, caller);
-        execution.trace().input("configuration", configuration.get().version());
+                execution(
+                        request.withRequester(requester.orElseThrow()),
+                        route.get(),
+                        name,
+                        service,
+                        caller);
+        execution.trace().addInput("configuration", configuration.get().version());
         execution.begin();
     }
 
@@ -96,8 +101,8 @@
                 configuration
                         .flatMap(each -> each.findRoute(host, path(target)))
                         .map(route -> Requester.authenticate(configuration.get(), route, key))
-                        .flatMap(this::stranger);
-        stranger.ifPresent(why -> mContext.metrics().ended(why.code().label()));
+                        .flatMap(this::authenticationFailure);
+        stranger.ifPresent(why -> mContext.metrics().countOutcome(why.code().label()));
         return stranger;
     }
 
@@ -107,7 +112,7 @@
      * @param requester who asks; empty where a key is needed and is missing or not known
      * @return the refusal, or empty where the caller is admitted
      */
-    private Optional<TroutpierException> stranger(Optional<Requester> requester) {
+    private Optional<TroutpierException> authenticationFailure(Optional<Requester> requester) {
         boolean keyless = requester.isPresent() && requester.get().organisation().isEmpty();
         if (keyless) {
             return Optional.empty();
@@ -163,10 +168,10 @@
     private void refuse(
             ServingRequest request, CallerChannel caller, ResultCode code, long retryAfterMillis) {
         RequestTrace trace = new RequestTrace(request.id().value(), "none", mContext.loop());
-        trace.step(request.host() + request.target());
+        trace.addStep(request.host() + request.target());
         caller.refuse(code, code.meaning(), retryAfterMillis);
-        mContext.metrics().ended(code.label());
-        mContext.decisions().ended(trace, code.label());
+        mContext.metrics().countOutcome(code.label());
+        mContext.decisionLog().requestEnded(trace, code.label());
     }
 
     /**
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/RequestTrace.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/RequestTrace.java
@@ -17,7 +17,7 @@
     public static final String ANSWERED = "answered";
 
     /** The longest text kept, characters. */
-    private static final int LONGEST = 900;
+    private static final int MAX_STEPS_LENGTH = 900;
 
     /** The request's id. */
     private final String mId;
@@ -59,8 +59,8 @@
      *
      * @param step what happened
      */
-    public void step(String step) {
-        if (mSteps.length() < LONGEST) {
+    public void addStep(String step) {
+        if (mSteps.length() < MAX_STEPS_LENGTH) {
             mSteps.append(' ').append(elapsedMillis()).append("ms:").append(step);
         }
     }
@@ -96,7 +96,7 @@
      * Marks the request as one that was not served as it should be, though it was answered: late,
      * or with an upstream's own failure.
      */
-    public void notable() {
+    public void markNotable() {
         mNotable = true;
     }
 
@@ -106,7 +106,7 @@
      * @param outcome how it ended
      * @return whether it was answered well and in time
      */
-    boolean ordinary(String outcome) {
+    boolean isOrdinarySuccess(String outcome) {
         return outcome.equals(ANSWERED) && !mNotable;
     }
 
@@ -116,7 +116,7 @@
      * @param name what it is
      * @param value its value, age or version
      */
-    public void input(String name, long value) {
+    public void addInput(String name, long value) {
         mInputs.put(name, Long.toString(value));
     }
 
@@ -125,7 +125,7 @@
      *
      * @param organisation the organisation
      */
-    void organisation(PartnerId organisation) {
+    void addOrganisation(PartnerId organisation) {
         mInputs.put("organisation", organisation.value());
     }
 
@@ -135,7 +135,7 @@
      *
      * @param fingerprint names it
      */
-    void content(RequestFingerprint fingerprint) {
+    void addFingerprint(RequestFingerprint fingerprint) {
         mInputs.put("content", fingerprint.shortName());
     }
 
@@ -145,7 +145,7 @@
      * @param outcome how it ended
      * @return a structured message
      */
-    Message message(String outcome) {
+    Message toLogMessage(String outcome) {
         StringMapMessage message = new StringMapMessage();
         message.put("event", "request");
         message.put("request", mId);
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/ReservationAllocator.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/ReservationAllocator.java
@@ -31,13 +31,13 @@
      * How long an engine that refused is not asked again by this router, milliseconds: with a few
      * dozen requests leaving an engine in a second, room comes about that often.
      */
-    private static final long FULL_MILLIS = 30;
+    private static final long FULL_RETRY_MILLIS = 30;
 
     /** How long a place is kept for its prompt to be read, milliseconds. */
-    private static final int PLACE_MILLIS = 1000;
+    private static final int RESERVATION_MILLIS = 1000;
 
     /** Organisations share places evenly. */
-    private static final FairQueue.Weights EVENLY = partner -> 1;
+    private static final FairQueue.Weights EQUAL_WEIGHTS = partner -> 1;
 
     /** The collaborators that it shares with the executions. */
     private final TrafficLoop mLoop;
@@ -52,7 +52,7 @@
     private final UpstreamAdmission mAdmission;
 
     /** Has engines chosen by what the other routers have under way now. */
-    private final LoadView mView;
+    private final LoadView mLoadView;
 
     /** Spreads repeated questions. */
     private final RandomGenerator mRandom;
@@ -68,10 +68,10 @@
     private final Map<QueueTier, FairQueue<Search>> mWaiting = new EnumMap<>(QueueTier.class);
 
     /** How many searches there were. */
-    private long mSearches;
+    private long mNextSequence;
 
     /** Whether those that wait are about to look again. */
-    private boolean mLooking;
+    private boolean mRetryScheduled;
 
     /**
      * Creates an allocator.
@@ -90,7 +90,7 @@
             UpstreamAdmission admission,
             LoadView view,
             RandomGenerator random) {
-        mView = view;
+        mLoadView = view;
         mLoop = loop;
         mPort = port;
         mLoads = loads;
@@ -111,38 +111,38 @@
          * @param engine where it is
          * @param place the place; empty where engines do not set places aside
          */
-        void granted(UpstreamEntry engine, Optional<UpstreamPort.Reservation> place);
+        void onGranted(UpstreamEntry engine, Optional<UpstreamPort.Reservation> place);
 
         /**
          * Called when no place was found in time.
          *
          * @param detail what was tried
          */
-        void refused(String detail);
+        void onRefused(String detail);
     }
 
     /**
      * What is looked for. Immutable.
      *
-     * @param asker who asks
+     * @param flowKey who asks
      * @param promptTokens the prompt's length
-     * @param mostTokens the prompt's length and the most output
-     * @param marginTokens how much of an engine's memory stays free for growth
+     * @param maxTokens the prompt's length and the most output
+     * @param growthMarginTokens how much of an engine's memory stays free for growth
      * @param memoryTokens how much memory an engine has
-     * @param placeMillis how long engines set places aside at most; 0 where they do not
+     * @param maxReservationMillis how long engines set places aside at most; 0 where they do not
      * @param waitMillis how long to look
-     * @param standing who goes first
+     * @param tier who goes first
      * @param engines the engines that may be used, asked again for each round
      */
-    public record Wanted(
-            FlowKey asker,
+    public record Requirements(
+            FlowKey flowKey,
             long promptTokens,
-            long mostTokens,
-            double marginTokens,
+            long maxTokens,
+            double growthMarginTokens,
             long memoryTokens,
-            int placeMillis,
+            int maxReservationMillis,
             long waitMillis,
-            QueueTier standing,
+            QueueTier tier,
             Supplier<List<UpstreamEntry>> engines) {}
 
     /**
@@ -152,9 +152,9 @@
      * @param listener receives the end
      * @return the search, to stop it
      */
-    public Search find(Wanted wanted, Listener listener) {
+    public Search search(Requirements wanted, Listener listener) {
         Search search = new Search(wanted, listener);
-        search.round();
+        search.startRound();
         return search;
     }
 
@@ -166,7 +166,7 @@
     public long waitingTokens() {
         long[] tokens = new long[1];
         for (FairQueue<Search> queue : mWaiting.values()) {
-            queue.forEach(search -> tokens[0] += search.mWanted.promptTokens());
+            queue.forEach(search -> tokens[0] += search.mRequirements.promptTokens());
         }
         return tokens[0];
     }
@@ -176,24 +176,28 @@
      *
      * @param search the search
      */
-    private void await(Search search) {
-        Wanted wanted = search.mWanted;
+    private void enqueue(Search search) {
+        Requirements wanted = search.mRequirements;
         queue(search)
-                .add(wanted.asker().organisation(), search, search.mNumber, wanted.promptTokens());
-        if (!mLooking) {
-            mLooking = true;
+                .add(
+                        wanted.flowKey().organisation(),
+                        search,
+                        search.mSequence,
+                        wanted.promptTokens());
+        if (!mRetryScheduled) {
+            mRetryScheduled = true;
             mLoop.schedule(
-                    () -> mView.whenFresh(this::look),
-                    FULL_MILLIS / 2 + mRandom.nextLong(FULL_MILLIS / 2));
+                    () -> mLoadView.whenFresh(this::retryWaiting),
+                    FULL_RETRY_MILLIS / 2 + mRandom.nextLong(FULL_RETRY_MILLIS / 2));
         }
     }
 
     /** Has all look again that wait, in their order. */
-    private void look() {
-        mLooking = false;
+    private void retryWaiting() {
+        mRetryScheduled = false;
         List<Search> waiting = new ArrayList<>();
-        mWaiting.values().forEach(queue -> waiting.addAll(queue.drain(EVENLY)));
-        waiting.forEach(Search::round);
+        mWaiting.values().forEach(queue -> waiting.addAll(queue.drain(EQUAL_WEIGHTS)));
+        waiting.forEach(Search::startRound);
     }
 
     /**
@@ -203,7 +207,7 @@
      * @return the queue of its standing
      */
     private FairQueue<Search> queue(Search search) {
-        return mWaiting.get(search.mWanted.standing());
+        return mWaiting.get(search.mRequirements.tier());
     }
 
     /**
@@ -219,31 +223,31 @@
     public final class Search {
 
         /** What is looked for. */
-        private final Wanted mWanted;
+        private final Requirements mRequirements;
 
         /** Receives the end. */
         private final Listener mListener;
 
         /** When the search gives up, milliseconds on the loop's clock. */
-        private final long mUntil;
+        private final long mDeadline;
 
         /** Which search it is, in the order in which they began. */
-        private final long mNumber = mSearches++;
+        private final long mSequence = mNextSequence++;
 
         /** Which engines were asked in this round. */
-        private final Set<UpstreamIncarnation> mAsked = new HashSet<>();
+        private final Set<UpstreamIncarnation> mTriedEngines = new HashSet<>();
 
         /**
          * The engines that could be asked when any could last. A search may end a moment after the
          * last that may be asked, and its refusal is to name who refused.
          */
-        private List<UpstreamEntry> mOffered = List.of();
+        private List<UpstreamEntry> mLastCandidates = List.of();
 
         /** How many refusals there were. */
-        private int mRefusals;
+        private int mRefusalCount;
 
         /** Whether the search has ended. */
-        private boolean mOver;
+        private boolean mEnded;
 
         /**
          * Creates a search.
@@ -251,47 +255,49 @@
          * @param wanted what is looked for
          * @param listener receives the end
          */
-        private Search(Wanted wanted, Listener listener) {
-            mWanted = wanted;
+        private Search(Requirements wanted, Listener listener) {
+            mRequirements = wanted;
             mListener = listener;
-            mUntil = mLoop.millis() + wanted.waitMillis();
+            mDeadline = mLoop.millis() + wanted.waitMillis();
         }
 
         /** Stops the search; its listener receives no more. */
-        public void stop() {
-            mOver = true;
-            queue(this).remove(mWanted.asker().organisation(), this);
+        public void cancel() {
+            mEnded = true;
+            queue(this).remove(mRequirements.flowKey().organisation(), this);
         }
 
         /** Begins a round over all engines. */
-        private void round() {
-            mAsked.clear();
-            next();
+        private void startRound() {
+            mTriedEngines.clear();
+            tryNextEngine();
         }
 
         /** Asks the next engine of the round, or waits for the next round. */
-        private void next() {
-            if (mOver) {
+        private void tryNextEngine() {
+            if (mEnded) {
                 return;
             }
             long now = mLoop.millis();
-            List<UpstreamEntry> engines = mWanted.engines().get();
+            List<UpstreamEntry> engines = mRequirements.engines().get();
             if (!engines.isEmpty()) {
-                mOffered = engines;
+                mLastCandidates = engines;
             }
-            for (UpstreamEntry engine : mLoads.byTokens(engines, mAsked)) {
+            for (UpstreamEntry engine : mLoads.byTokens(engines, mTriedEngines)) {
                 boolean full = mFullUntil.getOrDefault(engine.incarnation(), now) > now;
-                if (!full && hasRoom(engine) && mAdmission.tryAcquire(engine, mWanted.asker())) {
-                    ask(engine);
+                if (!full
+                        && hasRoom(engine)
+                        && mAdmission.tryAcquire(engine, mRequirements.flowKey())) {
+                    reserve(engine);
                     return;
                 }
             }
-            if (now + FULL_MILLIS > mUntil) {
-                mOver = true;
-                mListener.refused(why());
+            if (now + FULL_RETRY_MILLIS > mDeadline) {
+                mEnded = true;
+                mListener.onRefused(refusalDetail());
                 return;
             }
-            await(this);
+            enqueue(this);
         }
 
         /**
@@ -299,17 +305,17 @@
          *
          * @return what was needed, and what is known of the engine with the least in use
          */
-        private String why() {
+        private String refusalDetail() {
             String needed =
                     "no place after "
-                            + mRefusals
+                            + mRefusalCount
                             + " refusals: "
-                            + mWanted.promptTokens()
+                            + mRequirements.promptTokens()
                             + "+"
-                            + (long) mWanted.marginTokens()
+                            + (long) mRequirements.growthMarginTokens()
                             + " tokens of "
-                            + mWanted.memoryTokens();
-            List<UpstreamEntry> engines = mLoads.byTokens(mOffered, Set.of());
+                            + mRequirements.memoryTokens();
+            List<UpstreamEntry> engines = mLoads.byTokens(mLastCandidates, Set.of());
             return engines.isEmpty()
                     ? needed + ", no engine may be asked"
                     : needed
@@ -334,8 +340,11 @@
                 return true;
             }
             boolean slot = mLoads.calls(engine) < engine.slots();
-            double full = mLoads.tokens(engine) + mWanted.promptTokens() + mWanted.marginTokens();
-            return slot && full + leftToOthers() <= mWanted.memoryTokens();
+            double full =
+                    mLoads.tokens(engine)
+                            + mRequirements.promptTokens()
+                            + mRequirements.growthMarginTokens();
+            return slot && full + headroomTokens() <= mRequirements.memoryTokens();
         }
 
         /**
@@ -345,8 +354,8 @@
          *
          * @return tokens
          */
-        private long leftToOthers() {
-            return mWanted.standing() == QueueTier.IN_TIME ? 0 : mWanted.promptTokens();
+        private long headroomTokens() {
+            return mRequirements.tier() == QueueTier.IN_TIME ? 0 : mRequirements.promptTokens();
         }
 
         /**
@@ -354,42 +363,49 @@
          *
          * @param engine the engine
          */
-        private void ask(UpstreamEntry engine) {
-            if (mWanted.placeMillis() == 0) {
-                mOver = true;
-                charge();
-                mLoads.reserve(engine, mWanted.promptTokens());
-                mListener.granted(engine, Optional.empty());
+        private void reserve(UpstreamEntry engine) {
+            if (mRequirements.maxReservationMillis() == 0) {
+                mEnded = true;
+                chargeOrganisation();
+                mLoads.reserve(engine, mRequirements.promptTokens());
+                mListener.onGranted(engine, Optional.empty());
                 return;
             }
-            mAsked.add(engine.incarnation());
-            int millis = Math.min(PLACE_MILLIS, mWanted.placeMillis());
-            long tokens = mLoads.hasPeerReports() ? mWanted.promptTokens() : mWanted.mostTokens();
-            mLoads.reserve(engine, mWanted.promptTokens());
-            mPort.reserve(engine, tokens, millis, new Answer(engine));
+            mTriedEngines.add(engine.incarnation());
+            int millis = Math.min(RESERVATION_MILLIS, mRequirements.maxReservationMillis());
+            long tokens =
+                    mLoads.hasPeerReports()
+                            ? mRequirements.promptTokens()
+                            : mRequirements.maxTokens();
+            mLoads.reserve(engine, mRequirements.promptTokens());
+            mPort.reserve(engine, tokens, millis, new ReservationListener(engine));
         }
 
         /** Counts the place against the organisation's turn. */
-        private void charge() {
-            queue(this).charge(mWanted.asker().organisation(), mWanted.promptTokens(), EVENLY);
+        private void chargeOrganisation() {
+            queue(this)
+                    .charge(
+                            mRequirements.flowKey().organisation(),
+                            mRequirements.promptTokens(),
+                            EQUAL_WEIGHTS);
         }
 
         /** Receives an engine's answer. Confined to the traffic loop. */
-        private final class Answer
+        private final class ReservationListener
                 implements UpstreamPort.ResultListener<UpstreamPort.Reservation> {
 
             /** Who answers. */
             private final UpstreamEntry mEngine;
 
             /** When it was asked, milliseconds. */
-            private final long mAskedAt = mLoop.millis();
+            private final long mSentAt = mLoop.millis();
 
             /**
              * Creates a listener.
              *
              * @param engine who answers
              */
-            Answer(UpstreamEntry engine) {
+            ReservationListener(UpstreamEntry engine) {
                 mEngine = engine;
             }
 
@@ -402,29 +418,29 @@
             /** {@inheritDoc} */
             @Override
             public void onResult(UpstreamPort.Reservation place) {
-                if (mOver) {
-                    mLoads.end(mEngine, mWanted.promptTokens());
+                if (mEnded) {
+                    mLoads.end(mEngine, mRequirements.promptTokens());
                     mPort.release(mEngine, place);
                     return;
                 }
-                mOver = true;
-                charge();
-                mListener.granted(mEngine, Optional.of(place));
+                mEnded = true;
+                chargeOrganisation();
+                mListener.onGranted(mEngine, Optional.of(place));
             }
 
             /** {@inheritDoc} */
             @Override
             public void onFailure(AttemptEnd end) {
-                mLoads.end(mEngine, mWanted.promptTokens());
-                mRefusals++;
-                mFullUntil.put(mEngine.incarnation(), mLoop.millis() + FULL_MILLIS);
+                mLoads.end(mEngine, mRequirements.promptTokens());
+                mRefusalCount++;
+                mFullUntil.put(mEngine.incarnation(), mLoop.millis() + FULL_RETRY_MILLIS);
                 if (end.leaving()) {
                     mLoads.replaced(mEngine);
                 } else if (end.unreachable()) {
-                    mAdmission.refund(mEngine, mAskedAt);
+                    mAdmission.refund(mEngine, mSentAt);
                     mLoads.failed(mEngine, true, "no place: " + end.detail());
                 }
-                next();
+                tryNextEngine();
             }
         }
     }
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/ServingContext.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/ServingContext.java
@@ -20,20 +20,20 @@
  * @param directory the upstreams
  * @param loads what is under way at each upstream
  * @param admission admits calls to upstreams by what these announce
- * @param budget bounds extra calls
+ * @param extraCallBudget bounds extra calls
  * @param reservations gives out places at decode engines
  * @param organisationLimiter keeps organisations to their limits
  * @param recentRefusals which requests were refused lately
  * @param crashGuard keeps requests from upstreams that have ended several
- * @param pacer tells refused callers when to come back
- * @param margin how much memory stays free for growth
- * @param readingExcess by how much readings take longer than predicted
- * @param firstEvent how long runs take to their first event
- * @param peers what the other routers said
- * @param view has decisions made by what they have under way now
- * @param demand measures what is asked of model services
+ * @param retryPacer tells refused callers when to come back
+ * @param growthMargin how much memory stays free for growth
+ * @param prefillExcess by how much readings take longer than predicted
+ * @param firstEventDelay how long runs take to their first event
+ * @param peerLoads what the other routers said
+ * @param loadView has decisions made by what they have under way now
+ * @param demandMeter measures what is asked of model services
  * @param metrics counts and measures
- * @param decisions logs what was decided about requests
+ * @param decisionLog logs what was decided about requests
  * @param random draws splits
  */
 public record ServingContext(
@@ -42,20 +42,20 @@
         UpstreamDirectory directory,
         UpstreamLoads loads,
         UpstreamAdmission admission,
-        ExtraCallBudget budget,
+        ExtraCallBudget extraCallBudget,
         ReservationAllocator reservations,
         OrganisationLimiter organisationLimiter,
         RecentRefusals recentRefusals,
         CrashGuard crashGuard,
-        RetryPacer pacer,
-        GrowthMargin margin,
-        LatencyEstimator readingExcess,
-        LatencyEstimator firstEvent,
-        PeerLoads peers,
-        LoadView view,
-        DemandMeter demand,
+        RetryPacer retryPacer,
+        GrowthMargin growthMargin,
+        LatencyEstimator prefillExcess,
+        LatencyEstimator firstEventDelay,
+        PeerLoads peerLoads,
+        LoadView loadView,
+        DemandMeter demandMeter,
         ServingMetrics metrics,
-        DecisionLog decisions,
+        DecisionLog decisionLog,
         RandomGenerator random) {
 
     /**
@@ -64,7 +64,7 @@
      * @param service the service
      * @return the demand
      */
-    Demand demanded(String service) {
-        return demand.published(service).plus(peers.demand(service));
+    Demand demandFor(String service) {
+        return demandMeter.published(service).plus(peerLoads.demand(service));
     }
 }
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/ServingMetrics.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/ServingMetrics.java
@@ -18,16 +18,16 @@
     private final MetricRegistry mMetrics;
 
     /** Requests that have not ended. */
-    private final Counter mOpen;
+    private final Counter mOpenRequests;
 
     /** Requests that wait for a place at an engine. */
-    private final Counter mWaiting;
+    private final Counter mWaitingRequests;
 
     /** Extra calls that were made. */
-    private final Counter mExtraMade;
+    private final Counter mExtraCallsMade;
 
     /** Extra calls that the budget did not allow. */
-    private final Counter mExtraDenied;
+    private final Counter mExtraCallsDenied;
 
     /**
      * Registers the figures.
@@ -36,15 +36,15 @@
      */
     public ServingMetrics(MetricRegistry metrics) {
         mMetrics = metrics;
-        mOpen = metrics.counter("requests.open");
-        mWaiting = metrics.counter("places.waiting");
-        mExtraMade = metrics.counter("budget.extra.made");
-        mExtraDenied = metrics.counter("budget.extra.denied");
+        mOpenRequests = metrics.counter("requests.open");
+        mWaitingRequests = metrics.counter("places.waiting");
+        mExtraCallsMade = metrics.counter("budget.extra.made");
+        mExtraCallsDenied = metrics.counter("budget.extra.denied");
     }
 
     /** Counts a request that begins. */
-    void began() {
-        mOpen.inc();
+    void requestStarted() {
+        mOpenRequests.inc();
     }
 
     /**
@@ -54,9 +54,9 @@
      * @param outcome how it ended
      * @param millis how long it took
      */
-    void ended(String route, String outcome, long millis) {
-        mOpen.dec();
-        ended(outcome);
+    void requestEnded(String route, String outcome, long millis) {
+        mOpenRequests.dec();
+        countOutcome(outcome);
         mMetrics.counter("requests.route." + route + "." + outcome).inc();
         mMetrics.histogram("requests.millis." + route).update(millis);
     }
@@ -66,7 +66,7 @@
      *
      * @param outcome how it ended
      */
-    void ended(String outcome) {
+    void countOutcome(String outcome) {
         mMetrics.counter("requests." + outcome).inc();
     }
 
@@ -76,7 +76,7 @@
      * @param stage the stage
      * @param millis how long it took
      */
-    void stage(String stage, long millis) {
+    void recordStage(String stage, long millis) {
         mMetrics.histogram("stage.millis." + stage).update(millis);
     }
 
@@ -87,7 +87,7 @@
      * @param predictedMillis the prediction
      * @param millis how long it took
      */
-    void predicted(String what, double predictedMillis, long millis) {
+    void recordPredictionError(String what, double predictedMillis, long millis) {
         long error = Math.round(Math.abs(predictedMillis - millis));
         mMetrics.histogram("prediction.error.millis." + what).update(error);
     }
@@ -97,7 +97,7 @@
      *
      * @param upstream where to
      */
-    void sent(UpstreamId upstream) {
+    void callSent(UpstreamId upstream) {
         count(upstream, "sent");
     }
 
@@ -108,9 +108,9 @@
      * @param stage the stage that is over
      * @param millis how long it took
      */
-    void succeeded(UpstreamId upstream, String stage, long millis) {
+    void callSucceeded(UpstreamId upstream, String stage, long millis) {
         count(upstream, "succeeded");
-        stage(stage, millis);
+        recordStage(stage, millis);
     }
 
     /**
@@ -119,7 +119,7 @@
      * @param upstream the upstream
      * @param notStarted whether it is proved that the upstream did not start it
      */
-    void ended(UpstreamId upstream, boolean notStarted) {
+    void callFailed(UpstreamId upstream, boolean notStarted) {
         count(upstream, notStarted ? "refused" : "failed");
     }
 
@@ -138,8 +138,8 @@
      *
      * @param made whether the budget allowed it
      */
-    void extraCall(boolean made) {
-        (made ? mExtraMade : mExtraDenied).inc();
+    void recordExtraCall(boolean made) {
+        (made ? mExtraCallsMade : mExtraCallsDenied).inc();
     }
 
     /**
@@ -147,11 +147,11 @@
      *
      * @param waits whether it begins
      */
-    void waitsForPlace(boolean waits) {
+    void reservationWaitChanged(boolean waits) {
         if (waits) {
-            mWaiting.inc();
+            mWaitingRequests.inc();
         } else {
-            mWaiting.dec();
+            mWaitingRequests.dec();
         }
     }
 
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/ServingRequest.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/ServingRequest.java
@@ -19,7 +19,7 @@
  * @param headers what goes to the upstream unchanged; nothing that concerns one connection only
  * @param body the body
  * @param deadlineMillis how long the caller waits, from the arrival
- * @param lastEvent the last event that the caller has seen of a stream, if it says so
+ * @param lastEventId the last event that the caller has seen of a stream, if it says so
  * @param prompt what is known of the prompt, for a model request
  * @param key the caller's key, if it sent one that can be read
  * @param requester who asks
@@ -32,7 +32,7 @@
         HttpHeaders headers,
         byte[] body,
         long deadlineMillis,
-        OptionalLong lastEvent,
+        OptionalLong lastEventId,
         Optional<PromptMetadata> prompt,
         Optional<KeyHash> key,
         Requester requester) {
@@ -43,7 +43,7 @@
      * @param asker who asks
      * @return a new request
      */
-    ServingRequest by(Requester asker) {
+    ServingRequest withRequester(Requester asker) {
         return new ServingRequest(
                 id,
                 method,
@@ -52,7 +52,7 @@
                 headers,
                 body,
                 deadlineMillis,
-                lastEvent,
+                lastEventId,
                 prompt,
                 key,
                 asker);
@@ -72,8 +72,8 @@
      *
      * @return the prompt's and the output's, if the request says so
      */
-    OptionalLong tokens() {
-        return prompt.map(shape -> OptionalLong.of(shape.mostTokens()))
+    OptionalLong maxTokens() {
+        return prompt.map(shape -> OptionalLong.of(shape.maxTokens()))
                 .orElseGet(OptionalLong::empty);
     }
 }
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/StreamExecution.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/StreamExecution.java
@@ -23,49 +23,49 @@
 final class StreamExecution extends RequestExecution {
 
     /** What the service's engines can do. */
-    private final EngineTraits mEngine;
+    private final EngineTraits mEngineTraits;
 
     /** Hands events to the caller. */
     private final EventRelay mRelay;
 
     /** The prefill engines that were tried for this run. */
-    private final Set<UpstreamIncarnation> mPrefillTried = new HashSet<>();
+    private final Set<UpstreamIncarnation> mTriedPrefillEngines = new HashSet<>();
 
     /** Where it runs or is going to run. */
-    private final DecodePlace mPlace;
+    private final DecodeReservation mReservation;
 
     /** The prompt's reading, or null. */
-    private PromptReading mReading;
+    private PrefillCall mPrefillCall;
 
     /** The run under way, or null. */
     private StreamRun mRun;
 
     /** A prompt that was read and not used, to be used at another decode engine; or null. */
-    private UpstreamPort.StoredPrompt mStored;
+    private UpstreamPort.StoredPrompt mStoredPrompt;
 
     /** Until when it can be used, milliseconds. */
-    private long mStoredUntil;
+    private long mStoredPromptExpiry;
 
     /** Where the prompt of a run whose answer was lost still is. */
-    private final KeptPrompt mKept = new KeptPrompt();
+    private final ResumeTarget mResumeTarget = new ResumeTarget();
 
     /** How long the wait for a place was predicted to be, milliseconds. */
-    private double mPredictedMillis;
+    private double mPredictedWaitMillis;
 
     /** Whether it was refused lately and comes back as told. */
-    private boolean mComesBack;
+    private boolean mReturning;
 
     /** Whether a place was looked for before, so that this time something has failed. */
     private boolean mSearchedBefore;
 
     /** When the caller had the last event, or 0 before; milliseconds since the request came. */
-    private long mStarted;
+    private long mWaitStart;
 
     /** Whether the caller has the stream's head. */
-    private boolean mBegun;
+    private boolean mStreamStarted;
 
     /** Whether a prompt was sent to be read before, so that the next one counts as extra. */
-    private boolean mReadBefore;
+    private boolean mPrefilledBefore;
 
     /**
      * Creates an execution.
@@ -85,53 +85,57 @@
             EngineTraits engine,
             CallerChannel caller) {
         super(context, request, route, service, caller);
-        mEngine = engine;
-        mRelay = new EventRelay(caller, request.lastEvent());
-        mPlace = new DecodePlace(context, service, engine, asker(), promptTokens(), tokens());
+        mEngineTraits = engine;
+        mRelay = new EventRelay(caller, request.lastEventId());
+        mReservation =
+                new DecodeReservation(
+                        context, service, engine, flowKey(), promptTokens(), maxTokens());
     }
 
     /** {@inheritDoc} */
     @Override
     void start() {
-        if (withheld()) {
+        if (refuseIfQuarantined()) {
             return;
         }
-        if (promptTokens() > mEngine.memoryTokens()) {
+        if (promptTokens() > mEngineTraits.memoryTokens()) {
             refuse(ResultCode.NO_PLACE, "larger than an engine's memory", 0);
             return;
         }
-        mComesBack = comesBack();
-        if (!mComesBack) {
-            mContext.demand().recordRequest(mService, promptTokens(), mContext.loop().millis());
+        mReturning = isReturning();
+        if (!mReturning) {
+            mContext.demandMeter()
+                    .recordRequest(mService, promptTokens(), mContext.loop().millis());
         }
         search();
     }
 
     /** Looks for a place at a decode engine, or refuses at once what cannot start in time. */
     private void search() {
-        if (untried().isEmpty()) {
-            failedBeforeRun(ResultCode.NO_PLACE, "no engine is left");
+        if (untriedEngines().isEmpty()) {
+            failWithoutRun(ResultCode.NO_PLACE, "no engine is left");
             return;
         }
-        WaitBudget window = window();
+        WaitBudget window = waitBudget();
         WaitBudget.Prediction prediction = prediction();
-        if (mContext.admission().backOffMillis(untried()) > window.waitMillis(prediction)) {
-            failedBeforeRun(ResultCode.NO_PLACE, "engines asked for a back-off");
+        if (mContext.admission().backOffMillis(untriedEngines()) > window.waitMillis(prediction)) {
+            failWithoutRun(ResultCode.NO_PLACE, "engines asked for a back-off");
             return;
         }
-        mPredictedMillis = mPlace.predictedMillis(upstreams(UpstreamEntry.Role.DECODE));
-        if (window.isExceededBy(mPredictedMillis, prediction)) {
-            mTrace.step("room predicted in " + (long) mPredictedMillis + "ms");
-            failedBeforeRun(ResultCode.NO_PLACE, "no place in time");
+        mPredictedWaitMillis =
+                mReservation.predictedWaitMillis(upstreams(UpstreamEntry.Role.DECODE));
+        if (window.isExceededBy(mPredictedWaitMillis, prediction)) {
+            mTrace.addStep("room predicted in " + (long) mPredictedWaitMillis + "ms");
+            failWithoutRun(ResultCode.NO_PLACE, "no place in time");
             return;
         }
         mSearchedBefore = true;
-        mPlace.search(
+        mReservation.search(
                 window.waitMillis(prediction),
                 window.tier(),
-                mRelay.events(),
-                this::engines,
-                new PlaceFound());
+                mRelay.eventCount(),
+                this::eligibleEngines,
+                new SearchListener());
     }
 
     /**
@@ -139,9 +143,9 @@
      *
      * @return the window
      */
-    private WaitBudget window() {
-        long elapsed = mTrace.elapsedMillis() - mStarted;
-        return new WaitBudget(mRoute.targetMillis(), elapsed, leftMillis(), standing());
+    private WaitBudget waitBudget() {
+        long elapsed = mTrace.elapsedMillis() - mWaitStart;
+        return new WaitBudget(mRoute.targetMillis(), elapsed, remainingMillis(), tier());
     }
 
     /**
@@ -149,12 +153,12 @@
      *
      * @return its standing
      */
-    private QueueTier standing() {
-        if (mBegun || mRequest.lastEvent().isPresent()) {
+    private QueueTier tier() {
+        if (mStreamStarted || mRequest.lastEventId().isPresent()) {
             return QueueTier.CONTINUED;
         }
         boolean late = mSearchedBefore && mTrace.elapsedMillis() >= mRoute.targetMillis();
-        return late || mComesBack ? QueueTier.LATE : QueueTier.IN_TIME;
+        return late || mReturning ? QueueTier.LATE : QueueTier.IN_TIME;
     }
 
     /**
@@ -164,8 +168,8 @@
      */
     private WaitBudget.Prediction prediction() {
         return new WaitBudget.Prediction(
-                readMillis() + mContext.readingExcess().predictedMillis(),
-                mContext.firstEvent().predictedMillis());
+                predictedPrefillMillis() + mContext.prefillExcess().predictedMillis(),
+                mContext.firstEventDelay().predictedMillis());
     }
 
     /**
@@ -173,13 +177,13 @@
      *
      * @param end how the run ended
      */
-    private void searchKept(AttemptEnd end) {
-        mPlace.search(
+    private void searchResumeTarget(AttemptEnd end) {
+        mReservation.search(
                 0,
                 QueueTier.CONTINUED,
-                mRelay.events(),
-                () -> mKept.among(upstreams(UpstreamEntry.Role.DECODE)),
-                new KeptFound(end));
+                mRelay.eventCount(),
+                () -> mResumeTarget.filter(upstreams(UpstreamEntry.Role.DECODE)),
+                new ResumeSearchListener(end));
     }
 
     /**
@@ -188,10 +192,10 @@
      * @param engine where it is
      * @param place the place; empty where engines do not set places aside
      */
-    private void take(UpstreamEntry engine, Optional<UpstreamPort.Reservation> place) {
-        mPlace.take(engine, place);
-        mContext.pacer().recordGrant(mContext.loop().millis());
-        mTrace.step("place@" + engine.id() + " known " + mContext.loads().tokens(engine));
+    private void acceptReservation(UpstreamEntry engine, Optional<UpstreamPort.Reservation> place) {
+        mReservation.accept(engine, place);
+        mContext.retryPacer().recordGrant(mContext.loop().millis());
+        mTrace.addStep("place@" + engine.id() + " known " + mContext.loads().tokens(engine));
     }
 
     /**
@@ -199,10 +203,10 @@
      *
      * @return whether it does
      */
-    private boolean comesBack() {
+    private boolean isReturning() {
         long now = mContext.loop().millis();
         return mRequest.prompt()
-                .filter(own -> mContext.recentRefusals().comesBack(own, now))
+                .filter(own -> mContext.recentRefusals().isReturning(own, now))
                 .isPresent();
     }
 
@@ -211,8 +215,8 @@
      *
      * @return the engines; none while the prefill engines could not read the prompt in time
      */
-    private List<UpstreamEntry> engines() {
-        return window().allowsPrefill(prediction()) ? untried() : List.of();
+    private List<UpstreamEntry> eligibleEngines() {
+        return waitBudget().allowsPrefill(prediction()) ? untriedEngines() : List.of();
     }
 
     /**
@@ -220,8 +224,8 @@
      *
      * @return the engines
      */
-    private List<UpstreamEntry> untried() {
-        Set<UpstreamIncarnation> excluded = excluded();
+    private List<UpstreamEntry> untriedEngines() {
+        Set<UpstreamIncarnation> excluded = excludedUpstreams();
         return upstreams(UpstreamEntry.Role.DECODE).stream()
                 .filter(entry -> !excluded.contains(entry.incarnation()))
                 .toList();
@@ -232,14 +236,14 @@
      *
      * @return milliseconds; 0 where the engines' pace is not known or none reads prompts
      */
-    private double readMillis() {
+    private double predictedPrefillMillis() {
         List<UpstreamEntry> prefill =
                 mContext.loads().byTokens(upstreams(UpstreamEntry.Role.PREFILL), Set.of());
         if (prefill.isEmpty()) {
             return 0;
         }
         long queue = mContext.loads().tokens(prefill.get(0));
-        return mContext.demanded(mService).reading().predictedMillis(queue + promptTokens());
+        return mContext.demandFor(mService).reading().predictedMillis(queue + promptTokens());
     }
 
     /**
@@ -247,8 +251,8 @@
      *
      * @return tokens
      */
-    private long tokens() {
-        return mRequest.prompt().map(PromptMetadata::mostTokens).orElse(0L);
+    private long maxTokens() {
+        return mRequest.prompt().map(PromptMetadata::maxTokens).orElse(0L);
     }
 
     /**
@@ -264,45 +268,46 @@
      * Has the prompt read, or has the decode engine read it where nobody else can or no extra call
      * is left: its run is the request's first all the same.
      */
-    private void read() {
-        if (withheld()) {
+    private void prefill() {
+        if (refuseIfQuarantined()) {
             return;
         }
-        if (mStored != null && storedStands()) {
-            UpstreamPort.StoredPrompt stored = mStored;
-            mStored = null;
-            mTrace.step("prompt kept");
-            run(Optional.of(stored));
+        if (mStoredPrompt != null && isStoredPromptValid()) {
+            UpstreamPort.StoredPrompt stored = mStoredPrompt;
+            mStoredPrompt = null;
+            mTrace.addStep("prompt kept");
+            startRun(Optional.of(stored));
             return;
         }
-        discardStored();
+        discardStoredPrompt();
         List<UpstreamEntry> engines =
-                mContext.loads().byTokens(upstreams(UpstreamEntry.Role.PREFILL), mPrefillTried);
+                mContext.loads()
+                        .byTokens(upstreams(UpstreamEntry.Role.PREFILL), mTriedPrefillEngines);
         if (engines.isEmpty()) {
-            mTrace.step("no prefill engine");
-            run(Optional.empty());
+            mTrace.addStep("no prefill engine");
+            startRun(Optional.empty());
             return;
         }
-        if (mReadBefore && !mayCallOnceMore()) {
-            run(Optional.empty());
+        if (mPrefilledBefore && !tryAcquireExtraCall()) {
+            startRun(Optional.empty());
             return;
         }
-        Optional<UpstreamEntry> admitted = mContext.admission().acquireFirst(engines, asker());
+        Optional<UpstreamEntry> admitted = mContext.admission().acquireFirst(engines, flowKey());
         if (admitted.isEmpty()) {
-            mTrace.step("no prefill engine takes a call now");
-            run(Optional.empty());
+            mTrace.addStep("no prefill engine takes a call now");
+            startRun(Optional.empty());
             return;
         }
         UpstreamEntry engine = admitted.get();
-        mPrefillTried.add(engine.incarnation());
-        boolean alone = mContext.loads().tokens(engine) == 0 && !mReadBefore && !mComesBack;
-        mReadBefore = true;
-        PromptReading.Prompt prompt = new PromptReading.Prompt(mService, promptTokens(), alone);
-        mReading = new PromptReading(mContext, prompt, engine, mTrace, new PromptRead());
-        mReading.begin(
+        mTriedPrefillEngines.add(engine.incarnation());
+        boolean alone = mContext.loads().tokens(engine) == 0 && !mPrefilledBefore && !mReturning;
+        mPrefilledBefore = true;
+        PrefillCall.Prompt prompt = new PrefillCall.Prompt(mService, promptTokens(), alone);
+        mPrefillCall = new PrefillCall(mContext, prompt, engine, mTrace, new PrefillListener());
+        mPrefillCall.send(
                 mRequest,
-                UpstreamPort.RunPlan.plain(leftMillis(), priority())
-                        .withResumeAfter(mRelay.last()));
+                UpstreamPort.RunPlan.plain(remainingMillis(), priority())
+                        .withResumeAfter(mRelay.lastEventId()));
     }
 
     /**
@@ -310,9 +315,9 @@
      *
      * @return whether its time is not over and its engine has not started again
      */
-    private boolean storedStands() {
-        return mContext.loop().millis() < mStoredUntil
-                && !mContext.directory().hasRestarted(mStored.upstream().incarnation());
+    private boolean isStoredPromptValid() {
+        return mContext.loop().millis() < mStoredPromptExpiry
+                && !mContext.directory().hasRestarted(mStoredPrompt.upstream().incarnation());
     }
 
     /**
@@ -322,12 +327,12 @@
      *
      * @param prompt where the prompt was read, if elsewhere
      */
-    private void run(Optional<UpstreamPort.StoredPrompt> prompt) {
-        if (withheld()) {
+    private void startRun(Optional<UpstreamPort.StoredPrompt> prompt) {
+        if (refuseIfQuarantined()) {
             prompt.ifPresent(mContext.port()::discard);
             return;
         }
-        UpstreamEntry engine = mPlace.engine();
+        UpstreamEntry engine = mReservation.engine();
         boolean takesWork =
                 mContext.directory()
                         .usable(engine)
@@ -335,20 +340,20 @@
                         .filter(mContext.admission()::stillAdmits)
                         .isPresent();
         if (!takesWork) {
-            mTrace.step("left@" + engine.id());
-            prompt.ifPresent(stored -> mStored = stored);
-            mPlace.release();
+            mTrace.addStep("left@" + engine.id());
+            prompt.ifPresent(stored -> mStoredPrompt = stored);
+            mReservation.release();
             search();
             return;
         }
-        sent(engine, "decode");
-        mRelay.beginRun();
+        recordDispatch(engine, "decode");
+        mRelay.startRun();
         UpstreamPort.RunPlan plan =
-                UpstreamPort.RunPlan.plain(leftMillis(), priority())
-                        .withReservation(mPlace.use())
-                        .withResumeAfter(mRelay.last());
+                UpstreamPort.RunPlan.plain(remainingMillis(), priority())
+                        .withReservation(mReservation.takeReservation())
+                        .withResumeAfter(mRelay.lastEventId());
         mRun = new StreamRun(engine, prompt);
-        mRun.begin(prompt.map(plan::withPrompt).orElse(plan));
+        mRun.start(prompt.map(plan::withPrompt).orElse(plan));
     }
 
     /**
@@ -357,15 +362,15 @@
      * @param code the code that fits the last step
      * @param detail what exactly
      */
-    private void failedBeforeRun(ResultCode code, String detail) {
-        if (mBegun) {
-            cut(detail);
+    private void failWithoutRun(ResultCode code, String detail) {
+        if (mStreamStarted) {
+            abortStream(detail);
         } else {
             long now = mContext.loop().millis();
-            mRequest.prompt().ifPresent(own -> mContext.recentRefusals().refused(own, now));
-            long limit = (long) (leftMillis() * ServingSettings.RETURN_PART);
-            long backOff = mContext.admission().backOffMillis(untried());
-            refuse(code, detail, backOff + mContext.pacer().nextDelayMillis(now, limit));
+            mRequest.prompt().ifPresent(own -> mContext.recentRefusals().recordRefusal(own, now));
+            long limit = (long) (remainingMillis() * ServingSettings.MAX_RETRY_AFTER_RATIO);
+            long backOff = mContext.admission().backOffMillis(untriedEngines());
+            refuse(code, detail, backOff + mContext.retryPacer().nextDelayMillis(now, limit));
         }
     }
 
@@ -375,14 +380,14 @@
      * @param upstream where it was
      * @param end how it ended
      */
-    private void runFailed(UpstreamEntry upstream, AttemptEnd end) {
-        learn(upstream, end);
+    private void onRunFailed(UpstreamEntry upstream, AttemptEnd end) {
+        recordFailure(upstream, end);
         if (end.notStarted() || mRoute.kind() == Route.Kind.RESUMABLE_STREAM) {
-            whenJudged(upstream, end, ended -> runAgain(upstream, end, ended));
+            afterCrashAttribution(upstream, end, ended -> retryRun(upstream, end, ended));
             return;
         }
-        whenJudged(upstream, end, ended -> {});
-        failedBeforeRun(end.code(), end.detail());
+        afterCrashAttribution(upstream, end, ended -> {});
+        failWithoutRun(end.code(), end.detail());
     }
 
     /**
@@ -392,84 +397,87 @@
      * @param end how it ended
      * @param ended whether that engine is known to have ended, and its memory with it
      */
-    private void runAgain(UpstreamEntry upstream, AttemptEnd end, boolean ended) {
+    private void retryRun(UpstreamEntry upstream, AttemptEnd end, boolean ended) {
         boolean resumable = mRoute.kind() == Route.Kind.RESUMABLE_STREAM;
-        if (resumable && !ended && mKept.lost(upstream, end)) {
-            if (mayRepeat()) {
-                searchKept(end);
+        if (resumable && !ended && mResumeTarget.recordLoss(upstream, end)) {
+            if (mayResend()) {
+                searchResumeTarget(end);
                 return;
             }
-        } else if (mayTryAgain(upstream, end)) {
-            searchAgain();
+        } else if (mayRetry(upstream, end)) {
+            restartSearch();
             return;
         }
-        failedBeforeRun(end.code(), end.detail());
+        failWithoutRun(end.code(), end.detail());
     }
 
     /** Looks for a place for another run, from now on. */
-    private void searchAgain() {
-        mPrefillTried.clear();
-        mStarted = mBegun ? mTrace.elapsedMillis() : 0;
+    private void restartSearch() {
+        mTriedPrefillEngines.clear();
+        mWaitStart = mStreamStarted ? mTrace.elapsedMillis() : 0;
         search();
     }
 
     /** {@inheritDoc} */
     @Override
-    protected void stopUpstream() {
-        if (mReading != null) {
-            mReading.abort();
-            mReading = null;
+    protected void releaseUpstream() {
+        if (mPrefillCall != null) {
+            mPrefillCall.abort();
+            mPrefillCall = null;
         }
         if (mRun != null) {
             mRun.abort();
         }
-        mPlace.release();
-        discardStored();
+        mReservation.release();
+        discardStoredPrompt();
     }
 
     /** Frees the prompt that was read and not used. */
-    private void discardStored() {
-        if (mStored != null) {
-            mContext.port().discard(mStored);
-            mStored = null;
+    private void discardStoredPrompt() {
+        if (mStoredPrompt != null) {
+            mContext.port().discard(mStoredPrompt);
+            mStoredPrompt = null;
         }
     }
 
     /** {@inheritDoc} */
     @Override
-    protected boolean atUpstream() {
+    protected boolean isAtUpstream() {
         return mRun != null;
     }
 
     /** {@inheritDoc} */
     @Override
-    protected boolean streaming() {
-        return mBegun;
+    protected boolean isStreaming() {
+        return mStreamStarted;
     }
 
     /** Receives a place. Confined to the traffic loop. */
-    private final class PlaceFound implements ReservationAllocator.Listener {
+    private final class SearchListener implements ReservationAllocator.Listener {
 
         /** {@inheritDoc} */
         @Override
-        public void granted(UpstreamEntry engine, Optional<UpstreamPort.Reservation> place) {
-            mContext.metrics().predicted("place", mPredictedMillis, mPlace.searchedMillis());
-            take(engine, place);
-            read();
+        public void onGranted(UpstreamEntry engine, Optional<UpstreamPort.Reservation> place) {
+            mContext.metrics()
+                    .recordPredictionError(
+                            "place", mPredictedWaitMillis, mReservation.searchMillis());
+            acceptReservation(engine, place);
+            prefill();
         }
 
         /** {@inheritDoc} */
         @Override
-        public void refused(String detail) {
-            mPlace.searched();
-            mContext.margin().recordRefusal();
-            mTrace.step(detail + ", prompt read in " + (long) readMillis() + "ms at best");
-            failedBeforeRun(ResultCode.NO_PLACE, "no place");
+        public void onRefused(String detail) {
+            mReservation.endSearch();
+            mContext.growthMargin().recordRefusal();
+            mTrace.addStep(
+                    detail + ", prompt read in " + (long) predictedPrefillMillis() + "ms at best");
+            failWithoutRun(ResultCode.NO_PLACE, "no place");
         }
     }
 
     /** Receives a place at the engine that has the prompt. Confined to the traffic loop. */
-    private final class KeptFound implements ReservationAllocator.Listener {
+    private final class ResumeSearchListener implements ReservationAllocator.Listener {
 
         /** How the run ended whose prompt it has. */
         private final AttemptEnd mEnd;
@@ -479,49 +487,50 @@
          *
          * @param end how the run ended whose prompt the engine has
          */
-        KeptFound(AttemptEnd end) {
+        ResumeSearchListener(AttemptEnd end) {
             mEnd = end;
         }
 
         /** {@inheritDoc} */
         @Override
-        public void granted(UpstreamEntry engine, Optional<UpstreamPort.Reservation> place) {
-            take(engine, place);
-            mKept.repeated();
-            mTrace.step("prompt still there");
-            run(Optional.empty());
+        public void onGranted(UpstreamEntry engine, Optional<UpstreamPort.Reservation> place) {
+            acceptReservation(engine, place);
+            mResumeTarget.recordResume();
+            mTrace.addStep("prompt still there");
+            startRun(Optional.empty());
         }
 
         /** {@inheritDoc} */
         @Override
-        public void refused(String detail) {
-            mPlace.searched();
-            mTrace.step("not there again");
-            if (mTried.size() < mRoute.maxAttempts()) {
-                searchAgain();
+        public void onRefused(String detail) {
+            mReservation.endSearch();
+            mTrace.addStep("not there again");
+            if (mAttempted.size() < mRoute.maxAttempts()) {
+                restartSearch();
             } else {
-                failedBeforeRun(mEnd.code(), mEnd.detail());
+                failWithoutRun(mEnd.code(), mEnd.detail());
             }
         }
     }
 
     /** Receives the prompt. Confined to the traffic loop. */
-    private final class PromptRead implements PromptReading.Listener {
+    private final class PrefillListener implements PrefillCall.Listener {
 
         /** {@inheritDoc} */
         @Override
-        public void read(UpstreamPort.StoredPrompt prompt) {
-            mReading = null;
+        public void onPrefilled(UpstreamPort.StoredPrompt prompt) {
+            mPrefillCall = null;
             long now = mContext.loop().millis();
-            mStoredUntil = now + mEngine.kvHandleMillis() - ServingSettings.FETCH_MILLIS;
-            run(Optional.of(prompt));
+            mStoredPromptExpiry =
+                    now + mEngineTraits.kvHandleMillis() - ServingSettings.FETCH_MARGIN_MILLIS;
+            startRun(Optional.of(prompt));
         }
 
         /** {@inheritDoc} */
         @Override
-        public void failed(UpstreamEntry engine, AttemptEnd end) {
-            mReading = null;
-            whenJudged(engine, end, ended -> StreamExecution.this.read());
+        public void onFailed(UpstreamEntry engine, AttemptEnd end) {
+            mPrefillCall = null;
+            afterCrashAttribution(engine, end, ended -> StreamExecution.this.prefill());
         }
     }
 
@@ -532,10 +541,10 @@
         private final Optional<UpstreamPort.StoredPrompt> mPrompt;
 
         /** When the last event came, milliseconds. */
-        private long mLastEvent;
+        private long mLastEventAt;
 
         /** An answer that is no stream, or null. */
-        private WholeAnswer mAnswer;
+        private BufferedResponse mErrorResponse;
 
         /**
          * Creates a run.
@@ -553,60 +562,60 @@
          *
          * @param plan what goes with it
          */
-        void begin(UpstreamPort.RunPlan plan) {
+        void start(UpstreamPort.RunPlan plan) {
             send(mRequest, plan);
-            mCaller.onWritable(() -> read(true));
-            watch();
+            mCaller.onWritable(() -> setAutoRead(true));
+            restartSilenceTimer();
         }
 
         /** Starts to wait for the next event where the stream may be continued elsewhere. */
-        private void watch() {
+        private void restartSilenceTimer() {
             boolean another =
                     mRoute.kind() == Route.Kind.RESUMABLE_STREAM
-                            && mTried.size() < mRoute.maxAttempts();
+                            && mAttempted.size() < mRoute.maxAttempts();
             if (another) {
-                expectWithin(ServingSettings.STREAM_SILENCE_MILLIS);
+                startSilenceTimer(ServingSettings.STREAM_SILENCE_MILLIS);
             } else {
-                expectNothing();
+                stopSilenceTimer();
             }
         }
 
         /** {@inheritDoc} */
         @Override
-        protected void silent() {
+        protected void onSilence() {
             abort();
             onFailure(AttemptEnd.failed(ResultCode.OUTCOME_UNKNOWN, "stream silent"));
         }
 
         /** {@inheritDoc} */
         @Override
-        protected void closed() {
+        protected void onClosed() {
             mRun = null;
-            mPlace.free();
+            mReservation.freeMemory();
         }
 
         /** {@inheritDoc} */
         @Override
         public void onHead(UpstreamPort.Head head) {
             if (head.verdict() != UpstreamPort.Verdict.SUCCESS) {
-                mAnswer = new WholeAnswer(head);
+                mErrorResponse = new BufferedResponse(head);
                 return;
             }
-            if (!mBegun) {
-                mBegun = true;
-                mTrace.step("head");
-                mCaller.begin(head.status(), head.headers());
+            if (!mStreamStarted) {
+                mStreamStarted = true;
+                mTrace.addStep("head");
+                mCaller.beginStream(head.status(), head.headers());
             }
         }
 
         /** {@inheritDoc} */
         @Override
         public void onPart(byte[] part) {
-            if (mAnswer != null) {
-                mAnswer.add(part);
+            if (mErrorResponse != null) {
+                mErrorResponse.append(part);
                 return;
             }
-            long before = mRelay.events();
+            long before = mRelay.eventCount();
             try {
                 mRelay.feed(part);
             } catch (org.troutpier.common.result.TroutpierException exception) {
@@ -614,88 +623,90 @@
                 onFailure(AttemptEnd.failed(exception.code(), exception.detail()));
                 return;
             }
-            notePause();
-            mPlace.grow(mRelay.events() - before);
-            if (before == 0 && mRelay.events() > 0) {
-                mTrace.step("first event");
-                mContext.firstEvent().record(millis());
-                lateAfter(mTrace.elapsedMillis());
-                mContext.metrics().stage("first-event", mTrace.elapsedMillis());
+            recordPause();
+            mReservation.recordEvents(mRelay.eventCount() - before);
+            if (before == 0 && mRelay.eventCount() > 0) {
+                mTrace.addStep("first event");
+                mContext.firstEventDelay().record(elapsedMillis());
+                markIfLate(mTrace.elapsedMillis());
+                mContext.metrics().recordStage("first-event", mTrace.elapsedMillis());
             }
-            watch();
-            if (!mCaller.writable()) {
-                read(false);
+            restartSilenceTimer();
+            if (!mCaller.isWritable()) {
+                setAutoRead(false);
             }
         }
 
         /** Notes a pause between events that makes the answer late. */
-        private void notePause() {
+        private void recordPause() {
             long now = mContext.loop().millis();
-            long pause = now - mLastEvent;
-            if (mLastEvent != 0 && mRoute.eventGapMillis() > 0 && pause > mRoute.eventGapMillis()) {
+            long pause = now - mLastEventAt;
+            if (mLastEventAt != 0
+                    && mRoute.eventGapMillis() > 0
+                    && pause > mRoute.eventGapMillis()) {
                 long used = mContext.loads().tokens(mUpstream);
-                mTrace.notable();
-                mContext.margin().recordPause(now);
-                mTrace.step("pause " + pause + "ms@" + mUpstream.id() + " known tokens " + used);
+                mTrace.markNotable();
+                mContext.growthMargin().recordPause(now);
+                mTrace.addStep("pause " + pause + "ms@" + mUpstream.id() + " known tokens " + used);
             }
-            mLastEvent = now;
+            mLastEventAt = now;
         }
 
         /** {@inheritDoc} */
         @Override
         public void onEnd() {
-            if (mAnswer != null) {
-                refused();
+            if (mErrorResponse != null) {
+                onErrorResponse();
                 return;
             }
-            if (!mRelay.betweenEvents()) {
+            if (!mRelay.atEventBoundary()) {
                 onFailure(AttemptEnd.failed(ResultCode.UPSTREAM_FAILED, "ended inside an event"));
                 return;
             }
             close();
-            succeeded(mUpstream, "stream", millis());
-            long output = mRelay.events() * mEngine.eventTokens();
-            mContext.demand()
+            recordSuccess(mUpstream, "stream", elapsedMillis());
+            long output = mRelay.eventCount() * mEngineTraits.eventTokens();
+            mContext.demandMeter()
                     .recordRun(
                             mService,
-                            new DemandMeter.CompletedRun(promptTokens(), output, millis()),
+                            new DemandMeter.CompletedRun(promptTokens(), output, elapsedMillis()),
                             mContext.loop().millis());
-            mTrace.step("events=" + mRelay.events());
-            mCaller.end();
-            answered();
+            mTrace.addStep("events=" + mRelay.eventCount());
+            mCaller.endStream();
+            finishAnswered();
         }
 
         /** Goes on after an answer that is no stream. */
-        private void refused() {
-            UpstreamPort.Head head = mAnswer.head();
+        private void onErrorResponse() {
+            UpstreamPort.Head head = mErrorResponse.head();
             AttemptEnd end = AttemptEnds.end(head);
             close();
             if (end.notStarted() && end.leaving()) {
-                mPrompt.ifPresent(prompt -> mStored = prompt);
+                mPrompt.ifPresent(prompt -> mStoredPrompt = prompt);
             } else if (end.notStarted()) {
                 mPrompt.ifPresent(mContext.port()::discard);
             }
             boolean own = head.verdict() == UpstreamPort.Verdict.OWN_FAILURE;
-            if (own && !mBegun && mRoute.kind() != Route.Kind.RESUMABLE_STREAM) {
-                learn(mUpstream, end);
-                mTrace.notable();
-                mTrace.step("status=" + head.status());
-                mAnswer.sendTo(mCaller);
-                answered();
+            if (own && !mStreamStarted && mRoute.kind() != Route.Kind.RESUMABLE_STREAM) {
+                recordFailure(mUpstream, end);
+                mTrace.markNotable();
+                mTrace.addStep("status=" + head.status());
+                mErrorResponse.sendTo(mCaller);
+                finishAnswered();
                 return;
             }
-            runFailed(mUpstream, end);
+            onRunFailed(mUpstream, end);
         }
 
         /** {@inheritDoc} */
         @Override
         public void onFailure(AttemptEnd end) {
             close();
-            giveBackUnreached(end);
+            refundIfUnreached(end);
             if (end.notStarted()) {
-                mPrompt.ifPresent(prompt -> mStored = prompt);
+                mPrompt.ifPresent(prompt -> mStoredPrompt = prompt);
             }
-            runFailed(mUpstream, end);
+            onRunFailed(mUpstream, end);
         }
     }
 }
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/UpstreamRun.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/UpstreamRun.java
@@ -6,8 +6,8 @@
 
 /**
  * One run of a request at one upstream, from its call until it is over. Confined to the traffic
- * loop. Invariants: {@link #closed()} is called once; an upstream is given up for its silence only
- * while the run is not over.
+ * loop. Invariants: {@link #onClosed()} is called once; an upstream is given up for its silence
+ * only while the run is not over.
  */
 abstract class UpstreamRun implements UpstreamPort.RunListener {
 
@@ -24,10 +24,10 @@
     private UpstreamPort.Call mCall;
 
     /** Fires when the upstream was silent for too long, or null. */
-    private TrafficLoop.Timer mSilence;
+    private TrafficLoop.Timer mSilenceTimer;
 
     /** Whether the run is over. */
-    private boolean mOver;
+    private boolean mEnded;
 
     /**
      * Creates a run.
@@ -42,10 +42,10 @@
     }
 
     /** Called when the upstream was silent for too long. */
-    protected abstract void silent();
+    protected abstract void onSilence();
 
     /** Called when the run is over, whatever its end. */
-    protected abstract void closed();
+    protected abstract void onClosed();
 
     /**
      * Sends the call.
@@ -62,25 +62,25 @@
      *
      * @param millis how long the upstream may be silent from now on
      */
-    protected void expectWithin(long millis) {
-        expectNothing();
-        if (!mOver) {
-            mSilence = mContext.loop().schedule(this::fire, millis);
+    protected void startSilenceTimer(long millis) {
+        stopSilenceTimer();
+        if (!mEnded) {
+            mSilenceTimer = mContext.loop().schedule(this::fireSilence, millis);
         }
     }
 
     /** Lets the upstream be silent as long as it likes. */
-    protected void expectNothing() {
-        if (mSilence != null) {
-            mSilence.cancel();
-            mSilence = null;
+    protected void stopSilenceTimer() {
+        if (mSilenceTimer != null) {
+            mSilenceTimer.cancel();
+            mSilenceTimer = null;
         }
     }
 
     /** Tells of the upstream's silence. */
-    private void fire() {
-        if (!mOver) {
-            silent();
+    private void fireSilence() {
+        if (!mEnded) {
+            onSilence();
         }
     }
 
@@ -89,7 +89,7 @@
      *
      * @param on whether it may come
      */
-    protected void read(boolean on) {
+    protected void setAutoRead(boolean on) {
         mCall.setAutoRead(on);
     }
 
@@ -102,7 +102,7 @@
     /** {@inheritDoc} */
     @Override
     public void onNotice(UpstreamNotice notice, UpstreamPort.Verdict verdict) {
-        mContext.admission().recordAnswer(mUpstream, notice, verdict, millis());
+        mContext.admission().recordAnswer(mUpstream, notice, verdict, elapsedMillis());
     }
 
     /**
@@ -110,7 +110,7 @@
      *
      * @param end how it ended
      */
-    protected void giveBackUnreached(AttemptEnd end) {
+    protected void refundIfUnreached(AttemptEnd end) {
         if (end.neverReached()) {
             mContext.admission().refund(mUpstream, mStart);
         }
@@ -118,10 +118,10 @@
 
     /** Records that the call is over. */
     protected void close() {
-        expectNothing();
-        if (!mOver) {
-            mOver = true;
-            closed();
+        stopSilenceTimer();
+        if (!mEnded) {
+            mEnded = true;
+            onClosed();
         }
     }
 
@@ -130,7 +130,7 @@
      *
      * @return milliseconds
      */
-    protected long millis() {
+    protected long elapsedMillis() {
         return mContext.loop().millis() - mStart;
     }
 }
--- a/troutpier-daemon/src/test/java/org/troutpier/daemon/serving/DecisionLogTest.java
+++ b/troutpier-daemon/src/test/java/org/troutpier/daemon/serving/DecisionLogTest.java
@@ -20,7 +20,7 @@
     private DecisionLog mLog;
 
     @BeforeMethod
-    void start() {
+    void setUp() {
         mTime = new ManualTime();
         mMetrics = new MetricRegistry();
         mEvents = new EventRing("router", 16, new HybridClock());
@@ -38,7 +38,7 @@
     @Test
     public void ordinarySuccessesAreFoldedIntoCounters() {
         for (int request = 0; request < 10; request++) {
-            mLog.ended(trace(), RequestTrace.ANSWERED);
+            mLog.requestEnded(trace(), RequestTrace.ANSWERED);
         }
         assertEquals(count("log.folded"), 9);
         assertEquals(mEvents.about("id").size(), 10);
@@ -48,19 +48,19 @@
     @Test
     public void failuresHaveTheirLinesWithinTheBound() {
         for (int request = 0; request < 250; request++) {
-            mLog.ended(trace(), "TP-128");
+            mLog.requestEnded(trace(), "TP-128");
         }
         assertEquals(count("log.left-out"), 50);
         mTime.pass(1000);
-        mLog.ended(trace(), "TP-128");
+        mLog.requestEnded(trace(), "TP-128");
         assertEquals(count("log.left-out"), 50);
     }
 
     @Test
     public void anAnswerThatIsLateOrAFailureIsNoOrdinarySuccess() {
         RequestTrace trace = trace();
-        assertTrue(trace.ordinary(RequestTrace.ANSWERED));
-        trace.notable();
-        assertFalse(trace.ordinary(RequestTrace.ANSWERED));
+        assertTrue(trace.isOrdinarySuccess(RequestTrace.ANSWERED));
+        trace.markNotable();
+        assertFalse(trace.isOrdinarySuccess(RequestTrace.ANSWERED));
     }
 }
--- a/troutpier-daemon/src/test/java/org/troutpier/daemon/serving/EventRelayTest.java
+++ b/troutpier-daemon/src/test/java/org/troutpier/daemon/serving/EventRelayTest.java
@@ -22,7 +22,7 @@
     }
 
     @BeforeMethod
-    void start() {
+    void setUp() {
         mCaller = new FakeCaller();
     }
 
@@ -31,17 +31,17 @@
         EventRelay relay = new EventRelay(mCaller, OptionalLong.empty());
         relay.feed(bytes("id: 1\ndata: a\n\nid: 2\nda"));
         assertEquals(mCaller.text(), "id: 1\ndata: a\n\n");
-        assertFalse(relay.betweenEvents());
+        assertFalse(relay.atEventBoundary());
         relay.feed(bytes("ta: b\n\n"));
-        assertTrue(relay.betweenEvents());
-        assertEquals(relay.last(), OptionalLong.of(2));
+        assertTrue(relay.atEventBoundary());
+        assertEquals(relay.lastEventId(), OptionalLong.of(2));
     }
 
     @Test
     public void anotherRunGoesOnAfterTheLastWholeEvent() {
         EventRelay relay = new EventRelay(mCaller, OptionalLong.empty());
         relay.feed(bytes("id: 1\ndata: a\n\nid: 2\nda"));
-        relay.beginRun();
+        relay.startRun();
         relay.feed(bytes("id: 2\ndata: b\n\n"));
         assertEquals(mCaller.text(), "id: 1\ndata: a\n\nid: 2\ndata: b\n\n");
     }
@@ -60,7 +60,7 @@
         EventRelay relay = new EventRelay(mCaller, OptionalLong.of(0));
         relay.feed(bytes("weight-versions: 2\nid: 1\ndata: a\n\n"));
         assertEquals(mCaller.text(), "weight-versions: 2\nid: 1\ndata: a\n\n");
-        assertEquals(relay.last(), OptionalLong.of(1));
+        assertEquals(relay.lastEventId(), OptionalLong.of(1));
     }
 
     @Test
--- a/troutpier-daemon/src/test/java/org/troutpier/daemon/serving/ExecutionTest.java
+++ b/troutpier-daemon/src/test/java/org/troutpier/daemon/serving/ExecutionTest.java
@@ -54,10 +54,10 @@
     private Requester mRequester;
 
     /** The decisions that wait for a fresh view; null where it is always fresh. */
-    private List<Runnable> mHeld;
+    private List<Runnable> mDeferredDecisions;
 
     @BeforeMethod
-    void start() {
+    void setUp() {
         mTime = new ManualTime();
         mPort = new FakePort();
         mCaller = new FakeCaller();
@@ -66,13 +66,13 @@
         mDirectory.setListener(port::retain);
         PeerLoads peers = new PeerLoads();
         mRequester = new Requester.Unchecked();
-        mHeld = null;
+        mDeferredDecisions = null;
         LoadView view =
                 decision -> {
-                    if (mHeld == null) {
+                    if (mDeferredDecisions == null) {
                         decision.run();
                     } else {
-                        mHeld.add(decision);
+                        mDeferredDecisions.add(decision);
                     }
                 };
         Random random = new Random(1);
@@ -207,11 +207,11 @@
 
     @Test
     public void aPrefillEngineThatIsSilentIsGivenUpByTheTimeItShouldTake() {
-        mContext.budget().setLimits(0, 1);
+        mContext.extraCallBudget().setLimits(0, 1);
         for (int reading = 0; reading < 3; reading++) {
-            mContext.demand().recordPrefill("service", 5000, 100, mTime.millis());
+            mContext.demandMeter().recordPrefill("service", 5000, 100, mTime.millis());
         }
-        mContext.demand().publish(mTime.millis());
+        mContext.demandMeter().publish(mTime.millis());
         mDirectory.replaceAll(
                 List.of(
                         TestUpstreams.prefill("p"),
@@ -219,7 +219,7 @@
                         TestUpstreams.decode("a")));
         stream();
         assertEquals(mPort.mPrefills.size(), 1);
-        mTime.pass(ServingSettings.LEAST_PREFILL_MILLIS - 1);
+        mTime.pass(ServingSettings.MIN_PREFILL_TIMEOUT_MILLIS - 1);
         assertEquals(mPort.mPrefills.size(), 1);
         mTime.pass(2);
         assertEquals(mPort.mPrefills.size(), 2);
@@ -256,7 +256,7 @@
 
     @Test
     public void anEngineThatWasReplacedIsNoAttemptAndItsPromptIsUsedElsewhere() {
-        mContext.budget().setLimits(0, 1);
+        mContext.extraCallBudget().setLimits(0, 1);
         UpstreamEntry prefill = TestUpstreams.prefill("p");
         mDirectory.replaceAll(
                 List.of(prefill, TestUpstreams.decode("a"), TestUpstreams.decode("b")));
@@ -293,7 +293,7 @@
 
     @Test
     public void aRunWhoseAnswerWasLostGoesOnWhereItsPromptIs() {
-        mContext.budget().setLimits(0, 10);
+        mContext.extraCallBudget().setLimits(0, 10);
         UpstreamEntry prefill = TestUpstreams.prefill("p");
         mDirectory.replaceAll(
                 List.of(prefill, TestUpstreams.decode("a"), TestUpstreams.decode("b")));
@@ -312,7 +312,7 @@
 
     @Test
     public void aStreamThatGoesOnNeedsRoomForWhatWasMadeToo() {
-        mContext.budget().setLimits(0, 10);
+        mContext.extraCallBudget().setLimits(0, 10);
         mDirectory.replaceAll(List.of(TestUpstreams.decode("a"), TestUpstreams.decode("b")));
         stream(Route.Kind.RESUMABLE_STREAM);
         UpstreamPort.RunListener run = mPort.mRuns.get(0).mListener;
@@ -323,13 +323,13 @@
         long used = mContext.loads().tokens(mPort.mRuns.get(0).mUpstream);
         run.onFailure(AttemptEnd.lost("reset"));
         assertEquals(used, 1040);
-        assertTrue(mPort.mAskedTokens.get(1) >= used, "asked " + mPort.mAskedTokens);
+        assertTrue(mPort.mReserveTokens.get(1) >= used, "asked " + mPort.mReserveTokens);
         assertEquals(mContext.loads().tokens(mPort.mRuns.get(1).mUpstream), used);
     }
 
     @Test
     public void aPromptThatASilentEngineMayNeverHaveFetchedIsReadElsewhere() {
-        mContext.budget().setLimits(0, 10);
+        mContext.extraCallBudget().setLimits(0, 10);
         UpstreamEntry prefill = TestUpstreams.prefill("p");
         mDirectory.replaceAll(
                 List.of(prefill, TestUpstreams.decode("a"), TestUpstreams.decode("b")));
@@ -345,13 +345,13 @@
 
     @Test
     public void anEngineThatLosesEveryAnswerIsLeft() {
-        mContext.budget().setLimits(0, 10);
+        mContext.extraCallBudget().setLimits(0, 10);
         mDirectory.replaceAll(List.of(TestUpstreams.decode("a"), TestUpstreams.decode("b")));
         stream(Route.Kind.RESUMABLE_STREAM);
-        for (int run = 0; run <= KeptPrompt.MOST_REPEATS; run++) {
+        for (int run = 0; run <= ResumeTarget.MAX_RESUMES; run++) {
             mPort.mRuns.get(run).mListener.onFailure(AttemptEnd.lost("reset"));
         }
-        assertEquals(mPort.mRuns.size(), KeptPrompt.MOST_REPEATS + 1);
+        assertEquals(mPort.mRuns.size(), ResumeTarget.MAX_RESUMES + 1);
         assertEquals(mCaller.mRefusal, ResultCode.OUTCOME_UNKNOWN);
         assertNothingHeld();
     }
@@ -367,10 +367,10 @@
 
     @Test
     public void aLostRunEndsTruthfullyWhereItsEngineIsGone() {
-        mContext.budget().setLimits(0, 10);
+        mContext.extraCallBudget().setLimits(0, 10);
         mDirectory.replaceAll(List.of(TestUpstreams.decode("a")));
         stream(Route.Kind.RESUMABLE_STREAM);
-        mPort.mFull.add(TestUpstreams.decode("a").incarnation());
+        mPort.mFullEngines.add(TestUpstreams.decode("a").incarnation());
         mPort.mRuns.get(0).mListener.onFailure(AttemptEnd.lost("reset"));
         assertEquals(mPort.mRuns.size(), 1);
         assertEquals(mCaller.mRefusal, ResultCode.OUTCOME_UNKNOWN);
@@ -407,7 +407,7 @@
         mDirectory.replaceAll(List.of(TestUpstreams.decode("a")));
         stream();
         assertEquals(mContext.loads().usage().size(), 1);
-        mCaller.leave();
+        mCaller.disconnect();
         assertTrue(mPort.mRuns.get(0).mAborted);
         assertNothingHeld();
     }
@@ -415,13 +415,13 @@
     @Test
     public void aCallerThatLeavesBeforeTheLoadOfOthersIsKnownReachesNobody() {
         mDirectory.replaceAll(List.of(TestUpstreams.decode("a"), TestUpstreams.plain("b", "hall")));
-        mHeld = new ArrayList<>();
+        mDeferredDecisions = new ArrayList<>();
         stream();
-        mCaller.leave();
+        mCaller.disconnect();
         plain();
-        mCaller.leave();
-        assertEquals(mHeld.size(), 2);
-        mHeld.forEach(Runnable::run);
+        mCaller.disconnect();
+        assertEquals(mDeferredDecisions.size(), 2);
+        mDeferredDecisions.forEach(Runnable::run);
         assertTrue(mPort.mRuns.isEmpty());
         assertNothingHeld();
     }
@@ -429,11 +429,11 @@
     @Test
     public void aRequestWhoseDeadlinePassesBeforeTheLoadOfOthersIsKnownIsRefusedAsNotRun() {
         mDirectory.replaceAll(List.of(TestUpstreams.plain("b", "hall")));
-        mHeld = new ArrayList<>();
+        mDeferredDecisions = new ArrayList<>();
         plain();
         mTime.pass(10_000);
         assertEquals(mCaller.mRefusal, ResultCode.NO_PLACE);
-        mHeld.forEach(Runnable::run);
+        mDeferredDecisions.forEach(Runnable::run);
         assertTrue(mPort.mRuns.isEmpty());
     }
 
@@ -445,7 +445,7 @@
         run.onHead(head(UpstreamPort.Verdict.SUCCESS));
         run.onPart("id: 1\ndata: a\n\nid: 2\nda".getBytes(StandardCharsets.UTF_8));
         run.onEnd();
-        assertTrue(mCaller.mCut);
+        assertTrue(mCaller.mAborted);
         assertEquals(mCaller.text(), "id: 1\ndata: a\n\n");
         assertNothingHeld();
     }
@@ -485,7 +485,7 @@
 
     @Test
     public void aRepeatableRequestOfAnEarlierStartGoesOnElsewhereAtOnce() {
-        mContext.budget().setLimits(0, 10);
+        mContext.extraCallBudget().setLimits(0, 10);
         UpstreamEntry upstream = started(TestUpstreams.plain("a", "hall-a"));
         mDirectory.replaceAll(List.of(upstream));
         new PlainExecution(mContext, request(), route(Route.Kind.REPEATABLE, 2), "service", mCaller)
@@ -498,7 +498,7 @@
 
     @Test
     public void aStreamOfAnEarlierStartGoesOnElsewhereAndReadsItsPromptAnew() {
-        mContext.budget().setLimits(0, 10);
+        mContext.extraCallBudget().setLimits(0, 10);
         UpstreamEntry prefill = TestUpstreams.prefill("p");
         UpstreamEntry engine = started(TestUpstreams.decode("a"));
         mDirectory.replaceAll(List.of(prefill, engine));
@@ -518,7 +518,7 @@
 
     @Test
     public void aPromptThatAnEarlierStartReadIsNotAskedForByItsHandle() {
-        mContext.budget().setLimits(0, 10);
+        mContext.extraCallBudget().setLimits(0, 10);
         UpstreamEntry prefill = started(TestUpstreams.prefill("p"));
         mDirectory.replaceAll(
                 List.of(prefill, TestUpstreams.decode("a"), TestUpstreams.decode("b")));
@@ -577,7 +577,7 @@
     }
 
     /** Sends an upstream more than it takes, and has it name its rate. */
-    private void fill(UpstreamEntry upstream) {
+    private void exhaustRate(UpstreamEntry upstream) {
         for (int call = 0; call < 20; call++) {
             mContext.admission()
                     .rates()
@@ -598,7 +598,7 @@
         UpstreamEntry need = TestUpstreams.plain("need", "hall-a");
         UpstreamEntry other = TestUpstreams.plain("other", "hall-b");
         mDirectory.replaceAll(List.of(need, other));
-        fill(need);
+        exhaustRate(need);
         for (int call = 0; call < 5; call++) {
             plain();
         }
@@ -610,7 +610,7 @@
     public void whereAllUpstreamsAreAtTheirRatesARequestIsRefusedAtOnce() {
         UpstreamEntry need = TestUpstreams.plain("need", "hall-a");
         mDirectory.replaceAll(List.of(need));
-        fill(need);
+        exhaustRate(need);
         plain();
         assertEquals(mPort.mRuns.size(), 0);
         assertEquals(mCaller.mRefusal, ResultCode.UPSTREAM_RATE);
@@ -622,9 +622,9 @@
     public void aSilentCallIsKeptWhereTheOtherUpstreamIsAtItsRate() {
         UpstreamEntry silent = TestUpstreams.plain("silent", "hall-a");
         UpstreamEntry need = TestUpstreams.plain("need", "hall-b");
-        mContext.budget().setLimits(0, 1);
+        mContext.extraCallBudget().setLimits(0, 1);
         mDirectory.replaceAll(List.of(silent, need));
-        fill(need);
+        exhaustRate(need);
         repeatable();
         mTime.pass(1801);
         assertEquals(mPort.mRuns.size(), 1);
@@ -636,7 +636,7 @@
     public void aPromptIsReadAtAnEngineThatIsNotAtItsRate() {
         UpstreamEntry need = TestUpstreams.prefill("need");
         mDirectory.replaceAll(List.of(need, TestUpstreams.decode("d")));
-        fill(need);
+        exhaustRate(need);
         stream();
         assertEquals(mPort.mPrefills.size(), 0);
         assertEquals(mPort.mRuns.size(), 1, "the decode engine reads it");
--- a/troutpier-daemon/src/test/java/org/troutpier/daemon/serving/FailingEnginesTest.java
+++ b/troutpier-daemon/src/test/java/org/troutpier/daemon/serving/FailingEnginesTest.java
@@ -55,20 +55,20 @@
         for (int engine = 0; engine < ENGINES; engine++) {
             mEngines.add(TestUpstreams.decode("engine-" + engine));
         }
-        play(random, 3000, PER_SECOND / 2, 0);
-        int lost = play(random, 6000, PER_SECOND, FAILING);
+        simulate(random, 3000, PER_SECOND / 2, 0);
+        int lost = simulate(random, 6000, PER_SECOND, FAILING);
         System.out.println("FailingEnginesTest lost " + lost);
         assertTrue(lost <= 10 * FAILING, "lost " + lost);
     }
 
     /** Has callers ask for a while; returns how many runs failed. */
-    private int play(Random random, int millis, double perSecond, int failing) {
+    private int simulate(Random random, int millis, double perSecond, int failing) {
         int lost = 0;
         for (int passed = 0; passed < millis; passed += STEP_MILLIS) {
             mTime.pass(STEP_MILLIS);
-            end();
+            endFinishedRuns();
             if (mTime.millis() % REPORT_MILLIS == 0) {
-                tell();
+                exchangeReports();
             }
             if (random.nextDouble() < perSecond * STEP_MILLIS / 1000) {
                 lost += run(random.nextInt(ROUTERS), failing) ? 0 : 1;
@@ -89,7 +89,7 @@
         return true;
     }
 
-    private void end() {
+    private void endFinishedRuns() {
         for (Run run : List.copyOf(mRuns)) {
             if (run.endsAt() <= mTime.millis()) {
                 mRuns.remove(run);
@@ -100,7 +100,7 @@
     }
 
     /** Has each router hear the sum of all others, as a relay tells it. */
-    private void tell() {
+    private void exchangeReports() {
         List<LoadReport> reports = new ArrayList<>();
         for (UpstreamLoads loads : mRouters) {
             reports.add(
--- a/troutpier-daemon/src/test/java/org/troutpier/daemon/serving/FakeCaller.java
+++ b/troutpier-daemon/src/test/java/org/troutpier/daemon/serving/FakeCaller.java
@@ -13,19 +13,19 @@
     ResultCode mRefusal;
     long mRetryAfterMillis;
     boolean mEnded;
-    boolean mCut;
+    boolean mAborted;
     private Runnable mOnGone = () -> {};
 
     String text() {
         return mText.toString();
     }
 
-    void leave() {
+    void disconnect() {
         mOnGone.run();
     }
 
     @Override
-    public void answer(int status, HttpHeaders headers, byte[] body) {
+    public void sendResponse(int status, HttpHeaders headers, byte[] body) {
         mStatus = status;
         mAnswers++;
         write(body);
@@ -39,7 +39,7 @@
     }
 
     @Override
-    public void begin(int status, HttpHeaders headers) {
+    public void beginStream(int status, HttpHeaders headers) {
         mStatus = status;
         mAnswers++;
     }
@@ -50,22 +50,22 @@
     }
 
     @Override
-    public void end() {
+    public void endStream() {
         mEnded = true;
     }
 
     @Override
-    public void cut() {
-        mCut = true;
+    public void abort() {
+        mAborted = true;
     }
 
     @Override
-    public boolean writable() {
+    public boolean isWritable() {
         return true;
     }
 
     @Override
-    public void onGone(Runnable action) {
+    public void onDisconnect(Runnable action) {
         mOnGone = action;
     }
 
--- a/troutpier-daemon/src/test/java/org/troutpier/daemon/serving/FakePort.java
+++ b/troutpier-daemon/src/test/java/org/troutpier/daemon/serving/FakePort.java
@@ -15,16 +15,16 @@
     final List<Sent> mRuns = new ArrayList<>();
     final List<ResultListener<StoredPrompt>> mPrefills = new ArrayList<>();
     final List<StoredPrompt> mDiscarded = new ArrayList<>();
-    final List<UpstreamEntry> mAsked = new ArrayList<>();
-    final List<Long> mAskedTokens = new ArrayList<>();
+    final List<UpstreamEntry> mReserveCalls = new ArrayList<>();
+    final List<Long> mReserveTokens = new ArrayList<>();
     final List<String> mReleased = new ArrayList<>();
-    final Set<UpstreamIncarnation> mFull = new HashSet<>();
+    final Set<UpstreamIncarnation> mFullEngines = new HashSet<>();
 
     /** Answers whether an upstream listens. */
     Consumer<Consumer<ProbeResult>> mOnCheck = listener -> listener.accept(ProbeResult.LISTENING);
 
-    boolean mHoldsBack;
-    ResultListener<Reservation> mWaiting;
+    boolean mDefersReservations;
+    ResultListener<Reservation> mDeferredReservation;
 
     /** A run that was sent. */
     static final class Sent implements Call {
@@ -69,11 +69,11 @@
     @Override
     public Call reserve(
             UpstreamEntry upstream, long tokens, int millis, ResultListener<Reservation> listener) {
-        mAsked.add(upstream);
-        mAskedTokens.add(tokens);
-        if (mHoldsBack) {
-            mWaiting = listener;
-        } else if (mFull.contains(upstream.incarnation())) {
+        mReserveCalls.add(upstream);
+        mReserveTokens.add(tokens);
+        if (mDefersReservations) {
+            mDeferredReservation = listener;
+        } else if (mFullEngines.contains(upstream.incarnation())) {
             listener.onFailure(AttemptEnd.refused(false, "full"));
         } else {
             listener.onResult(new Reservation("place at " + upstream.id()));
--- a/troutpier-daemon/src/test/java/org/troutpier/daemon/serving/RecentRefusalsTest.java
+++ b/troutpier-daemon/src/test/java/org/troutpier/daemon/serving/RecentRefusalsTest.java
@@ -20,10 +20,10 @@
                         List.of(
                                 new PromptMetadata.Part("shared", 100),
                                 new PromptMetadata.Part("own", 200)));
-        assertFalse(returning.comesBack(prompt, 1000));
-        returning.refused(prompt, 1000);
-        assertTrue(returning.comesBack(prompt, 5000));
-        assertFalse(returning.comesBack(prompt, 60_000));
+        assertFalse(returning.isReturning(prompt, 1000));
+        returning.recordRefusal(prompt, 1000);
+        assertTrue(returning.isReturning(prompt, 5000));
+        assertFalse(returning.isReturning(prompt, 60_000));
     }
 
     @Test
@@ -32,10 +32,10 @@
         PromptMetadata prompt =
                 new PromptMetadata("m", 300, 10, List.of(new PromptMetadata.Part("own", 300)));
         returning.recordPeerRefusal("own", 1000);
-        assertTrue(returning.comesBack(prompt, 1001));
+        assertTrue(returning.isReturning(prompt, 1001));
         for (int other = 0; other < 100; other++) {
             returning.recordPeerRefusal("other" + other, 20_000);
         }
-        assertFalse(returning.comesBack(prompt, 20_000));
+        assertFalse(returning.isReturning(prompt, 20_000));
     }
 }
--- a/troutpier-daemon/src/test/java/org/troutpier/daemon/serving/ReservationAllocatorTest.java
+++ b/troutpier-daemon/src/test/java/org/troutpier/daemon/serving/ReservationAllocatorTest.java
@@ -33,7 +33,7 @@
 
     private static final long MEMORY = 100_000;
     private static final long PROMPT = 5000;
-    private static final long MOST = 15_000;
+    private static final long MAX_TOKENS = 15_000;
     private static final double MARGIN = 16_000;
     private static final FlowKey ASKER = new FlowKey(1, FlowKey.NO_ORGANISATION);
 
@@ -49,7 +49,7 @@
     private String mRefused;
 
     @BeforeMethod
-    void start() {
+    void setUp() {
         mTime = new ManualTime();
         mPort = new FakePort();
         mPeers = new PeerLoads();
@@ -85,24 +85,32 @@
 
     private ReservationAllocator.Search find(
             long waitMillis, QueueTier standing, Supplier<List<UpstreamEntry>> engines) {
-        return mAllocator.find(
-                new ReservationAllocator.Wanted(
-                        ASKER, PROMPT, MOST, MARGIN, MEMORY, 2000, waitMillis, standing, engines),
+        return mAllocator.search(
+                new ReservationAllocator.Requirements(
+                        ASKER,
+                        PROMPT,
+                        MAX_TOKENS,
+                        MARGIN,
+                        MEMORY,
+                        2000,
+                        waitMillis,
+                        standing,
+                        engines),
                 new ReservationAllocator.Listener() {
                     @Override
-                    public void granted(
+                    public void onGranted(
                             UpstreamEntry engine, Optional<UpstreamPort.Reservation> place) {
                         mGranted = engine;
                     }
 
                     @Override
-                    public void refused(String detail) {
+                    public void onRefused(String detail) {
                         mRefused = detail;
                     }
                 });
     }
 
-    private void peersUse(long first, long second) {
+    private void reportPeerUsage(long first, long second) {
         LoadReport report =
                 new LoadReport(
                         1,
@@ -125,19 +133,19 @@
 
     @Test
     public void theEngineThatAllRoutersUseLeastIsAskedForThePromptsMemory() {
-        peersUse(30_000, 10_000);
+        reportPeerUsage(30_000, 10_000);
         mLoads.begin(mSecond, 5000);
         find(200);
         assertEquals(mGranted, mSecond);
-        assertEquals(mPort.mAskedTokens, List.of(PROMPT));
+        assertEquals(mPort.mReserveTokens, List.of(PROMPT));
     }
 
     @Test
     public void anEngineWithoutRoomForGrowthIsNotAsked() {
-        peersUse(90_000, 90_000);
+        reportPeerUsage(90_000, 90_000);
         find(200);
         mTime.pass(300);
-        assertTrue(mPort.mAsked.isEmpty());
+        assertTrue(mPort.mReserveCalls.isEmpty());
         assertTrue(mRefused != null);
         assertNull(mGranted);
     }
@@ -145,7 +153,7 @@
     /** The last look falls behind the time in which engines may be asked by a moment at times. */
     @Test
     public void aRefusalNamesTheEnginesThatRefusedThoughNoneMayBeAskedAnyMore() {
-        mPort.mFull.addAll(Set.of(mFirst.incarnation(), mSecond.incarnation()));
+        mPort.mFullEngines.addAll(Set.of(mFirst.incarnation(), mSecond.incarnation()));
         long until = mTime.millis() + 150;
         find(
                 200,
@@ -165,47 +173,47 @@
 
     @Test
     public void anEngineWhoseSlotsAreAllKnownToBeTakenIsNotAsked() {
-        peersUse(1000, 2000);
+        reportPeerUsage(1000, 2000);
         for (int call = 1; call < TestUpstreams.SLOTS; call++) {
             mLoads.begin(mFirst, 10);
         }
         find(200);
-        assertEquals(mPort.mAsked, List.of(mSecond));
+        assertEquals(mPort.mReserveCalls, List.of(mSecond));
         assertEquals(mGranted, mSecond);
     }
 
     @Test
     public void aRouterThatHearsNobodyReservesTheMostOutputToo() {
         find(200);
-        assertEquals(mPort.mAskedTokens, List.of(MOST));
+        assertEquals(mPort.mReserveTokens, List.of(MAX_TOKENS));
     }
 
     @Test
     public void aFullEngineIsFollowedByTheNext() {
-        mPort.mFull.add(mFirst.incarnation());
+        mPort.mFullEngines.add(mFirst.incarnation());
         mLoads.begin(mSecond, 1);
         find(200);
-        assertEquals(mPort.mAsked, List.of(mFirst, mSecond));
+        assertEquals(mPort.mReserveCalls, List.of(mFirst, mSecond));
         assertEquals(mGranted, mSecond);
     }
 
     @Test
     public void aSearchGoesOnUntilThereIsRoom() {
-        mPort.mFull.addAll(Set.of(mFirst.incarnation(), mSecond.incarnation()));
+        mPort.mFullEngines.addAll(Set.of(mFirst.incarnation(), mSecond.incarnation()));
         find(200);
         mTime.pass(100);
         assertNull(mGranted);
-        mPort.mFull.remove(mFirst.incarnation());
+        mPort.mFullEngines.remove(mFirst.incarnation());
         mTime.pass(60);
         assertEquals(mGranted, mFirst);
     }
 
     @Test
     public void aPlaceThatComesAfterTheSearchWasStoppedIsGivenBack() {
-        mPort.mHoldsBack = true;
+        mPort.mDefersReservations = true;
         ReservationAllocator.Search search = find(200);
-        search.stop();
-        mPort.mWaiting.onResult(new UpstreamPort.Reservation("late"));
+        search.cancel();
+        mPort.mDeferredReservation.onResult(new UpstreamPort.Reservation("late"));
         assertEquals(mPort.mReleased, List.of("late"));
         assertNull(mGranted);
     }
@@ -220,7 +228,7 @@
     @Test
     public void aLateRequestLeavesRoomForOneThatCanBeInTime() {
         long justEnough = MEMORY - PROMPT - (long) MARGIN;
-        peersUse(justEnough, justEnough);
+        reportPeerUsage(justEnough, justEnough);
         find(0, QueueTier.LATE);
         assertTrue(mRefused != null);
         find(0, QueueTier.IN_TIME);
@@ -229,14 +237,14 @@
 
     @Test
     public void whoCanBeInTimeGoesBeforeAStreamThatBrokeOffAndThatBeforeWhoIsLate() {
-        mPort.mFull.addAll(Set.of(mFirst.incarnation(), mSecond.incarnation()));
+        mPort.mFullEngines.addAll(Set.of(mFirst.incarnation(), mSecond.incarnation()));
         List<QueueTier> order = new ArrayList<>();
         for (QueueTier standing : List.of(QueueTier.LATE, QueueTier.CONTINUED, QueueTier.IN_TIME)) {
-            mAllocator.find(
-                    new ReservationAllocator.Wanted(
+            mAllocator.search(
+                    new ReservationAllocator.Requirements(
                             ASKER,
                             PROMPT,
-                            MOST,
+                            MAX_TOKENS,
                             0,
                             MEMORY,
                             2000,
@@ -245,18 +253,18 @@
                             () -> List.of(mFirst)),
                     new ReservationAllocator.Listener() {
                         @Override
-                        public void granted(
+                        public void onGranted(
                                 UpstreamEntry engine, Optional<UpstreamPort.Reservation> place) {
                             order.add(standing);
                         }
 
                         @Override
-                        public void refused(String detail) {}
+                        public void onRefused(String detail) {}
                     });
         }
         assertEquals(mAllocator.waitingTokens(), 3 * PROMPT);
         mTime.pass(100);
-        mPort.mFull.clear();
+        mPort.mFullEngines.clear();
         mTime.pass(100);
         assertEquals(order, List.of(QueueTier.IN_TIME, QueueTier.CONTINUED, QueueTier.LATE));
         assertEquals(mAllocator.waitingTokens(), 0);
@@ -265,24 +273,24 @@
     /** Engines with room for one prompt at a time, which one organisation asks for ten times. */
     @Test
     public void aFloodOfOneOrganisationTakesNoTurnOfAnother() {
-        mPort.mFull.add(mFirst.incarnation());
+        mPort.mFullEngines.add(mFirst.incarnation());
         List<String> order = new ArrayList<>();
         for (int request = 0; request < 10; request++) {
-            wait("flood", order);
+            search("flood", order);
         }
-        wait("calm", order);
-        mPort.mFull.clear();
+        search("calm", order);
+        mPort.mFullEngines.clear();
         mTime.pass(200);
         assertEquals(order.size(), 11);
         assertTrue(order.indexOf("calm") <= 1, order.toString());
     }
 
-    private void wait(String organisation, List<String> order) {
-        mAllocator.find(
-                new ReservationAllocator.Wanted(
+    private void search(String organisation, List<String> order) {
+        mAllocator.search(
+                new ReservationAllocator.Requirements(
                         new FlowKey(1, new PartnerId(organisation)),
                         PROMPT,
-                        MOST,
+                        MAX_TOKENS,
                         0,
                         MEMORY,
                         2000,
@@ -291,13 +299,13 @@
                         () -> List.of(mFirst)),
                 new ReservationAllocator.Listener() {
                     @Override
-                    public void granted(
+                    public void onGranted(
                             UpstreamEntry engine, Optional<UpstreamPort.Reservation> place) {
                         order.add(organisation);
                     }
 
                     @Override
-                    public void refused(String detail) {}
+                    public void onRefused(String detail) {}
                 });
     }
 
@@ -308,9 +316,9 @@
         }
         mRates.recordAnnouncement(mFirst, AnnouncedRate.of(1), UpstreamPort.Verdict.SUCCESS, 0);
         mRates.recordAnnouncement(mSecond, AnnouncedRate.of(1), UpstreamPort.Verdict.SUCCESS, 0);
-        mPort.mFull.add(mSecond.incarnation());
+        mPort.mFullEngines.add(mSecond.incarnation());
         find(0);
-        assertEquals(mPort.mAsked, List.of(mSecond));
+        assertEquals(mPort.mReserveCalls, List.of(mSecond));
         assertEquals(mRates.statuses().get(1).here(), 1);
     }
 }
