--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/BufferedResponse.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/BufferedResponse.java
@@ -5,53 +5,40 @@
 import io.netty.buffer.Unpooled;
 
 /**
- * Gathers an answer's body. Confined to the traffic loop. Invariant: bounded by {@link #MAX_BYTES}.
+ * A response whose body is buffered until it is complete. Confined to the traffic loop. {@link
+ * #append} reports when the body exceeds {@link #MAX_BYTES}.
  */
 final class BufferedResponse {
 
-    /** The largest body that is gathered, bytes; larger ones are told as failed. */
+    /**
+     * The largest body that is buffered, bytes; a larger one counts as a failure of the upstream.
+     */
     static final int MAX_BYTES = 16 * 1024 * 1024;
 
-    /** The head. */
     private final UpstreamPort.Head mHead;
 
-    /** The body so far. */
     private final ByteBuf mBody = Unpooled.buffer();
 
-    /**
-     * Begins an answer.
-     *
-     * @param head the head
-     */
     BufferedResponse(UpstreamPort.Head head) {
         mHead = head;
     }
 
     /**
-     * Adds a part.
+     * Appends a part of the body.
      *
-     * @param part the bytes
-     * @return whether the body is still within its bound
+     * @return whether the body is still within its limit
      */
     boolean append(byte[] part) {
         mBody.writeBytes(part);
         return mBody.readableBytes() <= MAX_BYTES;
     }
 
-    /**
-     * Returns the head.
-     *
-     * @return the head
-     */
+    /** Returns the head of the response. */
     UpstreamPort.Head head() {
         return mHead;
     }
 
-    /**
-     * Hands the answer to a caller.
-     *
-     * @param caller the caller
-     */
+    /** Sends the response to a caller. */
     void sendTo(CallerChannel caller) {
         caller.sendResponse(mHead.status(), mHead.headers(), ByteBufUtil.getBytes(mBody));
     }
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/CallerChannel.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/CallerChannel.java
@@ -12,82 +12,53 @@
 import org.troutpier.common.result.ResultCode;
 
 /**
- * The way to answer one caller. Confined to the traffic loop. Invariant: at most one answer is
- * begun, and one that is not ended never looks whole.
+ * The response channel to one caller. Confined to the traffic loop. Invariant: at most one response
+ * is started, and one that is not ended is never taken for complete by the caller.
  */
 public interface CallerChannel {
 
-    /**
-     * Sends a whole answer of an upstream.
-     *
-     * @param status the HTTP status
-     * @param headers the headers
-     * @param body the body
-     */
+    /** Sends a complete response of an upstream. */
     void sendResponse(int status, HttpHeaders headers, byte[] body);
 
     /**
-     * Refuses.
+     * Sends a refusal.
      *
-     * @param code why
-     * @param detail what exactly
-     * @param retryAfterMillis when to come back, milliseconds; 0 where it does not help
+     * @param retryAfterMillis when the caller should retry, milliseconds; 0 where a retry does not
+     *     help
      */
     void refuse(ResultCode code, String detail, long retryAfterMillis);
 
-    /**
-     * Begins a stream.
-     *
-     * @param status the HTTP status
-     * @param headers the headers
-     */
+    /** Starts a streamed response. */
     void beginStream(int status, HttpHeaders headers);
 
-    /**
-     * Writes a part of a stream.
-     *
-     * @param part the bytes
-     */
+    /** Writes a part of the stream. */
     void write(byte[] part);
 
-    /** Ends a stream whole. */
+    /** Ends the stream as complete. */
     void endStream();
 
-    /** Breaks the answer off so that the caller can tell. */
+    /** Aborts the response in a way that the caller can detect. */
     void abort();
 
     /**
-     * Returns whether the caller takes more without a growing buffer.
+     * Returns whether the channel accepts more data without buffering it.
      *
-     * @return whether to write on
+     * @return whether to continue to write
      */
     boolean isWritable();
 
-    /**
-     * Sets what runs when the caller leaves before the answer is ended.
-     *
-     * @param action the action
-     */
+    /** Sets the action that runs when the caller disconnects before the response has ended. */
     void onDisconnect(Runnable action);
 
-    /**
-     * Sets what runs when the caller takes more again.
-     *
-     * @param action the action
-     */
+    /** Sets the action that runs when the channel becomes writable again. */
     void onWritable(Runnable action);
 
     /** A caller on an HTTP exchange. Confined to the traffic loop. */
     final class ForHttp implements CallerChannel {
 
-        /** The exchange. */
         private final HttpExchange mExchange;
 
-        /**
-         * Creates a channel.
-         *
-         * @param exchange the exchange
-         */
+        /** Creates a channel. */
         public ForHttp(HttpExchange exchange) {
             mExchange = exchange;
         }
@@ -95,14 +66,14 @@
         /** {@inheritDoc} */
         @Override
         public void sendResponse(int status, HttpHeaders headers, byte[] body) {
-            FullHttpResponse answer =
+            FullHttpResponse response =
                     new DefaultFullHttpResponse(
                             HttpVersion.HTTP_1_1,
                             HttpResponseStatus.valueOf(status),
                             Unpooled.wrappedBuffer(body));
-            answer.headers().set(headers);
-            answer.headers().setInt(HttpHeaderNames.CONTENT_LENGTH, body.length);
-            mExchange.answer(answer);
+            response.headers().set(headers);
+            response.headers().setInt(HttpHeaderNames.CONTENT_LENGTH, body.length);
+            mExchange.answer(response);
         }
 
         /** {@inheritDoc} */
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/DecisionLog.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/DecisionLog.java
@@ -8,22 +8,20 @@
 import org.troutpier.common.event.EventRing;
 
 /**
- * Logs what was decided about requests: one line for each request at its end, with the stages it
- * went through. Confined to the traffic loop. Invariant: at most {@link #MAX_LINES_PER_SECOND}
- * lines a second; what is left out is counted.
+ * Logs the decisions about requests: one line for each request when it ends, with its steps.
+ * Confined to the traffic loop. Invariant: at most {@link #MAX_LINES_PER_SECOND} lines are written
+ * per second; lines that are left out are counted.
  */
 public final class DecisionLog {
 
-    /** How many lines a second are written at most. */
     private static final int MAX_LINES_PER_SECOND = 200;
 
     /**
-     * How many of them may tell of ordinary successes: enough to see what one looks like. Counters
-     * and histograms tell the rest.
+     * How many of the lines may report ordinary successes. One serves as an example; counters and
+     * histograms cover the rest.
      */
     private static final int MAX_SUCCESS_LINES_PER_SECOND = 1;
 
-    /** Writes the lines. */
     private static final Logger LOGGER = LogManager.getLogger("decision");
 
     /** Counts lines of ordinary successes that are left out. */
@@ -32,27 +30,23 @@
     /** Counts other lines that are left out. */
     private final Counter mDroppedLines;
 
-    /** The time line. */
     private final EventRing mEvents;
 
-    /** The clock. */
     private final TrafficLoop mLoop;
 
-    /** The second that lines are counted in. */
+    /** The second to which the line counts below apply. */
     private long mCurrentSecond;
 
-    /** How many lines were written in it. */
     private int mLines;
 
-    /** How many ordinary successes there were in it. */
+    /** The ordinary successes in the current second, logged or not. */
     private int mOrdinary;
 
     /**
      * Creates a log.
      *
      * @param metrics counts lines that are left out
-     * @param events the time line; each request is put there
-     * @param loop the clock
+     * @param events the event history; every request is recorded there
      */
     public DecisionLog(MetricRegistry metrics, EventRing events, TrafficLoop loop) {
         mEvents = events;
@@ -61,12 +55,7 @@
         mLoop = loop;
     }
 
-    /**
-     * Records a request's end.
-     *
-     * @param trace what happened to it
-     * @param outcome how it ended
-     */
+    /** Records the end of a request. */
     public void requestEnded(RequestTrace trace, String outcome) {
         mEvents.record("request " + outcome, trace.id(), trace.steps());
         if (tryWrite(trace.isOrdinarySuccess(outcome))) {
@@ -75,10 +64,9 @@
     }
 
     /**
-     * Returns whether a line may be written.
+     * Returns whether a line may be written, and counts it.
      *
-     * @param ordinary whether it tells of an ordinary success
-     * @return whether to write it
+     * @param ordinary whether the line reports an ordinary success
      */
     private boolean tryWrite(boolean ordinary) {
         long second = TimeUnit.NANOSECONDS.toSeconds(mLoop.nanos());
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/DecodeReservation.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/DecodeReservation.java
@@ -10,86 +10,77 @@
 import org.troutpier.daemon.route.EngineTraits;
 
 /**
- * Where one request runs or is going to run: the search for a decode engine with room, the place
- * that was set aside there, and the memory that the request takes. Confined to the traffic loop.
- * Invariants: at most one search is under way; a place is used or released; memory is freed.
+ * The decode engine of one request: the search for an engine with room, the slot and memory
+ * reserved there, and the memory that the request takes. Confined to the traffic loop. Invariants:
+ * at most one search is in progress; a reservation is used or released; memory is freed.
  */
 final class DecodeReservation {
 
-    /** The collaborators. */
     private final ServingContext mContext;
 
-    /** The service whose engines are looked at. */
     private final String mService;
 
-    /** What the engines can do. */
     private final EngineTraits mTraits;
 
-    /** Who asks. */
     private final FlowKey mFlowKey;
 
-    /** The prompt's length. */
     private final long mPromptTokens;
 
-    /** The prompt's length and the most output. */
+    /** The prompt's length and the maximum output, in tokens. */
     private final long mMaxTokens;
 
-    /** What the run needs at first: the prompt and what was made of the stream before. */
+    /** What the run needs at its start, in tokens: the prompt and the output of earlier runs. */
     private long mInitialTokens;
 
-    /** When the last search began, milliseconds. */
+    /** When the last search began, milliseconds on the loop's clock. */
     private long mSearchStart;
 
-    /** Looks for a place, or null. */
+    /** The search in progress, or null. */
     private ReservationAllocator.Search mSearch;
 
     /** The engine that was found, or null. */
     private UpstreamEntry mEngine;
 
-    /** The place that was set aside there and not used yet. */
+    /** The reservation while no run uses it. */
     private Optional<UpstreamPort.Reservation> mReservation = Optional.empty();
 
     /** What the request takes at the engine, or null. */
     private EngineMemory mMemory;
 
     /**
-     * Creates a place that is not found yet.
+     * Creates an instance without a reservation.
      *
-     * @param context the collaborators
-     * @param service the service whose engines are looked at
-     * @param traits what the engines can do
-     * @param asker who asks
-     * @param promptTokens the prompt's length
-     * @param mostTokens the prompt's length and the most output
+     * @param service the service whose engines are searched
+     * @param traits the capabilities of the engines
+     * @param maxTokens the prompt's length and the maximum output
      */
     DecodeReservation(
             ServingContext context,
             String service,
             EngineTraits traits,
-            FlowKey asker,
+            FlowKey flowKey,
             long promptTokens,
-            long mostTokens) {
+            long maxTokens) {
         mContext = context;
         mService = service;
         mTraits = traits;
-        mFlowKey = asker;
+        mFlowKey = flowKey;
         mPromptTokens = promptTokens;
-        mMaxTokens = mostTokens;
+        mMaxTokens = maxTokens;
     }
 
     /**
-     * Looks for a place.
+     * Searches for an engine with room.
      *
-     * @param waitMillis how long
-     * @param standing who goes first
-     * @param events how many events of the stream were made before, which are read again with the
-     *     prompt
-     * @param engines the engines that may be used, asked again for each round
-     * @param listener receives the end; it calls {@link #accept} or {@link #endSearch}
+     * @param waitMillis how long to search
+     * @param tier the queue tier of the request
+     * @param events the events of earlier runs, which the engine has to process with the prompt
+     * @param engines the engines that may be used, queried again in each round
+     * @param listener receives the outcome; it calls {@link #accept} or {@link #endSearch}
      */
     void search(
             long waitMillis,
-            QueueTier standing,
+            QueueTier tier,
             long events,
             Supplier<List<UpstreamEntry>> engines,
             ReservationAllocator.Listener listener) {
@@ -107,15 +98,15 @@
                                         mTraits.memoryTokens(),
                                         mTraits.reservationMillis(),
                                         waitMillis,
-                                        standing,
+                                        tier,
                                         engines),
                                 listener);
     }
 
     /**
-     * Predicts how long it takes until there is room.
+     * Predicts how long it takes until an engine has room.
      *
-     * @param engines the service's decode engines
+     * @param engines the decode engines of the service
      * @return milliseconds; 0 where nothing is known
      */
     double predictedWaitMillis(List<UpstreamEntry> engines) {
@@ -133,11 +124,7 @@
         return forecast.waitMillis(mPromptTokens);
     }
 
-    /**
-     * Returns how much of an engine's memory stays free for growth.
-     *
-     * @return tokens
-     */
+    /** Returns how much of an engine's memory stays free for the growth of running requests. */
     private double growthMarginTokens() {
         return mContext.growthMargin()
                 .tokens(
@@ -146,16 +133,12 @@
                         mTraits.memoryTokens());
     }
 
-    /**
-     * Returns how long the search has taken so far.
-     *
-     * @return milliseconds
-     */
+    /** Returns the duration of the search so far, in milliseconds. */
     long searchMillis() {
         return mContext.loop().millis() - mSearchStart;
     }
 
-    /** Records that the search is over. */
+    /** Records that the search has ended. */
     void endSearch() {
         mSearch = null;
         mContext.metrics().reservationWaitChanged(false);
@@ -163,50 +146,42 @@
     }
 
     /**
-     * Takes the place that the search found.
+     * Ends the search with a reservation.
      *
-     * @param engine where it is
-     * @param place the place; empty where engines do not set places aside
+     * @param engine the engine that granted it
+     * @param reservation the reservation; empty where the engines do not support reservations
      */
-    void accept(UpstreamEntry engine, Optional<UpstreamPort.Reservation> place) {
+    void accept(UpstreamEntry engine, Optional<UpstreamPort.Reservation> reservation) {
         endSearch();
         mEngine = engine;
-        mReservation = place;
+        mReservation = reservation;
         mMemory = new EngineMemory(mContext.loads(), engine, mInitialTokens);
     }
 
-    /**
-     * Returns the engine that was found.
-     *
-     * @return the engine
-     */
+    /** Returns the engine of the reservation that was accepted last. */
     UpstreamEntry engine() {
         return mEngine;
     }
 
     /**
-     * Hands the place over to the run that uses it.
+     * Hands the reservation over to the run that uses it; {@link #release} no longer releases it.
      *
-     * @return the place, if one was set aside
+     * @return the reservation; empty where there is none
      */
     Optional<UpstreamPort.Reservation> takeReservation() {
-        Optional<UpstreamPort.Reservation> place = mReservation;
+        Optional<UpstreamPort.Reservation> reservation = mReservation;
         mReservation = Optional.empty();
-        return place;
+        return reservation;
     }
 
-    /**
-     * Records that the run has grown.
-     *
-     * @param events how many events it made
-     */
+    /** Records the memory of new events of the run. */
     void recordEvents(long events) {
         if (mMemory != null) {
             mMemory.grow(events * mTraits.eventTokens());
         }
     }
 
-    /** Records that the engine's memory is no longer used. */
+    /** Records that the request no longer takes memory at the engine. */
     void freeMemory() {
         if (mMemory != null) {
             mMemory.free();
@@ -214,7 +189,7 @@
         }
     }
 
-    /** Stops the search, frees the memory and gives the place back. */
+    /** Cancels the search, frees the memory and releases the reservation. */
     void release() {
         if (mSearch != null) {
             mSearch.cancel();
@@ -222,6 +197,6 @@
             mContext.metrics().reservationWaitChanged(false);
         }
         freeMemory();
-        takeReservation().ifPresent(place -> mContext.port().release(mEngine, place));
+        takeReservation().ifPresent(reservation -> mContext.port().release(mEngine, reservation));
     }
 }
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/EventRelay.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/EventRelay.java
@@ -7,81 +7,65 @@
 import org.troutpier.daemon.upstream.EventFrames;
 
 /**
- * Hands a stream's events to a caller, whole and in order, over all the runs that the stream is
- * made of. Confined to the traffic loop. Invariant: the ids that a caller gets rise by one.
+ * Relays a stream's events to a caller, complete and in order, across all runs that produce the
+ * stream. Confined to the traffic loop. Invariant: the event ids that a caller receives are
+ * consecutive.
  */
 final class EventRelay {
 
-    /** What begins the line with an event's id. */
     private static final String ID_FIELD = "id:";
 
-    /** The caller. */
     private final CallerChannel mCaller;
 
-    /** Cuts the run's bytes into events. */
+    /** Splits the bytes of the current run into events. */
     private EventFrames mParser = new EventFrames();
 
-    /** The last event that the caller has, if any. */
+    /** The id of the last event that the caller has, if any. */
     private OptionalLong mLastEventId;
 
-    /** How many events were handed on. */
     private long mEventCount;
 
     /**
      * Creates a relay.
      *
-     * @param caller the caller
-     * @param last the last event that the caller says it has, if any
+     * @param lastEventId the id of the last event that the caller says it has, if any
      */
-    EventRelay(CallerChannel caller, OptionalLong last) {
+    EventRelay(CallerChannel caller, OptionalLong lastEventId) {
         mCaller = caller;
-        mLastEventId = last;
+        mLastEventId = lastEventId;
     }
 
-    /** Begins with the bytes of another run. */
+    /** Starts with the bytes of another run; an incomplete event of the run before is dropped. */
     void startRun() {
         mParser = new EventFrames();
     }
 
     /**
-     * Takes bytes of the run and hands on each whole event.
+     * Accepts bytes of the run and relays each event that they complete.
      *
-     * @param bytes the bytes
-     * @throws TroutpierException when an event is out of order or cannot be read
+     * @throws TroutpierException when an event is out of order or has a malformed id
      */
     void feed(byte[] bytes) {
         mParser.feed(bytes, this::relay);
     }
 
-    /**
-     * Returns whether the run's bytes end between two events.
-     *
-     * @return whether an end now would be whole
-     */
+    /** Returns whether the bytes so far end between two events, so that the stream may end here. */
     boolean atEventBoundary() {
         return !mParser.insideEvent();
     }
 
-    /**
-     * Returns the last event that the caller has.
-     *
-     * @return its id, if there is one
-     */
+    /** Returns the id of the last event that the caller has, if any. */
     OptionalLong lastEventId() {
         return mLastEventId;
     }
 
-    /**
-     * Returns how many events were handed on.
-     *
-     * @return the count
-     */
+    /** Returns how many events were relayed, over all runs. */
     long eventCount() {
         return mEventCount;
     }
 
     /**
-     * Hands one event on.
+     * Relays one event.
      *
      * @param event its bytes, with the blank line that ends it
      */
@@ -93,7 +77,10 @@
             if (!inOrder) {
                 throw new TroutpierException(
                         ResultCode.UPSTREAM_FAILED,
-                        "event " + id.getAsLong() + " came after " + mLastEventId.getAsLong());
+                        "event id "
+                                + id.getAsLong()
+                                + " received after "
+                                + mLastEventId.getAsLong());
             }
             mLastEventId = id;
         }
@@ -101,12 +88,7 @@
         mCaller.write(event);
     }
 
-    /**
-     * Finds an event's id.
-     *
-     * @param event its bytes
-     * @return the id, if it has one
-     */
+    /** Returns an event's id, if it has one. */
     private static OptionalLong parseId(byte[] event) {
         String text = new String(event, StandardCharsets.ISO_8859_1);
         int from = text.startsWith(ID_FIELD) ? 0 : text.indexOf("\n" + ID_FIELD) + 1;
@@ -119,7 +101,7 @@
                     Long.parseLong(text.substring(from + ID_FIELD.length(), end).trim()));
         } catch (NumberFormatException exception) {
             throw new TroutpierException(
-                    ResultCode.UPSTREAM_FAILED, "an event's id is no number", exception);
+                    ResultCode.UPSTREAM_FAILED, "event id is not a number", exception);
         }
     }
 }
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/GracefulShutdown.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/GracefulShutdown.java
@@ -7,43 +7,38 @@
 import org.troutpier.daemon.node.Readiness;
 
 /**
- * Stops a router without cutting requests: it is not ready any more, answers end their connections,
- * idle connections are closed last, and the process ends once no connection is left, or at the end
- * of the time that it is given. Invariant: a request that was read is served before its connection
- * is closed; ending the process while connections are open would lose one that comes at that
- * moment. Thread safe; {@link #run()} blocks the thread that calls it.
+ * Shuts a router down without aborting requests: readiness is withdrawn, each response closes its
+ * connection, idle connections are closed last, and the process ends once no connection is left or
+ * the grace period is over. Invariant: a request that was read is served before its connection is
+ * closed; ending the process while connections are open would lose a request that arrives at that
+ * moment. Thread safe; {@link #run()} blocks the calling thread.
  */
 public final class GracefulShutdown {
 
     /**
-     * How long callers may still come, milliseconds: the platform asks for readiness every second
-     * and takes a router out after two misses.
+     * How long callers may still connect, milliseconds: the platform probes readiness every second
+     * and removes a router after two failed probes.
      */
     private static final long READINESS_DELAY_MILLIS = 2600;
 
-    /** How much of the time that is given is left unused, milliseconds. */
+    /** How much of the grace period is left for the process to exit, milliseconds. */
     private static final long EXIT_MARGIN_MILLIS = 300;
 
-    /** How often it is looked whether requests are in progress, milliseconds. */
+    /** Interval at which open connections are checked, milliseconds. */
     private static final long POLL_MILLIS = 50;
 
-    /** Logs the stop. */
     private static final Logger LOGGER = LogManager.getLogger(GracefulShutdown.class);
 
-    /** Whether this router takes new work. */
     private final Readiness mReadiness;
 
-    /** Where callers come in. */
     private final HttpServer mServer;
 
-    /** How long the process may take to end, milliseconds. */
     private final long mGraceMillis;
 
     /**
-     * Creates a stop.
+     * Creates a shutdown.
      *
-     * @param readiness whether this router takes new work
-     * @param server where callers come in
+     * @param readiness whether this router accepts new work
      * @param graceMillis how long the process may take to end, milliseconds
      */
     public GracefulShutdown(Readiness readiness, HttpServer server, long graceMillis) {
@@ -52,20 +47,20 @@
         mGraceMillis = graceMillis;
     }
 
-    /** Stops; returns when the process may end. */
+    /** Shuts the router down; returns when the process may end. */
     public void run() {
         long start = System.nanoTime();
         mReadiness.stopping();
         mServer.drain();
-        LOGGER.info("stop begins busy={} graceMillis={}", mServer.busy(), mGraceMillis);
+        LOGGER.info("shutdown started busy={} graceMillis={}", mServer.busy(), mGraceMillis);
         waitUntil(() -> elapsedMillis(start) >= READINESS_DELAY_MILLIS, start);
         mServer.close();
         waitUntil(this::closeIdleConnections, start);
-        LOGGER.info("stop ends busy={} millis={}", mServer.busy(), elapsedMillis(start));
+        LOGGER.info("shutdown finished busy={} millis={}", mServer.busy(), elapsedMillis(start));
     }
 
     /**
-     * Closes the connections on which nothing is in progress, so that no request is read any more.
+     * Closes the connections without a request in progress, so that no further request is read.
      *
      * @return whether no connection is left
      */
@@ -75,10 +70,9 @@
     }
 
     /**
-     * Waits for a condition or the end of the time that is given.
+     * Waits for a condition or the end of the grace period.
      *
-     * @param condition the condition
-     * @param start when the stop began, nanoseconds
+     * @param start when the shutdown began, nanoseconds
      */
     private void waitUntil(BooleanSupplier condition, long start) {
         while (!condition.getAsBoolean()
@@ -87,17 +81,16 @@
                 Thread.sleep(POLL_MILLIS);
             } catch (InterruptedException exception) {
                 Thread.currentThread().interrupt();
-                LOGGER.warn("stop interrupted busy={}", mServer.busy());
+                LOGGER.warn("shutdown interrupted busy={}", mServer.busy());
                 return;
             }
         }
     }
 
     /**
-     * Returns how long ago a moment was.
+     * Returns the milliseconds since a time.
      *
-     * @param start the moment, nanoseconds
-     * @return milliseconds
+     * @param start the time, nanoseconds
      */
     private static long elapsedMillis(long start) {
         return (System.nanoTime() - start) / 1_000_000;
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/LazyFingerprint.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/LazyFingerprint.java
@@ -3,47 +3,33 @@
 import org.troutpier.daemon.quarantine.RequestFingerprint;
 
 /**
- * What a request asks for, named when that is needed and once. Confined to the traffic loop.
- * Invariant: the body is hashed only if the whole name is asked for.
+ * The fingerprint of a request's content, computed on first use. Confined to the traffic loop.
+ * Invariant: the body is hashed only if the full fingerprint is needed.
  */
 final class LazyFingerprint {
 
-    /** The request. */
     private final ServingRequest mRequest;
 
-    /** The beginning of its name, or null before it was needed. */
-    private String mOutline;
+    /** The coarse hash, or null until it is needed. */
+    private String mCoarseHash;
 
-    /** Its name, or null before it was needed. */
+    /** The full fingerprint, or null until it is needed. */
     private RequestFingerprint mFingerprint;
 
-    /**
-     * Creates the content of a request.
-     *
-     * @param request the request
-     */
     LazyFingerprint(ServingRequest request) {
         mRequest = request;
     }
 
-    /**
-     * Returns the beginning of the name.
-     *
-     * @return the outline
-     */
+    /** Returns the coarse hash, which does not cover the content of the body. */
     String coarseHash() {
-        if (mOutline == null) {
+        if (mCoarseHash == null) {
             int length = mRequest.body().length;
-            mOutline = RequestFingerprint.coarseHash(mRequest.host(), mRequest.target(), length);
+            mCoarseHash = RequestFingerprint.coarseHash(mRequest.host(), mRequest.target(), length);
         }
-        return mOutline;
+        return mCoarseHash;
     }
 
-    /**
-     * Returns the name.
-     *
-     * @return the fingerprint
-     */
+    /** Returns the full fingerprint. */
     RequestFingerprint get() {
         if (mFingerprint == null) {
             mFingerprint =
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/PlainExecution.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/PlainExecution.java
@@ -7,33 +7,24 @@
 import org.troutpier.daemon.upstream.AttemptEnd;
 
 /**
- * Serves a request of a plain service: the whole answer is gathered, then handed on unchanged.
- * Confined to the traffic loop. Invariant: a request that may not be repeated is sent again only
- * after proof that it was not started.
+ * Serves a request of a plain service: the answer is buffered until it is complete, then sent to
+ * the caller unchanged. Confined to the traffic loop. Invariant: a request that is not repeatable
+ * is sent again only if it is proved that it was not started.
  */
 final class PlainExecution extends RequestExecution {
 
-    /** The attempt under way, or null. */
+    /** The attempt in progress, or null. */
     private Attempt mAttempt;
 
-    /** Where the request goes next, admitted there already; or null where that is not known. */
+    /** The upstream of the next attempt, at which the call is already admitted; or null. */
     private UpstreamEntry mNextUpstream;
 
-    /** When it was admitted where it goes next, milliseconds. */
+    /** When the next call was admitted, milliseconds on the loop's clock. */
     private long mAdmittedAt;
 
-    /** An upstream's own failure, told if nothing better comes; or null. */
+    /** An error response of an upstream, sent to the caller if no attempt succeeds; or null. */
     private BufferedResponse mUpstreamFailure;
 
-    /**
-     * Creates an execution.
-     *
-     * @param context the collaborators
-     * @param request the request
-     * @param route its route
-     * @param service the service that was chosen among the route's
-     * @param caller the way to answer
-     */
     PlainExecution(
             ServingContext context,
             ServingRequest request,
@@ -49,7 +40,7 @@
         sendNext();
     }
 
-    /** Sends the request to an upstream that has not had it. */
+    /** Sends the request to an upstream that has not received it. */
     private void sendNext() {
         if (refuseIfQuarantined()) {
             return;
@@ -69,10 +60,10 @@
     }
 
     /**
-     * Finds where the request goes next, and has it admitted there.
+     * Selects the upstream of the next attempt and has the call admitted there.
      *
-     * @param candidates where it may be sent
-     * @return whether there is such an upstream
+     * @param candidates the upstreams to which the request may be sent
+     * @return whether one of them admits the call
      */
     private boolean admitNext(List<UpstreamEntry> candidates) {
         mNextUpstream = mContext.admission().acquireFirst(candidates, flowKey()).orElse(null);
@@ -80,7 +71,7 @@
         return mNextUpstream != null;
     }
 
-    /** Gives back that the request was admitted where it is not going to be sent. */
+    /** Refunds the admission of a call that will not be sent. */
     private void releaseNext() {
         if (mNextUpstream != null) {
             mContext.admission().refund(mNextUpstream, mAdmittedAt);
@@ -88,25 +79,21 @@
         }
     }
 
-    /**
-     * Returns where the request may be sent.
-     *
-     * @return the upstreams that have not had it, the least loaded first
-     */
+    /** Returns the upstreams to which the request may still be sent, the least loaded first. */
     private List<UpstreamEntry> candidates() {
         return mContext.loads().byCalls(upstreams(UpstreamEntry.Role.PLAIN), excludedUpstreams());
     }
 
     /**
-     * Gives the request up that no upstream takes.
+     * Gives up because no upstream admits the call.
      *
-     * @param candidates where it might have been sent
+     * @param candidates the upstreams that were considered
      */
     private void giveUpWithoutUpstream(List<UpstreamEntry> candidates) {
         if (candidates.isEmpty()) {
             giveUp(
                     ResultCode.NO_UPSTREAM,
-                    "no upstream is left for " + mService,
+                    "no untried upstream of " + mService,
                     ServingSettings.RETRY_AFTER_MILLIS);
             return;
         }
@@ -117,25 +104,19 @@
                 mContext.admission().retryAfterMillis(candidates, limit));
     }
 
-    /**
-     * Says why none of several upstreams takes the request.
-     *
-     * @param candidates the upstreams
-     * @return the end of the refusal's detail
-     */
+    /** Returns the end of the refusal's detail: why none of the upstreams admits the call. */
     private String refusalReason(List<UpstreamEntry> candidates) {
         long backOff = mContext.admission().backOffMillis(candidates);
         return backOff > 0 ? " asked for a back-off of " + backOff + " ms" : " are at their rates";
     }
 
     /**
-     * Tells the best that is known: an upstream's own failure, or a refusal.
+     * Sends an upstream's error response if there is one, a refusal otherwise.
      *
      * @param code the code that fits the last step
-     * @param detail what exactly
-     * @param returnMillis when to come back, milliseconds
+     * @param retryAfterMillis when the caller should retry, milliseconds
      */
-    private void giveUp(ResultCode code, String detail, long returnMillis) {
+    private void giveUp(ResultCode code, String detail, long retryAfterMillis) {
         if (mUpstreamFailure != null && !isEnded()) {
             mUpstreamFailure.sendTo(mCaller);
             mTrace.markNotable();
@@ -143,7 +124,7 @@
             finishAnswered();
             return;
         }
-        refuse(code, detail, returnMillis);
+        refuse(code, detail, retryAfterMillis);
     }
 
     /** {@inheritDoc} */
@@ -161,12 +142,7 @@
         return mAttempt != null;
     }
 
-    /**
-     * Goes on after an attempt that failed.
-     *
-     * @param upstream where it was
-     * @param end how it ended
-     */
+    /** Decides how to continue after a failed attempt. */
     private void onAttemptFailed(UpstreamEntry upstream, AttemptEnd end) {
         recordFailure(upstream, end);
         if (end.notStarted() || mRoute.kind().repeatable()) {
@@ -177,21 +153,12 @@
         giveUp(end);
     }
 
-    /**
-     * Tells the best that is known after an attempt that failed.
-     *
-     * @param end how it ended
-     */
+    /** Gives up after a failed attempt. */
     private void giveUp(AttemptEnd end) {
         giveUp(end.code(), end.detail(), ServingSettings.RETRY_AFTER_MILLIS);
     }
 
-    /**
-     * Sends the request again, if it may be.
-     *
-     * @param upstream where it was
-     * @param end how it ended
-     */
+    /** Sends the request to another upstream if that is allowed, or gives up. */
     private void retry(UpstreamEntry upstream, AttemptEnd end) {
         if (mayRetry(upstream, end)) {
             sendNext();
@@ -204,33 +171,30 @@
     /** One call to one upstream. Confined to the traffic loop. */
     private final class Attempt extends UpstreamRun {
 
-        /** The answer so far, or null before its head. */
+        /** The response so far, or null before its head. */
         private BufferedResponse mResponse;
 
-        /**
-         * Creates an attempt.
-         *
-         * @param upstream where it goes
-         */
         Attempt(UpstreamEntry upstream) {
             super(PlainExecution.this.mContext, upstream);
         }
 
-        /** Sends the call. */
         void start() {
             mContext.loads().begin(mUpstream, 0);
             send(mRequest, UpstreamPort.RunPlan.plain(remainingMillis(), priority()));
-            long silence = (long) (mRoute.targetMillis() * ServingSettings.PLAIN_SILENCE_FACTOR);
-            boolean another =
+            long silenceMillis =
+                    (long) (mRoute.targetMillis() * ServingSettings.PLAIN_SILENCE_FACTOR);
+            boolean canRetry =
                     mRoute.kind().repeatable()
                             && mAttempted.size() < mRoute.maxAttempts()
-                            && silence + mRoute.targetMillis() < remainingMillis();
-            if (another) {
-                startSilenceTimer(silence);
+                            && silenceMillis + mRoute.targetMillis() < remainingMillis();
+            if (canRetry) {
+                startSilenceTimer(silenceMillis);
             }
         }
 
-        /** {@inheritDoc} Another upstream is asked, if there is one. */
+        /**
+         * {@inheritDoc} Aborts the call and retries at another upstream, if one admits the request.
+         */
         @Override
         protected void onSilence() {
             if (!admitNext(candidates())) {
@@ -260,7 +224,8 @@
                 abort();
                 onAttemptFailed(
                         mUpstream,
-                        AttemptEnd.failed(ResultCode.UPSTREAM_FAILED, "the answer is too large"));
+                        AttemptEnd.failed(
+                                ResultCode.UPSTREAM_FAILED, "response body exceeds 16 MiB"));
             }
         }
 
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/PrefillCall.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/PrefillCall.java
@@ -5,79 +5,58 @@
 import org.troutpier.daemon.upstream.AttemptEnd;
 
 /**
- * The reading of one prompt at one prefill engine. Confined to the traffic loop. Invariant: it ends
- * once: read, failed or aborted; a silent engine is given up.
+ * One call that has a prompt processed by a prefill engine. Confined to the traffic loop.
+ * Invariant: the call ends exactly once, by success, failure, time-out or abort.
  */
 final class PrefillCall implements UpstreamPort.ResultListener<UpstreamPort.StoredPrompt> {
 
-    /** The collaborators. */
     private final ServingContext mContext;
 
-    /** What is read. */
     private final Prompt mPrompt;
 
-    /** Where it is read. */
     private final UpstreamEntry mEngine;
 
-    /** The steps of the request. */
     private final RequestTrace mTrace;
 
-    /** Receives the end. */
     private final Listener mListener;
 
-    /** When it began, milliseconds. */
+    /** When the call was created, milliseconds on the loop's clock. */
     private final long mStart;
 
-    /** How long it is predicted to take, milliseconds; 0 where the pace is not known. */
+    /** The predicted duration, milliseconds; 0 where the engines' throughput is unknown. */
     private final double mPredictedMillis;
 
-    /** Gives the reading up. */
     private final TrafficLoop.Timer mTimeout;
 
-    /** The call. */
     private UpstreamPort.Call mCall;
 
-    /** Whether it has ended. */
     private boolean mEnded;
 
     /**
-     * A prompt that is to be read.
+     * A prompt to be processed. Immutable and thread safe.
      *
-     * @param service the service that its request goes to
-     * @param tokens its length
-     * @param measurable whether nothing is known to wait before it and it was not read before, so
-     *     that its time tells the engine's pace
+     * @param service the service of its request
+     * @param tokens the prompt's length
+     * @param measurable whether the duration of its prefill may be taken as a sample of the
+     *     engines' throughput: no other prompt is known to be queued before it, and it was not sent
+     *     before
      */
     record Prompt(String service, long tokens, boolean measurable) {}
 
-    /** Receives how a reading ends, on the traffic loop. */
+    /** Receives the outcome of a prefill, on the traffic loop. */
     interface Listener {
 
         /**
-         * Receives the prompt.
+         * Called when the prompt was processed.
          *
-         * @param prompt where it is kept
+         * @param prompt the result, stored at the engine
          */
         void onPrefilled(UpstreamPort.StoredPrompt prompt);
 
-        /**
-         * Called when the engine did not read it.
-         *
-         * @param engine the engine
-         * @param end how the call ended
-         */
+        /** Called when the engine did not process the prompt. */
         void onFailed(UpstreamEntry engine, AttemptEnd end);
     }
 
-    /**
-     * Creates a reading.
-     *
-     * @param context the collaborators
-     * @param prompt what is read
-     * @param engine where it is read
-     * @param trace the steps of the request
-     * @param listener receives the end
-     */
     PrefillCall(
             ServingContext context,
             Prompt prompt,
@@ -97,12 +76,7 @@
         mTimeout = context.loop().schedule(this::onTimeout, timeoutMillis());
     }
 
-    /**
-     * Sends the call.
-     *
-     * @param request the request whose prompt it is
-     * @param plan what goes with it
-     */
+    /** Sends the call. */
     void send(ServingRequest request, UpstreamPort.RunPlan plan) {
         mTrace.addStep("prefill@" + mEngine.id());
         mContext.loads().begin(mEngine, mPrompt.tokens());
@@ -110,23 +84,20 @@
     }
 
     /**
-     * Returns how long the engine may be silent. One that lost its answer is given up soon, so that
-     * another can still read the prompt in time.
-     *
-     * @return milliseconds
+     * Returns the time-out of the call. It follows the prediction, so that after a lost answer
+     * another engine can still process the prompt in time.
      */
     private long timeoutMillis() {
         if (mPredictedMillis <= 0) {
             return ServingSettings.MAX_PREFILL_MILLIS;
         }
-        double patience = mPredictedMillis * ServingSettings.PREFILL_TIMEOUT_FACTOR;
+        double timeout = mPredictedMillis * ServingSettings.PREFILL_TIMEOUT_FACTOR;
         return (long)
                 Math.min(
                         ServingSettings.MAX_PREFILL_MILLIS,
-                        Math.max(ServingSettings.MIN_PREFILL_TIMEOUT_MILLIS, patience));
+                        Math.max(ServingSettings.MIN_PREFILL_TIMEOUT_MILLIS, timeout));
     }
 
-    /** Gives the reading up because the engine is silent. */
     private void onTimeout() {
         if (!mEnded) {
             mCall.abort();
@@ -134,13 +105,12 @@
         }
     }
 
-    /** Ends the call without hearing more. */
+    /** Aborts the call; its listener is not called. */
     void abort() {
         mCall.abort();
         close();
     }
 
-    /** Records that the call is over. */
     private void close() {
         mTimeout.cancel();
         if (!mEnded) {
@@ -152,8 +122,8 @@
     /** {@inheritDoc} */
     @Override
     public void onNotice(UpstreamNotice notice, UpstreamPort.Verdict verdict) {
-        long tookMillis = mContext.loop().millis() - mStart;
-        mContext.admission().recordAnswer(mEngine, notice, verdict, tookMillis);
+        long elapsedMillis = mContext.loop().millis() - mStart;
+        mContext.admission().recordAnswer(mEngine, notice, verdict, elapsedMillis);
     }
 
     /** {@inheritDoc} */
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/PromptMetadata.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/PromptMetadata.java
@@ -4,20 +4,21 @@
 import org.troutpier.common.settings.Check;
 
 /**
- * What is known of a prompt without reading it. Immutable and thread safe.
+ * What the request's headers tell of its prompt. Immutable and thread safe.
  *
- * @param model the model asked for
+ * @param model the requested model
  * @param promptTokens the prompt's length
- * @param outputTokens the most tokens that may come out
- * @param parts the prompt's parts in order; the last belongs to the request or its session
+ * @param outputTokens the maximum output
+ * @param parts the parts of the prompt in order; the last one is specific to the request or its
+ *     session
  */
 public record PromptMetadata(String model, int promptTokens, int outputTokens, List<Part> parts) {
 
     /**
      * A part of a prompt, which other prompts may share. Immutable and thread safe.
      *
-     * @param id names its text
-     * @param tokens its length
+     * @param id identifies the text of the part
+     * @param tokens the length of the part
      */
     public record Part(String id, int tokens) {}
 
@@ -29,7 +30,7 @@
     }
 
     /**
-     * Returns how much memory the request takes at most.
+     * Returns the most memory that the request can take.
      *
      * @return tokens
      */
@@ -38,7 +39,7 @@
     }
 
     /**
-     * Returns the part that belongs to the request or its session.
+     * Returns the id of the part that is specific to the request or its session.
      *
      * @return the last part's id; empty for a prompt without parts
      */
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/RequestExecution.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/RequestExecution.java
@@ -16,72 +16,63 @@
 import org.troutpier.daemon.upstream.AttemptEnd;
 
 /**
- * Serves one request from its arrival to its end. Confined to the traffic loop. Invariants: a
- * request ends once; it is ended no later than its route's timeout and its caller's deadline; a
- * refusal says "not run" only while no upstream may have run it.
+ * Serves one request from arrival to completion. Confined to the traffic loop. Invariants: a
+ * request is finished exactly once, no later than its route's timeout and its caller's deadline; a
+ * refusal says "not run" only if no upstream can have run the request.
  */
 abstract class RequestExecution {
 
-    /** The collaborators. */
+    /** The shared collaborators. */
     protected final ServingContext mContext;
 
-    /** The request. */
+    /** The request that is served. */
     protected final ServingRequest mRequest;
 
-    /** Its route. */
+    /** The route of the request. */
     protected final Route mRoute;
 
-    /** The service that was chosen among the route's. */
+    /** The service that was selected from the route. */
     protected final String mService;
 
-    /** The way to answer. */
+    /** The channel to the caller. */
     protected final CallerChannel mCaller;
 
-    /** What is known of its attempts. */
+    /** What the attempts so far prove about whether the request was run. */
     protected final Knowledge mKnowledge = new Knowledge();
 
-    /** Where it was sent to be run. */
+    /** The upstreams to which the request was sent to be run. */
     protected final Set<UpstreamIncarnation> mAttempted = new HashSet<>();
 
-    /** Which upstreams never received the request: not reached, or another stood in their place. */
+    /**
+     * Upstreams that never received the request: unreachable, or replaced by another upstream at
+     * the same address.
+     */
     private final Set<UpstreamIncarnation> mUnreached = new HashSet<>();
 
-    /** What happened, for the log. */
+    /** The steps of the request, for its log line. */
     protected final RequestTrace mTrace;
 
-    /** When it ends at the latest, milliseconds on the loop's clock. */
+    /** When the request is finished at the latest, milliseconds on the loop's clock. */
     private final long mDeadlineMillis;
 
-    /** Fires at the deadline. */
     private final TrafficLoop.Timer mDeadlineTimer;
 
-    /** Whether it has ended. */
     private boolean mEnded;
 
-    /** Names what is asked for. */
     private final LazyFingerprint mFingerprint;
 
-    /** Whether it was sent to be run. */
+    /** Whether the request was sent to an upstream to be run. */
     private boolean mDispatched;
 
-    /** Whether it was refused as certainly not run. */
+    /** Whether the request was refused with a code that says it was certainly not run. */
     private boolean mRefusedAsNotRun;
 
-    /** What it counts as against its organisation's limit, or 0 where it was not counted. */
+    /** The usage charged to the organisation, or 0 where none was charged. */
     private double mUsageCost;
 
-    /** When it was counted, milliseconds on the loop's clock. */
+    /** When the usage was charged, milliseconds on the loop's clock. */
     private long mChargedAt;
 
-    /**
-     * Creates an execution.
-     *
-     * @param context the collaborators
-     * @param request the request
-     * @param route its route
-     * @param service the service that was chosen among the route's
-     * @param caller the way to answer
-     */
     RequestExecution(
             ServingContext context,
             ServingRequest request,
@@ -95,12 +86,12 @@
         mService = service;
         mCaller = caller;
         mTrace = new RequestTrace(request.id().value(), route.name(), context.loop());
-        long held =
+        long timeoutMillis =
                 Math.min(
                         route.timeoutMillis(),
                         request.deadlineMillis() - ServingSettings.ANSWER_MARGIN_MILLIS);
-        mDeadlineMillis = context.loop().millis() + Math.max(1, held);
-        mDeadlineTimer = context.loop().schedule(this::onDeadline, Math.max(1, held));
+        mDeadlineMillis = context.loop().millis() + Math.max(1, timeoutMillis);
+        mDeadlineTimer = context.loop().schedule(this::onDeadline, Math.max(1, timeoutMillis));
         mTrace.addInput("routersHeard", context.peerLoads().peerCount());
         request.organisation().ifPresent(organisation -> mTrace.addOrganisation(organisation.id()));
         context.metrics().requestStarted();
@@ -108,16 +99,11 @@
         context.extraCallBudget().recordRequest(service, context.loop().millis());
     }
 
-    /**
-     * Returns what happened to the request so far.
-     *
-     * @return the trace
-     */
     RequestTrace trace() {
         return mTrace;
     }
 
-    /** Begins to serve, once the use of upstreams is known as it is now. */
+    /** Starts to serve the request once the view of upstream usage is fresh. */
     final void begin() {
         mContext.loadView()
                 .whenFresh(
@@ -129,9 +115,9 @@
     }
 
     /**
-     * Counts the request against its organisation's limit, or refuses it.
+     * Charges the request to its organisation, or refuses it if the limit is reached.
      *
-     * @return whether it may be served
+     * @return whether the request may be served
      */
     private boolean chargeUsage() {
         Optional<Organisation> organisation = mRequest.organisation();
@@ -151,7 +137,7 @@
         return true;
     }
 
-    /** Gives back what the request counted as, where it certainly did not run. */
+    /** Refunds the charged usage if the request was certainly not run. */
     private void refundUsage() {
         if (mUsageCost > 0 && (!mDispatched || mRefusedAsNotRun)) {
             mRequest.organisation()
@@ -163,9 +149,10 @@
     }
 
     /**
-     * Returns the request's rank: its organisation's, or its route's where that has none.
+     * Returns the request's priority: its organisation's, or its route's where the organisation has
+     * none.
      *
-     * @return the rank, 0 is the most urgent
+     * @return the rank; 0 is the most urgent
      */
     protected int priority() {
         return mRequest.organisation()
@@ -173,32 +160,28 @@
                 .orElse(mRoute.priority());
     }
 
-    /**
-     * Returns who asks.
-     *
-     * @return the request's rank and organisation
-     */
+    /** Returns the key by which the request is queued: its rank and organisation. */
     protected FlowKey flowKey() {
         return new FlowKey(
                 priority(),
                 mRequest.organisation().map(Organisation::id).orElse(FlowKey.NO_ORGANISATION));
     }
 
-    /** Looks for an upstream for the first time. */
+    /** Starts the first attempt. */
     abstract void start();
 
-    /** Stops whatever is under way upstream and gives back whatever is held. */
+    /** Aborts what is in progress at upstreams and releases what is reserved there. */
     protected abstract void releaseUpstream();
 
     /**
-     * Returns whether an upstream may be working on the request just now.
+     * Returns whether an upstream may be running the request now.
      *
-     * @return whether the request was handed to one and has not come back
+     * @return whether the request was sent to one whose answer has not ended
      */
     protected abstract boolean isAtUpstream();
 
     /**
-     * Returns the time that is left.
+     * Returns the time until the request's deadline.
      *
      * @return milliseconds, at least 1
      */
@@ -206,33 +189,19 @@
         return Math.max(1, mDeadlineMillis - mContext.loop().millis());
     }
 
-    /**
-     * Returns whether the request has ended.
-     *
-     * @return whether nothing more is to be done
-     */
+    /** Returns whether the request is finished. */
     protected boolean isEnded() {
         return mEnded;
     }
 
-    /**
-     * Returns the upstreams of the request's service that may get work.
-     *
-     * @param role what they do
-     * @return the upstreams
-     */
+    /** Returns the upstreams of the request's service that may receive work. */
     protected List<UpstreamEntry> upstreams(UpstreamEntry.Role role) {
         return mContext.directory().usable(mService).stream()
                 .filter(entry -> entry.role() == role)
                 .toList();
     }
 
-    /**
-     * Records an attempt's end.
-     *
-     * @param upstream where it was
-     * @param end how it ended
-     */
+    /** Records a failed attempt in the trace, the metrics and the state of its upstream. */
     protected void recordFailure(UpstreamEntry upstream, AttemptEnd end) {
         mKnowledge.learn(end);
         mContext.metrics().callFailed(upstream.id(), end.notStarted());
@@ -247,13 +216,12 @@
     }
 
     /**
-     * Goes on after a failed call, once it is known whether it was lost because its upstream ended,
-     * which may be the request's own doing: it is not to end the next before that is known.
+     * Continues after a failed call once it is known whether the call was lost because its
+     * upstream's process ended. The request may have caused that, so it is not sent to another
+     * upstream before.
      *
-     * @param upstream where it was
-     * @param end how it ended
-     * @param next told whether the upstream is known to have ended; not called where the request
-     *     has ended meanwhile
+     * @param next receives whether the upstream's process is known to have ended; not called if the
+     *     request is finished by then
      */
     protected void afterCrashAttribution(
             UpstreamEntry upstream, AttemptEnd end, Consumer<Boolean> next) {
@@ -274,10 +242,10 @@
     }
 
     /**
-     * Ends the request if what it asks for has ended several upstreams. To be asked before each
-     * call that works on it.
+     * Ends the request if requests with the same content have crashed several upstreams. To be
+     * called before each call that works on the request.
      *
-     * @return whether it must not be run, and has ended
+     * @return whether the request must not be run, and is finished
      */
     protected boolean refuseIfQuarantined() {
         if (mEnded || !mContext.crashGuard().isQuarantined(mFingerprint)) {
@@ -285,7 +253,7 @@
         }
         mTrace.addFingerprint(mFingerprint.get());
         mTrace.markNotable();
-        String detail = "upstreams ended under what it asks for, " + mFingerprint.get();
+        String detail = "content quarantined after crashes of upstreams, " + mFingerprint.get();
         if (isStreaming()) {
             abortStream(detail);
         } else {
@@ -295,57 +263,57 @@
     }
 
     /**
-     * Returns whether one more call may be sent to run the request. A call that never reached its
-     * upstream is no attempt and no extra call. One that another upstream received in its place is
-     * no attempt either, but it did arrive, so the next one is extra.
+     * Returns whether the request may be sent to another upstream. A call that never reached its
+     * upstream counts neither as an attempt nor as an extra call. A call that was received by
+     * another upstream at the same address does not count as an attempt either, but it did arrive,
+     * so the next call is an extra one.
      *
-     * @param upstream where the last call was sent
-     * @param end how it ended
-     * @return whether attempts, time and the budget of extra calls allow it
+     * @return whether the attempts, the time and the budget of extra calls allow it
      */
     protected boolean mayRetry(UpstreamEntry upstream, AttemptEnd end) {
         if (remainingMillis() <= ServingSettings.ANSWER_MARGIN_MILLIS) {
             return false;
         }
-        boolean another = end.notStarted() && end.leaving();
+        boolean replaced = end.notStarted() && end.leaving();
         boolean unreached = end.neverReached();
-        if (another || unreached) {
+        if (replaced || unreached) {
             mAttempted.remove(upstream.incarnation());
             mUnreached.add(upstream.incarnation());
-            boolean more = mUnreached.size() <= ServingSettings.MAX_UNREACHED;
-            return more && (unreached || tryAcquireExtraCall());
+            boolean withinLimit = mUnreached.size() <= ServingSettings.MAX_UNREACHED;
+            return withinLimit && (unreached || tryAcquireExtraCall());
         }
         return mAttempted.size() < mRoute.maxAttempts() && tryAcquireExtraCall();
     }
 
     /**
-     * Returns whether the request may be sent again to an upstream that had it, which is no further
-     * attempt.
+     * Returns whether the request may be sent again to an upstream that already received it, which
+     * does not count as a further attempt.
      *
-     * @return whether time and the budget of extra calls allow it
+     * @return whether the time and the budget of extra calls allow it
      */
     protected boolean mayResend() {
         return remainingMillis() > ServingSettings.ANSWER_MARGIN_MILLIS && tryAcquireExtraCall();
     }
 
     /**
-     * Returns whether the budget of extra calls allows one more.
+     * Takes one extra call from the budget if it allows one.
      *
-     * @return whether it does; it is taken from the budget then
+     * @return whether the call may be acquired
      */
     protected boolean tryAcquireExtraCall() {
-        boolean made = mContext.extraCallBudget().tryAcquire(mService, mContext.loop().millis());
-        mContext.metrics().recordExtraCall(made);
-        if (!made) {
+        boolean acquired =
+                mContext.extraCallBudget().tryAcquire(mService, mContext.loop().millis());
+        mContext.metrics().recordExtraCall(acquired);
+        if (!acquired) {
             mTrace.addStep("budget of extra calls is used up");
         }
-        return made;
+        return acquired;
     }
 
     /**
-     * Returns the upstreams that the request is not to be sent to again.
+     * Returns the upstreams to which the request is not to be sent again.
      *
-     * @return those that had it and those that could not be reached
+     * @return those that received it and those that could not be reached
      */
     protected Set<UpstreamIncarnation> excludedUpstreams() {
         Set<UpstreamIncarnation> excluded = new HashSet<>(mAttempted);
@@ -353,12 +321,7 @@
         return excluded;
     }
 
-    /**
-     * Records that the request is sent to be run.
-     *
-     * @param upstream where to
-     * @param step what it is called in the log
-     */
+    /** Records that the request is sent to be run. */
     protected void recordDispatch(UpstreamEntry upstream, String step) {
         mDispatched = true;
         mAttempted.add(upstream.incarnation());
@@ -367,11 +330,9 @@
     }
 
     /**
-     * Records that an upstream answered well.
+     * Records a successful answer.
      *
-     * @param upstream the upstream
-     * @param stage the stage that is over
-     * @param millis how long it took
+     * @param millis the duration of the stage
      */
     protected void recordSuccess(UpstreamEntry upstream, String stage, long millis) {
         mContext.loads().succeeded(upstream);
@@ -380,9 +341,9 @@
     }
 
     /**
-     * Marks the request as late if its target has passed.
+     * Marks the request as not ordinary if its target is exceeded.
      *
-     * @param millis how long its answer took to come
+     * @param millis the latency of the answer
      */
     protected void markIfLate(long millis) {
         if (millis > mRoute.targetMillis()) {
@@ -390,36 +351,32 @@
         }
     }
 
-    /** Ends the request after an upstream's whole answer went to the caller. */
+    /** Finishes the request after an upstream's complete answer was sent to the caller. */
     protected void finishAnswered() {
         finish(RequestTrace.ANSWERED);
     }
 
     /**
-     * Ends the request with a refusal that is true for all its attempts.
+     * Finishes the request with a refusal that holds for all its attempts.
      *
-     * @param wished the code that fits the last step
-     * @param detail what exactly
-     * @param retryAfterMillis when to come back, milliseconds
+     * @param preferred the code that fits the last step
+     * @param retryAfterMillis when the caller should retry, milliseconds; not told where a retry is
+     *     not safe
      */
-    protected void refuse(ResultCode wished, String detail, long retryAfterMillis) {
+    protected void refuse(ResultCode preferred, String detail, long retryAfterMillis) {
         if (mEnded) {
             return;
         }
-        ResultCode code = mKnowledge.truthful(wished);
+        ResultCode code = mKnowledge.truthful(preferred);
         mRefusedAsNotRun = code.family() == ResultCode.Family.NOT_RUN;
-        boolean comeBack = mRefusedAsNotRun || mRoute.kind().repeatable();
+        boolean mayRetryLater = mRefusedAsNotRun || mRoute.kind().repeatable();
         mTrace.addStep(code.label() + "(" + detail + ")");
         releaseUpstream();
-        mCaller.refuse(code, detail, comeBack ? retryAfterMillis : 0);
+        mCaller.refuse(code, detail, mayRetryLater ? retryAfterMillis : 0);
         finish(code.label());
     }
 
-    /**
-     * Ends the request by breaking its answer off.
-     *
-     * @param reason why, for the log
-     */
+    /** Finishes the request by aborting its answer. */
     protected void abortStream(String reason) {
         if (mEnded) {
             return;
@@ -430,7 +387,6 @@
         finish("cut");
     }
 
-    /** Ends the request at its deadline. */
     private void onDeadline() {
         if (mEnded) {
             return;
@@ -440,25 +396,24 @@
         if (isStreaming()) {
             abortStream("deadline");
         } else if (isAtUpstream()) {
-            refuse(ResultCode.DEADLINE_WHILE_RUNNING, "deadline at the upstream", 0);
+            refuse(ResultCode.DEADLINE_WHILE_RUNNING, "deadline exceeded at the upstream", 0);
         } else {
             refuse(
                     ResultCode.NO_PLACE,
-                    "deadline before the start",
+                    "deadline exceeded while waiting for an upstream",
                     ServingSettings.RETRY_AFTER_MILLIS);
         }
     }
 
     /**
-     * Returns whether a stream to the caller was begun.
+     * Returns whether a stream to the caller was started.
      *
-     * @return whether a refusal can no longer be told
+     * @return whether a refusal can no longer be sent
      */
     protected boolean isStreaming() {
         return false;
     }
 
-    /** Ends the request after its caller has left. */
     private void onCallerDisconnect() {
         if (mEnded) {
             return;
@@ -468,9 +423,9 @@
     }
 
     /**
-     * Ends the request.
+     * Finishes the request.
      *
-     * @param outcome how, for the log
+     * @param outcome the outcome, for the log and the metrics
      */
     private void finish(String outcome) {
         mEnded = true;
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/RequestRouter.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/RequestRouter.java
@@ -12,33 +12,26 @@
 import org.troutpier.daemon.route.Service;
 
 /**
- * Finds the route of each request and has it served. Confined to the traffic loop. Invariant: a
- * request is served by the version in force when it came.
+ * Finds the route of each request and starts its execution. Confined to the traffic loop.
+ * Invariant: a request is served by the configuration that was current when it arrived.
  */
 public final class RequestRouter {
 
-    /** How long until a router that starts has a configuration, milliseconds, roughly. */
+    /**
+     * When callers retry that reach a router before it has a configuration, milliseconds: roughly
+     * the time in which a starting router gets one.
+     */
     private static final long STARTUP_RETRY_MILLIS = 500;
 
-    /** How many milliseconds a second has. */
     private static final long MILLIS_PER_SECOND = 1000;
 
-    /** The version in force. */
     private final CurrentConfiguration mConfiguration;
 
-    /** Whether keys count. */
     private final KeyTrust mKeys;
 
-    /** The collaborators of executions. */
     private final ServingContext mContext;
 
-    /**
-     * Creates a router.
-     *
-     * @param configuration the version in force
-     * @param keys whether keys count
-     * @param context the collaborators of executions
-     */
+    /** Creates a router. */
     public RequestRouter(
             CurrentConfiguration configuration, KeyTrust keys, ServingContext context) {
         mConfiguration = configuration;
@@ -46,12 +39,7 @@
         mContext = context;
     }
 
-    /**
-     * Serves a request.
-     *
-     * @param request the request
-     * @param caller the way to answer
-     */
+    /** Serves a request. */
     public void serve(ServingRequest request, CallerChannel caller) {
         Optional<RoutingConfiguration> configuration = mConfiguration.current();
         if (configuration.isEmpty()) {
@@ -66,9 +54,9 @@
         }
         Optional<Requester> requester =
                 Requester.authenticate(configuration.get(), route.get(), request.key());
-        Optional<TroutpierException> stranger = authenticationFailure(requester);
-        if (stranger.isPresent()) {
-            ResultCode code = stranger.get().code();
+        Optional<TroutpierException> failure = authenticationFailure(requester);
+        if (failure.isPresent()) {
+            ResultCode code = failure.get().code();
             refuse(request, caller, code, code.retryAfterSeconds() * MILLIS_PER_SECOND);
             return;
         }
@@ -87,34 +75,34 @@
     }
 
     /**
-     * Authenticates a caller by the request's head, before its body has come.
+     * Authenticates a caller by the head of its request, before the body has arrived.
      *
-     * @param host the host as the caller sent it
+     * @param host the value of the Host header
      * @param target path and query
-     * @param key the caller's key, if it sent one that can be read
-     * @return why the request is refused, or empty to wait for its body
+     * @param key the hash of the caller's key, if it sent a readable one
+     * @return why the request is refused; empty if its body may be received
      */
     public Optional<TroutpierException> authenticate(
             String host, String target, Optional<KeyHash> key) {
         Optional<RoutingConfiguration> configuration = mConfiguration.current();
-        Optional<TroutpierException> stranger =
+        Optional<TroutpierException> failure =
                 configuration
                         .flatMap(each -> each.findRoute(host, path(target)))
                         .map(route -> Requester.authenticate(configuration.get(), route, key))
                         .flatMap(this::authenticationFailure);
-        stranger.ifPresent(why -> mContext.metrics().countOutcome(why.code().label()));
-        return stranger;
+        failure.ifPresent(refused -> mContext.metrics().countOutcome(refused.code().label()));
+        return failure;
     }
 
     /**
-     * Returns why a caller is rejected.
+     * Returns why a caller is refused.
      *
-     * @param requester who asks; empty where a key is needed and is missing or not known
-     * @return the refusal, or empty where the caller is admitted
+     * @param requester the caller; empty if the route requires a key and it is missing or unknown
+     * @return the refusal; empty if the caller is admitted
      */
     private Optional<TroutpierException> authenticationFailure(Optional<Requester> requester) {
-        boolean keyless = requester.isPresent() && requester.get().organisation().isEmpty();
-        if (keyless) {
+        boolean anonymous = requester.isPresent() && requester.get().organisation().isEmpty();
+        if (anonymous) {
             return Optional.empty();
         }
         if (!mKeys.acceptsKeys()) {
@@ -123,25 +111,14 @@
         return requester.isEmpty() ? refusal(ResultCode.UNKNOWN_TOKEN) : Optional.empty();
     }
 
-    /**
-     * Makes a refusal that says nothing but its code's meaning.
-     *
-     * @param code the code
-     * @return the refusal
-     */
     private static Optional<TroutpierException> refusal(ResultCode code) {
         return Optional.of(new TroutpierException(code, code.meaning()));
     }
 
     /**
-     * Makes the execution that fits the service.
+     * Creates the execution that fits the service.
      *
-     * @param request the request
-     * @param route its route
-     * @param name the service's name
      * @param service the service, if it is configured
-     * @param caller the way to answer
-     * @return the execution
      */
     private RequestExecution execution(
             ServingRequest request,
@@ -157,14 +134,7 @@
         return new PlainExecution(mContext, request, route, name, caller);
     }
 
-    /**
-     * Refuses a request that has no route.
-     *
-     * @param request the request
-     * @param caller the way to answer
-     * @param code why
-     * @param retryAfterMillis when to come back, milliseconds
-     */
+    /** Refuses a request for which no execution was created. */
     private void refuse(
             ServingRequest request, CallerChannel caller, ResultCode code, long retryAfterMillis) {
         RequestTrace trace = new RequestTrace(request.id().value(), "none", mContext.loop());
@@ -174,12 +144,6 @@
         mContext.decisionLog().requestEnded(trace, code.label());
     }
 
-    /**
-     * Returns a target's path.
-     *
-     * @param target path and query
-     * @return the path
-     */
     private static String path(String target) {
         int query = target.indexOf('?');
         return query < 0 ? target : target.substring(0, query);
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/RequestTrace.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/RequestTrace.java
@@ -8,44 +8,38 @@
 import org.troutpier.daemon.quarantine.RequestFingerprint;
 
 /**
- * What happened to one request, for its line in the log. Confined to the traffic loop. Invariant:
+ * The steps and inputs of one request, for its log line. Confined to the traffic loop. Invariant:
  * bounded in size.
  */
 public final class RequestTrace {
 
-    /** The outcome of a request that got an upstream's whole answer. */
+    /** The outcome of a request that received an upstream's complete answer. */
     public static final String ANSWERED = "answered";
 
-    /** The longest text kept, characters. */
+    /** Length from which on no further steps are recorded, characters. */
     private static final int MAX_STEPS_LENGTH = 900;
 
-    /** The request's id. */
     private final String mId;
 
-    /** The route's name, or what stood in its place. */
     private final String mRoute;
 
-    /** The clock. */
     private final TrafficLoop mLoop;
 
-    /** When the request came, milliseconds. */
+    /** When the request arrived, milliseconds on the loop's clock. */
     private final long mStart;
 
-    /** Whether it was answered, but not as it should be. */
+    /** Whether the request was answered late or with an upstream's own failure. */
     private boolean mNotable;
 
-    /** What the request was decided by. */
+    /** The inputs of the decisions about the request, such as versions and ages. */
     private final Map<String, String> mInputs = new TreeMap<>();
 
-    /** The steps so far. */
     private final StringBuilder mSteps = new StringBuilder();
 
     /**
      * Starts a trace.
      *
-     * @param id the request's id
-     * @param route the route's name, or what stood in its place
-     * @param loop the clock
+     * @param route the name of the route, or a substitute where there is none
      */
     public RequestTrace(String id, String route, TrafficLoop loop) {
         mId = id;
@@ -54,37 +48,29 @@
         mStart = loop.millis();
     }
 
-    /**
-     * Adds a step with the time since the request came.
-     *
-     * @param step what happened
-     */
+    /** Adds a step with the time since the request arrived. */
     public void addStep(String step) {
         if (mSteps.length() < MAX_STEPS_LENGTH) {
             mSteps.append(' ').append(elapsedMillis()).append("ms:").append(step);
         }
     }
 
-    /**
-     * Returns the request's id.
-     *
-     * @return the id
-     */
+    /** Returns the request id. */
     public String id() {
         return mId;
     }
 
     /**
-     * Returns the route's name.
+     * Returns the name of the route.
      *
-     * @return the name, or what stood in its place
+     * @return the name, or a substitute where there is none
      */
     public String route() {
         return mRoute;
     }
 
     /**
-     * Returns how long ago the request came.
+     * Returns the time since the request arrived.
      *
      * @return milliseconds
      */
@@ -93,58 +79,41 @@
     }
 
     /**
-     * Marks the request as one that was not served as it should be, though it was answered: late,
-     * or with an upstream's own failure.
+     * Marks the request as answered but not as it should be: late, or with an upstream's own
+     * failure.
      */
     public void markNotable() {
         mNotable = true;
     }
 
-    /**
-     * Returns whether a request's end is an ordinary success.
-     *
-     * @param outcome how it ended
-     * @return whether it was answered well and in time
-     */
+    /** Returns whether the request was answered successfully and in time. */
     boolean isOrdinarySuccess(String outcome) {
         return outcome.equals(ANSWERED) && !mNotable;
     }
 
     /**
-     * Notes what the request was decided by.
+     * Adds an input of the decisions about the request.
      *
-     * @param name what it is
      * @param value its value, age or version
      */
     public void addInput(String name, long value) {
         mInputs.put(name, Long.toString(value));
     }
 
-    /**
-     * Notes in whose name the request is made.
-     *
-     * @param organisation the organisation
-     */
+    /** Adds the organisation on whose behalf the request is made. */
     void addOrganisation(PartnerId organisation) {
         mInputs.put("organisation", organisation.value());
     }
 
     /**
-     * Notes what the request asks for, where it matters whether the same was asked before: each try
-     * has an id of its own.
-     *
-     * @param fingerprint names it
+     * Adds the request's fingerprint, where it matters whether the same content was requested
+     * before: the request id differs between retries.
      */
     void addFingerprint(RequestFingerprint fingerprint) {
         mInputs.put("content", fingerprint.shortName());
     }
 
-    /**
-     * Returns the request's line for the log.
-     *
-     * @param outcome how it ended
-     * @return a structured message
-     */
+    /** Returns the request's log line. */
     Message toLogMessage(String outcome) {
         StringMapMessage message = new StringMapMessage();
         message.put("event", "request");
@@ -157,11 +126,7 @@
         return message;
     }
 
-    /**
-     * Returns what happened so far.
-     *
-     * @return the steps, each with the milliseconds since the request came
-     */
+    /** Returns the steps so far, each with the milliseconds since the request arrived. */
     String steps() {
         return mSteps.toString().trim();
     }
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/ReservationAllocator.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/ReservationAllocator.java
@@ -20,119 +20,107 @@
 import org.troutpier.daemon.upstream.AttemptEnd;
 
 /**
- * Finds memory for requests at decode engines before their prompts are read. The engines themselves
- * set it aside, so routers that know nothing of each other never give the same memory twice.
- * Confined to the traffic loop. Invariant: each search ends once: granted, refused or stopped; a
- * place that is granted after the search was stopped is given back.
+ * Reserves slots and memory at decode engines before the prompts are processed. The engines
+ * themselves keep the reservations, so that routers without contact to each other never hand out
+ * the same memory twice. Confined to the traffic loop. Invariant: each search ends exactly once:
+ * granted, refused or cancelled; a reservation that is granted after the search was cancelled is
+ * released.
  */
 public final class ReservationAllocator {
 
     /**
-     * How long an engine that refused is not asked again by this router, milliseconds: with a few
-     * dozen requests leaving an engine in a second, room comes about that often.
+     * How long this router waits before it asks an engine again that refused, milliseconds: with a
+     * few dozen requests leaving an engine each second, memory becomes free about that often.
      */
     private static final long FULL_RETRY_MILLIS = 30;
 
-    /** How long a place is kept for its prompt to be read, milliseconds. */
+    /** How long a reservation is requested for, milliseconds: it has to outlast the prefill. */
     private static final int RESERVATION_MILLIS = 1000;
 
-    /** Organisations share places evenly. */
     private static final FairQueue.Weights EQUAL_WEIGHTS = partner -> 1;
 
-    /** The collaborators that it shares with the executions. */
     private final TrafficLoop mLoop;
 
-    /** Asks engines for places. */
     private final UpstreamPort mPort;
 
-    /** What is under way at each engine. */
     private final UpstreamLoads mLoads;
 
-    /** Admits calls to engines. */
     private final UpstreamAdmission mAdmission;
 
-    /** Has engines chosen by what the other routers have under way now. */
     private final LoadView mLoadView;
 
-    /** Spreads repeated questions. */
     private final RandomGenerator mRandom;
 
-    /** Until when each engine is taken to be full, milliseconds on the loop's clock. */
+    /** Until when each engine is assumed to be full, milliseconds on the loop's clock. */
     private final Map<UpstreamIncarnation, Long> mFullUntil = new HashMap<>();
 
     /**
-     * The searches that wait for room, by standing. Within one, organisations take turns by the
-     * tokens that they were given, so that one's flood does not take the room of the others; an
-     * organisation's own go by age.
+     * The searches that wait for room, by queue tier. Within a tier organisations are served in
+     * turn, by the tokens that they were granted, so that a burst of one cannot take all room from
+     * the others; the searches of one organisation are served by age.
      */
     private final Map<QueueTier, FairQueue<Search>> mWaiting = new EnumMap<>(QueueTier.class);
 
-    /** How many searches there were. */
     private long mNextSequence;
 
-    /** Whether those that wait are about to look again. */
+    /** Whether the waiting searches are scheduled to try again. */
     private boolean mRetryScheduled;
 
     /**
      * Creates an allocator.
      *
-     * @param loop the traffic loop
-     * @param port asks engines for places
-     * @param loads what is under way at each engine
-     * @param admission admits calls to engines
-     * @param view has engines chosen by what the other routers have under way now
-     * @param random spreads repeated questions
+     * @param loadView provides the current load of the other routers before engines are selected
      */
     public ReservationAllocator(
             TrafficLoop loop,
             UpstreamPort port,
             UpstreamLoads loads,
             UpstreamAdmission admission,
-            LoadView view,
+            LoadView loadView,
             RandomGenerator random) {
-        mLoadView = view;
+        mLoadView = loadView;
         mLoop = loop;
         mPort = port;
         mLoads = loads;
         mAdmission = admission;
         mRandom = random;
-        for (QueueTier standing : QueueTier.values()) {
-            mWaiting.put(standing, new FairQueue<>());
+        for (QueueTier tier : QueueTier.values()) {
+            mWaiting.put(tier, new FairQueue<>());
         }
     }
 
-    /** Receives how a search ends, on the traffic loop. */
+    /** Receives the outcome of a search, on the traffic loop. */
     public interface Listener {
 
         /**
-         * Receives a place. The run is admitted at the engine, and the prompt's tokens are taken
-         * there from now on; the listener gives these back.
+         * Called when an engine was found. The run is admitted there, and the prompt's tokens are
+         * counted as used there from now on; the listener has to free these tokens.
          *
-         * @param engine where it is
-         * @param place the place; empty where engines do not set places aside
+         * @param reservation the reservation; empty where the engines do not support reservations
          */
-        void onGranted(UpstreamEntry engine, Optional<UpstreamPort.Reservation> place);
+        void onGranted(UpstreamEntry engine, Optional<UpstreamPort.Reservation> reservation);
 
         /**
-         * Called when no place was found in time.
+         * Called when no engine was found in time.
          *
-         * @param detail what was tried
+         * @param detail the reason, with what is known of the engines
          */
         void onRefused(String detail);
     }
 
     /**
-     * What is looked for. Immutable.
+     * The requirements of a search. Immutable.
      *
-     * @param flowKey who asks
+     * @param flowKey the rank and organisation of the request
      * @param promptTokens the prompt's length
-     * @param maxTokens the prompt's length and the most output
+     * @param maxTokens the prompt's length and the maximum output
      * @param growthMarginTokens how much of an engine's memory stays free for growth
-     * @param memoryTokens how much memory an engine has
-     * @param maxReservationMillis how long engines set places aside at most; 0 where they do not
-     * @param waitMillis how long to look
-     * @param tier who goes first
-     * @param engines the engines that may be used, asked again for each round
+     * @param memoryTokens an engine's memory
+     * @param maxReservationMillis the longest time for which engines keep a reservation; 0 where
+     *     they do not support reservations
+     * @param waitMillis how long to search
+     * @param tier the queue tier of the request
+     * @param engines the engines that may be used, queried again in each round
      */
     public record Requirements(
             FlowKey flowKey,
@@ -145,21 +133,15 @@
             QueueTier tier,
             Supplier<List<UpstreamEntry>> engines) {}
 
-    /**
-     * Looks for a place.
-     *
-     * @param wanted what is looked for
-     * @param listener receives the end
-     * @return the search, to stop it
-     */
-    public Search search(Requirements wanted, Listener listener) {
-        Search search = new Search(wanted, listener);
+    /** Starts a search. */
+    public Search search(Requirements requirements, Listener listener) {
+        Search search = new Search(requirements, listener);
         search.startRound();
         return search;
     }
 
     /**
-     * Returns how much the requests need that wait for room here.
+     * Returns the total demand of the searches that wait for room.
      *
      * @return the tokens of their prompts
      */
@@ -171,19 +153,15 @@
         return tokens[0];
     }
 
-    /**
-     * Lets a search wait until there may be room.
-     *
-     * @param search the search
-     */
+    /** Lets a search wait for the next round. */
     private void enqueue(Search search) {
-        Requirements wanted = search.mRequirements;
+        Requirements requirements = search.mRequirements;
         queue(search)
                 .add(
-                        wanted.flowKey().organisation(),
+                        requirements.flowKey().organisation(),
                         search,
                         search.mSequence,
-                        wanted.promptTokens());
+                        requirements.promptTokens());
         if (!mRetryScheduled) {
             mRetryScheduled = true;
             mLoop.schedule(
@@ -192,7 +170,7 @@
         }
     }
 
-    /** Has all look again that wait, in their order. */
+    /** Starts another round of all waiting searches, in their order. */
     private void retryWaiting() {
         mRetryScheduled = false;
         List<Search> waiting = new ArrayList<>();
@@ -200,21 +178,11 @@
         waiting.forEach(Search::startRound);
     }
 
-    /**
-     * Returns where a search waits.
-     *
-     * @param search the search
-     * @return the queue of its standing
-     */
     private FairQueue<Search> queue(Search search) {
         return mWaiting.get(search.mRequirements.tier());
     }
 
-    /**
-     * Forgets engines that are no longer listed.
-     *
-     * @param listed the ids that are listed
-     */
+    /** Discards the state of engines that are no longer listed. */
     public void retain(Set<UpstreamIncarnation> listed) {
         mFullUntil.keySet().retainAll(listed);
     }
@@ -222,52 +190,43 @@
     /** One search. Confined to the traffic loop. */
     public final class Search {
 
-        /** What is looked for. */
         private final Requirements mRequirements;
 
-        /** Receives the end. */
         private final Listener mListener;
 
         /** When the search gives up, milliseconds on the loop's clock. */
         private final long mDeadline;
 
-        /** Which search it is, in the order in which they began. */
+        /** Orders searches by age. */
         private final long mSequence = mNextSequence++;
 
-        /** Which engines were asked in this round. */
+        /** The engines that were asked in the current round. */
         private final Set<UpstreamIncarnation> mTriedEngines = new HashSet<>();
 
         /**
-         * The engines that could be asked when any could last. A search may end a moment after the
-         * last that may be asked, and its refusal is to name who refused.
+         * The last non-empty list of engines that could be asked. A search may end shortly after
+         * the last moment at which engines may be asked, and its refusal has to name the engines
+         * that refused.
          */
         private List<UpstreamEntry> mLastCandidates = List.of();
 
-        /** How many refusals there were. */
         private int mRefusalCount;
 
-        /** Whether the search has ended. */
         private boolean mEnded;
 
-        /**
-         * Creates a search.
-         *
-         * @param wanted what is looked for
-         * @param listener receives the end
-         */
-        private Search(Requirements wanted, Listener listener) {
-            mRequirements = wanted;
+        private Search(Requirements requirements, Listener listener) {
+            mRequirements = requirements;
             mListener = listener;
-            mDeadline = mLoop.millis() + wanted.waitMillis();
+            mDeadline = mLoop.millis() + requirements.waitMillis();
         }
 
-        /** Stops the search; its listener receives no more. */
+        /** Cancels the search; its listener is not called again. */
         public void cancel() {
             mEnded = true;
             queue(this).remove(mRequirements.flowKey().organisation(), this);
         }
 
-        /** Begins a round over all engines. */
+        /** Starts a round over all engines. */
         private void startRound() {
             mTriedEngines.clear();
             tryNextEngine();
@@ -301,12 +260,11 @@
         }
 
         /**
-         * Tells what the refusal was decided by.
-         *
-         * @return what was needed, and what is known of the engine with the least in use
+         * Returns the detail of the refusal: what was required, and the state of the least used
+         * engine.
          */
         private String refusalDetail() {
-            String needed =
+            String requirement =
                     "no place after "
                             + mRefusalCount
                             + " refusals: "
@@ -317,8 +275,8 @@
                             + mRequirements.memoryTokens();
             List<UpstreamEntry> engines = mLoads.byTokens(mLastCandidates, Set.of());
             return engines.isEmpty()
-                    ? needed + ", no engine may be asked"
-                    : needed
+                    ? requirement + ", no engine may be asked"
+                    : requirement
                             + ", least used "
                             + engines.get(0).id()
                             + " known "
@@ -329,40 +287,32 @@
         }
 
         /**
-         * Returns whether an engine has a free slot, and room for the prompt and for the growth of
-         * what runs there.
-         *
-         * @param engine the engine
-         * @return whether to ask it; where nobody else's use is known the engine alone decides
+         * Returns whether an engine has a free slot, and memory for the prompt and for the growth
+         * of the requests that run there. Always true while no other router's usage is known: then
+         * the engine alone decides.
          */
         private boolean hasRoom(UpstreamEntry engine) {
             if (!mLoads.hasPeerReports()) {
                 return true;
             }
-            boolean slot = mLoads.calls(engine) < engine.slots();
-            double full =
+            boolean hasSlot = mLoads.calls(engine) < engine.slots();
+            double required =
                     mLoads.tokens(engine)
                             + mRequirements.promptTokens()
                             + mRequirements.growthMarginTokens();
-            return slot && full + headroomTokens() <= mRequirements.memoryTokens();
+            return hasSlot && required + headroomTokens() <= mRequirements.memoryTokens();
         }
 
         /**
-         * Returns how much room a late request leaves to one that can be in time, which may come to
-         * any router at any moment. With a quarter of the memory left in place of one prompt, as
-         * many were in time and twice as many were refused again.
-         *
-         * @return tokens
+         * Returns how much memory a late request leaves to one that can still be in time and may
+         * arrive at any router at any moment, in tokens. Leaving a quarter of the memory instead of
+         * one prompt did not bring more requests in time, and twice as many were refused again.
          */
         private long headroomTokens() {
             return mRequirements.tier() == QueueTier.IN_TIME ? 0 : mRequirements.promptTokens();
         }
 
-        /**
-         * Asks one engine.
-         *
-         * @param engine the engine
-         */
+        /** Requests a reservation from one engine. */
         private void reserve(UpstreamEntry engine) {
             if (mRequirements.maxReservationMillis() == 0) {
                 mEnded = true;
@@ -381,7 +331,7 @@
             mPort.reserve(engine, tokens, millis, new ReservationListener(engine));
         }
 
-        /** Counts the place against the organisation's turn. */
+        /** Charges the granted tokens to the organisation, so that others get their turn first. */
         private void chargeOrganisation() {
             queue(this)
                     .charge(
@@ -394,17 +344,11 @@
         private final class ReservationListener
                 implements UpstreamPort.ResultListener<UpstreamPort.Reservation> {
 
-            /** Who answers. */
             private final UpstreamEntry mEngine;
 
-            /** When it was asked, milliseconds. */
+            /** When the request was sent, milliseconds on the loop's clock. */
             private final long mSentAt = mLoop.millis();
 
-            /**
-             * Creates a listener.
-             *
-             * @param engine who answers
-             */
             ReservationListener(UpstreamEntry engine) {
                 mEngine = engine;
             }
@@ -417,15 +361,15 @@
 
             /** {@inheritDoc} */
             @Override
-            public void onResult(UpstreamPort.Reservation place) {
+            public void onResult(UpstreamPort.Reservation reservation) {
                 if (mEnded) {
                     mLoads.end(mEngine, mRequirements.promptTokens());
-                    mPort.release(mEngine, place);
+                    mPort.release(mEngine, reservation);
                     return;
                 }
                 mEnded = true;
                 chargeOrganisation();
-                mListener.onGranted(mEngine, Optional.of(place));
+                mListener.onGranted(mEngine, Optional.of(reservation));
             }
 
             /** {@inheritDoc} */
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/ResumeTarget.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/ResumeTarget.java
@@ -5,32 +5,31 @@
 import org.troutpier.daemon.upstream.AttemptEnd;
 
 /**
- * Which decode engine still has the prompt of a run whose answer was lost. An engine keeps what it
- * fetched until it needs the room, the parts used last the longest, so the run goes on there
- * without reading the prompt again. Confined to the traffic loop. Invariant: a request is sent
- * again to the engine that lost its answer at most {@link #MAX_RESUMES} times in all.
+ * The decode engine that still has the prompt of a run whose answer was lost. An engine caches
+ * prompts until it needs the memory and evicts the least recently used parts first, so the run can
+ * be resumed there without another prefill. Confined to the traffic loop. Invariant: a request is
+ * resumed at an engine that lost its answer at most {@link #MAX_RESUMES} times in total.
  */
 final class ResumeTarget {
 
     /**
-     * How often a request is sent again to an engine that lost its answer: an engine that loses two
-     * of five loses three in a row once in sixteen times.
+     * How often a request is resumed at an engine that lost its answer: an engine that loses two of
+     * five answers loses three in a row about once in sixteen times.
      */
     static final int MAX_RESUMES = 2;
 
     /** The engine that has the prompt, or null. */
     private UpstreamEntry mEngine;
 
-    /** How often the request was sent again to the engine that lost its answer. */
     private int mResumes;
 
     /**
-     * Takes note of a run that failed.
+     * Records a failed run.
      *
-     * @param engine where it was
-     * @param end how it ended
-     * @return whether the run may go on there: its connection was lost and nothing says that the
-     *     engine is gone. An engine that was merely silent may never have fetched the prompt
+     * @param engine the engine of the run
+     * @return whether the run may be resumed there: its connection was lost and nothing indicates
+     *     that the engine is gone. An engine that was merely silent may never have fetched the
+     *     prompt
      */
     boolean recordLoss(UpstreamEntry engine, AttemptEnd end) {
         boolean answerLost = !end.notStarted() && end.unreachable();
@@ -39,10 +38,9 @@
     }
 
     /**
-     * Returns the engine that has the prompt.
+     * Returns the engine that has the prompt, if it is among those that may receive work.
      *
-     * @param usable the engines that may get work
-     * @return the engine, if it is one of them
+     * @param usable the engines that may receive work
      */
     List<UpstreamEntry> filter(List<UpstreamEntry> usable) {
         return usable.stream()
@@ -50,7 +48,7 @@
                 .toList();
     }
 
-    /** Records that the run goes on there. */
+    /** Records that the run is resumed at the engine. */
     void recordResume() {
         mResumes++;
     }
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/ServingContext.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/ServingContext.java
@@ -12,29 +12,29 @@
 import org.troutpier.daemon.organisation.OrganisationLimiter;
 
 /**
- * The collaborators of each request's execution. Immutable; confined to the traffic loop, as are
- * the parts.
+ * The shared collaborators of all executions. Immutable; confined to the traffic loop, as are the
+ * components.
  *
  * @param loop the traffic loop
  * @param port sends calls to upstreams
- * @param directory the upstreams
- * @param loads what is under way at each upstream
- * @param admission admits calls to upstreams by what these announce
- * @param extraCallBudget bounds extra calls
- * @param reservations gives out places at decode engines
- * @param organisationLimiter keeps organisations to their limits
- * @param recentRefusals which requests were refused lately
- * @param crashGuard keeps requests from upstreams that have ended several
- * @param retryPacer tells refused callers when to come back
- * @param growthMargin how much memory stays free for growth
- * @param prefillExcess by how much readings take longer than predicted
+ * @param directory the known upstreams
+ * @param loads what is in progress at each upstream
+ * @param admission admits calls to upstreams by their announcements
+ * @param extraCallBudget limits extra calls
+ * @param reservations reserves slots and memory at decode engines
+ * @param organisationLimiter enforces the limits of organisations
+ * @param recentRefusals the requests that were refused recently
+ * @param crashGuard withholds requests that have crashed several upstreams
+ * @param retryPacer determines when refused callers should retry
+ * @param growthMargin how much memory stays free for the growth of running requests
+ * @param prefillExcess by how much prefills take longer than predicted
  * @param firstEventDelay how long runs take to their first event
- * @param peerLoads what the other routers said
- * @param loadView has decisions made by what they have under way now
- * @param demandMeter measures what is asked of model services
- * @param metrics counts and measures
- * @param decisionLog logs what was decided about requests
- * @param random draws splits
+ * @param peerLoads the reports of the other routers
+ * @param loadView provides the current load of the other routers before decisions
+ * @param demandMeter measures the demand for model services
+ * @param metrics the metrics of requests
+ * @param decisionLog logs decisions about requests
+ * @param random selects among weighted services
  */
 public record ServingContext(
         TrafficLoop loop,
@@ -58,12 +58,7 @@
         DecisionLog decisionLog,
         RandomGenerator random) {
 
-    /**
-     * Returns what callers ask of a service, as all routers measured it.
-     *
-     * @param service the service
-     * @return the demand
-     */
+    /** Returns the demand for a service, as measured by all routers. */
     Demand demandFor(String service) {
         return demandMeter.published(service).plus(peerLoads.demand(service));
     }
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/ServingMetrics.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/ServingMetrics.java
@@ -6,34 +6,28 @@
 import org.troutpier.common.id.UpstreamId;
 
 /**
- * Counts and measures what becomes of requests, by outcome, route, stage and upstream. Thread safe.
- * Invariant: figures of upstreams that are gone are dropped, so their number stays bounded.
+ * Metrics of requests by outcome, route, stage and upstream. Thread safe. Invariant: metrics of
+ * upstreams that are no longer listed are removed, so their number stays bounded.
  */
 public final class ServingMetrics {
 
-    /** What the names of an upstream's figures begin with. */
+    /** The prefix of the names of an upstream's metrics. */
     private static final String UPSTREAM = "upstream.";
 
-    /** Keeps the figures. */
     private final MetricRegistry mMetrics;
 
     /** Requests that have not ended. */
     private final Counter mOpenRequests;
 
-    /** Requests that wait for a place at an engine. */
+    /** Requests that wait for a reservation at a decode engine. */
     private final Counter mWaitingRequests;
 
-    /** Extra calls that were made. */
     private final Counter mExtraCallsMade;
 
     /** Extra calls that the budget did not allow. */
     private final Counter mExtraCallsDenied;
 
-    /**
-     * Registers the figures.
-     *
-     * @param metrics keeps them
-     */
+    /** Registers the metrics. */
     public ServingMetrics(MetricRegistry metrics) {
         mMetrics = metrics;
         mOpenRequests = metrics.counter("requests.open");
@@ -42,7 +36,6 @@
         mExtraCallsDenied = metrics.counter("budget.extra.denied");
     }
 
-    /** Counts a request that begins. */
     void requestStarted() {
         mOpenRequests.inc();
     }
@@ -50,9 +43,8 @@
     /**
      * Counts a request that has ended.
      *
-     * @param route its route
-     * @param outcome how it ended
-     * @param millis how long it took
+     * @param route the name of the route
+     * @param millis the duration of the request
      */
     void requestEnded(String route, String outcome, long millis) {
         mOpenRequests.dec();
@@ -61,52 +53,37 @@
         mMetrics.histogram("requests.millis." + route).update(millis);
     }
 
-    /**
-     * Counts a request that ended before it had a route.
-     *
-     * @param outcome how it ended
-     */
+    /** Counts an outcome; on its own for a request that ended before its route was known. */
     void countOutcome(String outcome) {
         mMetrics.counter("requests." + outcome).inc();
     }
 
-    /**
-     * Measures a stage of a request.
-     *
-     * @param stage the stage
-     * @param millis how long it took
-     */
+    /** Records the duration of a stage of a request. */
     void recordStage(String stage, long millis) {
         mMetrics.histogram("stage.millis." + stage).update(millis);
     }
 
     /**
-     * Measures by how much a prediction was wrong.
+     * Records the absolute error of a prediction.
      *
-     * @param what what was predicted
+     * @param quantity the predicted quantity
      * @param predictedMillis the prediction
-     * @param millis how long it took
+     * @param millis the actual value
      */
-    void recordPredictionError(String what, double predictedMillis, long millis) {
+    void recordPredictionError(String quantity, double predictedMillis, long millis) {
         long error = Math.round(Math.abs(predictedMillis - millis));
-        mMetrics.histogram("prediction.error.millis." + what).update(error);
+        mMetrics.histogram("prediction.error.millis." + quantity).update(error);
     }
 
-    /**
-     * Counts a request that is sent to be run.
-     *
-     * @param upstream where to
-     */
+    /** Counts a call that is sent to run a request. */
     void callSent(UpstreamId upstream) {
         count(upstream, "sent");
     }
 
     /**
-     * Counts a call that an upstream answered well.
+     * Counts a call that an upstream answered successfully.
      *
-     * @param upstream the upstream
-     * @param stage the stage that is over
-     * @param millis how long it took
+     * @param millis the duration of the stage
      */
     void callSucceeded(UpstreamId upstream, String stage, long millis) {
         count(upstream, "succeeded");
@@ -114,63 +91,46 @@
     }
 
     /**
-     * Counts a call that was not answered well.
+     * Counts a call that was not answered successfully.
      *
-     * @param upstream the upstream
-     * @param notStarted whether it is proved that the upstream did not start it
+     * @param notStarted whether it is proved that the upstream did not start the call
      */
     void callFailed(UpstreamId upstream, boolean notStarted) {
         count(upstream, notStarted ? "refused" : "failed");
     }
 
-    /**
-     * Counts what happened between this router and an upstream.
-     *
-     * @param upstream the upstream
-     * @param event what happened
-     */
     private void count(UpstreamId upstream, String event) {
         mMetrics.counter(UPSTREAM + upstream.value() + "." + event).inc();
     }
 
     /**
-     * Counts an extra call that was wanted.
+     * Counts an extra call that was requested.
      *
-     * @param made whether the budget allowed it
+     * @param acquired whether the budget allowed it
      */
-    void recordExtraCall(boolean made) {
-        (made ? mExtraCallsMade : mExtraCallsDenied).inc();
+    void recordExtraCall(boolean acquired) {
+        (acquired ? mExtraCallsMade : mExtraCallsDenied).inc();
     }
 
     /**
-     * Counts a request that begins or ends to wait for a place.
+     * Counts a request that starts or ends to wait for a reservation.
      *
-     * @param waits whether it begins
+     * @param waiting whether it starts
      */
-    void reservationWaitChanged(boolean waits) {
-        if (waits) {
+    void reservationWaitChanged(boolean waiting) {
+        if (waiting) {
             mWaitingRequests.inc();
         } else {
             mWaitingRequests.dec();
         }
     }
 
-    /**
-     * Drops the figures of upstreams that are no longer listed.
-     *
-     * @param listed the ids that are listed
-     */
+    /** Removes the metrics of upstreams that are no longer listed. */
     public void retain(Set<UpstreamId> listed) {
         mMetrics.removeMatching(
                 (name, metric) -> name.startsWith(UPSTREAM) && !listed.contains(id(name)));
     }
 
-    /**
-     * Returns the upstream that a figure belongs to.
-     *
-     * @param name the figure's name
-     * @return the id
-     */
     private static UpstreamId id(String name) {
         return new UpstreamId(name.substring(UPSTREAM.length(), name.lastIndexOf('.')));
     }
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/ServingRequest.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/ServingRequest.java
@@ -9,20 +9,20 @@
 import org.troutpier.daemon.route.Organisation;
 
 /**
- * One request as a caller sent it. Immutable by agreement: headers and body are not changed. Thread
- * safe.
+ * One request as received from a caller. Immutable by convention: headers and body are not changed.
+ * Thread safe.
  *
- * @param id the caller's name for this try of the request
+ * @param id the id that the caller gave to this attempt
  * @param method the HTTP method
- * @param target path and query, as sent
- * @param host the host asked for
- * @param headers what goes to the upstream unchanged; nothing that concerns one connection only
+ * @param target path and query, as received
+ * @param host the value of the Host header
+ * @param headers the end-to-end headers, which are forwarded unchanged
  * @param body the body
- * @param deadlineMillis how long the caller waits, from the arrival
- * @param lastEventId the last event that the caller has seen of a stream, if it says so
- * @param prompt what is known of the prompt, for a model request
- * @param key the caller's key, if it sent one that can be read
- * @param requester who asks
+ * @param deadlineMillis how long the caller waits, from the arrival of the request
+ * @param lastEventId the last event of a stream that the caller has, if it says so
+ * @param prompt the metadata of the prompt, for a model request
+ * @param key the hash of the caller's key, if it sent a readable one
+ * @param requester the caller's identity
  */
 public record ServingRequest(
         RequestId id,
@@ -37,13 +37,8 @@
         Optional<KeyHash> key,
         Requester requester) {
 
-    /**
-     * Returns the request in the name of whoever asks.
-     *
-     * @param asker who asks
-     * @return a new request
-     */
-    ServingRequest withRequester(Requester asker) {
+    /** Returns a copy with another requester. */
+    ServingRequest withRequester(Requester newRequester) {
         return new ServingRequest(
                 id,
                 method,
@@ -55,25 +50,21 @@
                 lastEventId,
                 prompt,
                 key,
-                asker);
+                newRequester);
     }
 
     /**
-     * Returns in whose name the request is made.
+     * Returns the organisation on whose behalf the request is made.
      *
-     * @return the organisation, if it has one
+     * @return the organisation, if there is one
      */
     public Optional<Organisation> organisation() {
         return requester.organisation();
     }
 
-    /**
-     * Returns how many tokens the request takes at most.
-     *
-     * @return the prompt's and the output's, if the request says so
-     */
+    /** Returns the most tokens that the request can take, prompt and output, if it says so. */
     OptionalLong maxTokens() {
-        return prompt.map(shape -> OptionalLong.of(shape.maxTokens()))
+        return prompt.map(metadata -> OptionalLong.of(metadata.maxTokens()))
                 .orElseGet(OptionalLong::empty);
     }
 }
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/StreamExecution.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/StreamExecution.java
@@ -15,81 +15,71 @@
 import org.troutpier.daemon.upstream.AttemptEnd;
 
 /**
- * Serves a request of a model: finds memory at a decode engine, has a prefill engine read the
- * prompt, then hands the decode engine's events on as they come. Confined to the traffic loop.
- * Invariants: no prompt is read before memory is found for it; a stream that was begun ends whole
- * only where its run did; memory set aside is used or given back.
+ * Serves a streaming model request with separate prefill and decode engines: reserves memory at a
+ * decode engine, has a prefill engine process the prompt, then relays the decode engine's events to
+ * the caller. Confined to the traffic loop. Invariants: no prefill is sent before memory is
+ * reserved for its request; a stream is ended as complete only where its run was complete; each
+ * reservation is used or released.
  */
 final class StreamExecution extends RequestExecution {
 
-    /** What the service's engines can do. */
     private final EngineTraits mEngineTraits;
 
-    /** Hands events to the caller. */
     private final EventRelay mRelay;
 
-    /** The prefill engines that were tried for this run. */
+    /** Prefill engines that were tried for the current run. */
     private final Set<UpstreamIncarnation> mTriedPrefillEngines = new HashSet<>();
 
-    /** Where it runs or is going to run. */
     private final DecodeReservation mReservation;
 
-    /** The prompt's reading, or null. */
+    /** The prefill in progress, or null. */
     private PrefillCall mPrefillCall;
 
-    /** The run under way, or null. */
+    /** The decode run in progress, or null. */
     private StreamRun mRun;
 
-    /** A prompt that was read and not used, to be used at another decode engine; or null. */
+    /** A prefill result that no decode engine has fetched, kept for the next one; or null. */
     private UpstreamPort.StoredPrompt mStoredPrompt;
 
-    /** Until when it can be used, milliseconds. */
+    /** Until when {@link #mStoredPrompt} can be fetched, milliseconds on the loop's clock. */
     private long mStoredPromptExpiry;
 
-    /** Where the prompt of a run whose answer was lost still is. */
+    /** The engine that still has the prompt of a run whose answer was lost. */
     private final ResumeTarget mResumeTarget = new ResumeTarget();
 
-    /** How long the wait for a place was predicted to be, milliseconds. */
     private double mPredictedWaitMillis;
 
-    /** Whether it was refused lately and comes back as told. */
+    /** Whether the request was refused recently and this is the caller's retry. */
     private boolean mReturning;
 
-    /** Whether a place was looked for before, so that this time something has failed. */
+    /** Whether this is not the first search, so that an earlier attempt has failed. */
     private boolean mSearchedBefore;
 
-    /** When the caller had the last event, or 0 before; milliseconds since the request came. */
+    /**
+     * When the current wait budget began, milliseconds since the request arrived: 0 before the
+     * stream was started, then the time at which its last run failed.
+     */
     private long mWaitStart;
 
-    /** Whether the caller has the stream's head. */
+    /** Whether the head of the answer was sent to the caller. */
     private boolean mStreamStarted;
 
-    /** Whether a prompt was sent to be read before, so that the next one counts as extra. */
+    /** Whether a prefill was already sent, so that the next one counts as an extra call. */
     private boolean mPrefilledBefore;
 
-    /**
-     * Creates an execution.
-     *
-     * @param context the collaborators
-     * @param request the request
-     * @param route its route
-     * @param service the service that was chosen among the route's
-     * @param engine what the service's engines can do
-     * @param caller the way to answer
-     */
     StreamExecution(
             ServingContext context,
             ServingRequest request,
             Route route,
             String service,
-            EngineTraits engine,
+            EngineTraits engineTraits,
             CallerChannel caller) {
         super(context, request, route, service, caller);
-        mEngineTraits = engine;
+        mEngineTraits = engineTraits;
         mRelay = new EventRelay(caller, request.lastEventId());
         mReservation =
                 new DecodeReservation(
-                        context, service, engine, flowKey(), promptTokens(), maxTokens());
+                        context, service, engineTraits, flowKey(), promptTokens(), maxTokens());
     }
 
     /** {@inheritDoc} */
@@ -99,7 +89,7 @@
             return;
         }
         if (promptTokens() > mEngineTraits.memoryTokens()) {
-            refuse(ResultCode.NO_PLACE, "larger than an engine's memory", 0);
+            refuse(ResultCode.NO_PLACE, "prompt exceeds an engine's memory", 0);
             return;
         }
         mReturning = isReturning();
@@ -110,49 +100,41 @@
         search();
     }
 
-    /** Looks for a place at a decode engine, or refuses at once what cannot start in time. */
+    /** Searches for a decode engine with room, or refuses at once what cannot start in time. */
     private void search() {
         if (untriedEngines().isEmpty()) {
-            failWithoutRun(ResultCode.NO_PLACE, "no engine is left");
+            failWithoutRun(ResultCode.NO_PLACE, "no untried decode engine");
             return;
         }
-        WaitBudget window = waitBudget();
+        WaitBudget budget = waitBudget();
         WaitBudget.Prediction prediction = prediction();
-        if (mContext.admission().backOffMillis(untriedEngines()) > window.waitMillis(prediction)) {
-            failWithoutRun(ResultCode.NO_PLACE, "engines asked for a back-off");
+        if (mContext.admission().backOffMillis(untriedEngines()) > budget.waitMillis(prediction)) {
+            failWithoutRun(ResultCode.NO_PLACE, "decode engines requested a back-off");
             return;
         }
         mPredictedWaitMillis =
                 mReservation.predictedWaitMillis(upstreams(UpstreamEntry.Role.DECODE));
-        if (window.isExceededBy(mPredictedWaitMillis, prediction)) {
-            mTrace.addStep("room predicted in " + (long) mPredictedWaitMillis + "ms");
-            failWithoutRun(ResultCode.NO_PLACE, "no place in time");
+        if (budget.isExceededBy(mPredictedWaitMillis, prediction)) {
+            mTrace.addStep("predicted wait for memory " + (long) mPredictedWaitMillis + "ms");
+            failWithoutRun(ResultCode.NO_PLACE, "predicted wait exceeds the time left");
             return;
         }
         mSearchedBefore = true;
         mReservation.search(
-                window.waitMillis(prediction),
-                window.tier(),
+                budget.waitMillis(prediction),
+                budget.tier(),
                 mRelay.eventCount(),
                 this::eligibleEngines,
                 new SearchListener());
     }
 
-    /**
-     * Returns how long the request may wait.
-     *
-     * @return the window
-     */
+    /** Returns how long the request may wait for a reservation. */
     private WaitBudget waitBudget() {
         long elapsed = mTrace.elapsedMillis() - mWaitStart;
         return new WaitBudget(mRoute.targetMillis(), elapsed, remainingMillis(), tier());
     }
 
-    /**
-     * Returns whether the request can still be in time.
-     *
-     * @return its standing
-     */
+    /** Returns the queue tier, which depends on whether the request can still meet its target. */
     private QueueTier tier() {
         if (mStreamStarted || mRequest.lastEventId().isPresent()) {
             return QueueTier.CONTINUED;
@@ -161,11 +143,7 @@
         return late || mReturning ? QueueTier.LATE : QueueTier.IN_TIME;
     }
 
-    /**
-     * Predicts what follows once a place was found.
-     *
-     * @return the prediction
-     */
+    /** Predicts the time from the reservation to the first event. */
     private WaitBudget.Prediction prediction() {
         return new WaitBudget.Prediction(
                 predictedPrefillMillis() + mContext.prefillExcess().predictedMillis(),
@@ -173,9 +151,8 @@
     }
 
     /**
-     * Looks for a place at the engine that lost the run's answer, whose memory it left just now.
-     *
-     * @param end how the run ended
+     * Tries to reserve memory at the engine that lost the run's answer and may still have the
+     * prompt.
      */
     private void searchResumeTarget(AttemptEnd end) {
         mReservation.search(
@@ -187,43 +164,35 @@
     }
 
     /**
-     * Takes a place.
+     * Accepts a reservation.
      *
-     * @param engine where it is
-     * @param place the place; empty where engines do not set places aside
+     * @param engine the engine that granted it
+     * @param reservation the reservation; empty where the engines do not support reservations
      */
-    private void acceptReservation(UpstreamEntry engine, Optional<UpstreamPort.Reservation> place) {
-        mReservation.accept(engine, place);
+    private void acceptReservation(
+            UpstreamEntry engine, Optional<UpstreamPort.Reservation> reservation) {
+        mReservation.accept(engine, reservation);
         mContext.retryPacer().recordGrant(mContext.loop().millis());
         mTrace.addStep("place@" + engine.id() + " known " + mContext.loads().tokens(engine));
     }
 
-    /**
-     * Returns whether the request was refused lately and comes back as told.
-     *
-     * @return whether it does
-     */
+    /** Returns whether the request was refused recently and this is the caller's retry. */
     private boolean isReturning() {
         long now = mContext.loop().millis();
         return mRequest.prompt()
-                .filter(own -> mContext.recentRefusals().isReturning(own, now))
+                .filter(prompt -> mContext.recentRefusals().isReturning(prompt, now))
                 .isPresent();
     }
 
     /**
-     * Returns the decode engines that may be asked for a place now.
-     *
-     * @return the engines; none while the prefill engines could not read the prompt in time
+     * Returns the decode engines at which memory may be reserved now; none while the prefill
+     * engines could not process the prompt in time.
      */
     private List<UpstreamEntry> eligibleEngines() {
         return waitBudget().allowsPrefill(prediction()) ? untriedEngines() : List.of();
     }
 
-    /**
-     * Returns the decode engines that have not had the request.
-     *
-     * @return the engines
-     */
+    /** Returns the decode engines to which the request may still be sent. */
     private List<UpstreamEntry> untriedEngines() {
         Set<UpstreamIncarnation> excluded = excludedUpstreams();
         return upstreams(UpstreamEntry.Role.DECODE).stream()
@@ -232,41 +201,36 @@
     }
 
     /**
-     * Predicts how long the prompt's reading takes at the prefill engine with the least to read.
+     * Predicts the prefill time at the prefill engine with the fewest queued tokens.
      *
-     * @return milliseconds; 0 where the engines' pace is not known or none reads prompts
+     * @return milliseconds; 0 where the engines' throughput is unknown or there is no prefill
+     *     engine
      */
     private double predictedPrefillMillis() {
-        List<UpstreamEntry> prefill =
+        List<UpstreamEntry> engines =
                 mContext.loads().byTokens(upstreams(UpstreamEntry.Role.PREFILL), Set.of());
-        if (prefill.isEmpty()) {
+        if (engines.isEmpty()) {
             return 0;
         }
-        long queue = mContext.loads().tokens(prefill.get(0));
-        return mContext.demandFor(mService).reading().predictedMillis(queue + promptTokens());
+        long queuedTokens = mContext.loads().tokens(engines.get(0));
+        return mContext.demandFor(mService)
+                .reading()
+                .predictedMillis(queuedTokens + promptTokens());
     }
 
-    /**
-     * Returns how much memory the request takes at most.
-     *
-     * @return tokens
-     */
+    /** Returns the most memory that the request can take, in tokens. */
     private long maxTokens() {
         return mRequest.prompt().map(PromptMetadata::maxTokens).orElse(0L);
     }
 
-    /**
-     * Returns the prompt's length.
-     *
-     * @return tokens
-     */
     private long promptTokens() {
         return mRequest.prompt().map(PromptMetadata::promptTokens).orElse(0);
     }
 
     /**
-     * Has the prompt read, or has the decode engine read it where nobody else can or no extra call
-     * is left: its run is the request's first all the same.
+     * Has the prompt processed by a prefill engine. Where there is none, or the budget allows no
+     * further extra call, the decode engine processes the prompt itself: the run is the request's
+     * first call to it, not an extra one.
      */
     private void prefill() {
         if (refuseIfQuarantined()) {
@@ -294,15 +258,16 @@
         }
         Optional<UpstreamEntry> admitted = mContext.admission().acquireFirst(engines, flowKey());
         if (admitted.isEmpty()) {
-            mTrace.addStep("no prefill engine takes a call now");
+            mTrace.addStep("no prefill engine admits the call");
             startRun(Optional.empty());
             return;
         }
         UpstreamEntry engine = admitted.get();
         mTriedPrefillEngines.add(engine.incarnation());
-        boolean alone = mContext.loads().tokens(engine) == 0 && !mPrefilledBefore && !mReturning;
+        boolean measurable =
+                mContext.loads().tokens(engine) == 0 && !mPrefilledBefore && !mReturning;
         mPrefilledBefore = true;
-        PrefillCall.Prompt prompt = new PrefillCall.Prompt(mService, promptTokens(), alone);
+        PrefillCall.Prompt prompt = new PrefillCall.Prompt(mService, promptTokens(), measurable);
         mPrefillCall = new PrefillCall(mContext, prompt, engine, mTrace, new PrefillListener());
         mPrefillCall.send(
                 mRequest,
@@ -311,9 +276,7 @@
     }
 
     /**
-     * Returns whether the prompt that was read and not used can still be used.
-     *
-     * @return whether its time is not over and its engine has not started again
+     * Returns whether the stored prefill result has not expired and its engine has not restarted.
      */
     private boolean isStoredPromptValid() {
         return mContext.loop().millis() < mStoredPromptExpiry
@@ -321,11 +284,11 @@
     }
 
     /**
-     * Sends the request to the decode engine, or looks for another where that one has left since
-     * its place was found: reading the prompt may take longer than an upstream that leaves may get
-     * work.
+     * Sends the request to the decode engine, or searches for another one if that engine has
+     * stopped taking work since the reservation: the prefill can take longer than the time for
+     * which a leaving upstream still accepts new requests.
      *
-     * @param prompt where the prompt was read, if elsewhere
+     * @param prompt the stored prefill result; empty where the decode engine processes the prompt
      */
     private void startRun(Optional<UpstreamPort.StoredPrompt> prompt) {
         if (refuseIfQuarantined()) {
@@ -333,14 +296,14 @@
             return;
         }
         UpstreamEntry engine = mReservation.engine();
-        boolean takesWork =
+        boolean acceptsWork =
                 mContext.directory()
                         .usable(engine)
                         .filter(listed -> listed.role() == UpstreamEntry.Role.DECODE)
                         .filter(mContext.admission()::stillAdmits)
                         .isPresent();
-        if (!takesWork) {
-            mTrace.addStep("left@" + engine.id());
+        if (!acceptsWork) {
+            mTrace.addStep("unavailable@" + engine.id());
             prompt.ifPresent(stored -> mStoredPrompt = stored);
             mReservation.release();
             search();
@@ -357,29 +320,24 @@
     }
 
     /**
-     * Ends the request before a run was begun, or breaks off a stream that cannot be continued.
+     * Refuses a request of which no run is in progress, or aborts a stream that cannot be resumed.
      *
-     * @param code the code that fits the last step
-     * @param detail what exactly
+     * @param code the result code that fits the last step
      */
     private void failWithoutRun(ResultCode code, String detail) {
         if (mStreamStarted) {
             abortStream(detail);
         } else {
             long now = mContext.loop().millis();
-            mRequest.prompt().ifPresent(own -> mContext.recentRefusals().recordRefusal(own, now));
+            mRequest.prompt()
+                    .ifPresent(prompt -> mContext.recentRefusals().recordRefusal(prompt, now));
             long limit = (long) (remainingMillis() * ServingSettings.MAX_RETRY_AFTER_RATIO);
             long backOff = mContext.admission().backOffMillis(untriedEngines());
             refuse(code, detail, backOff + mContext.retryPacer().nextDelayMillis(now, limit));
         }
     }
 
-    /**
-     * Goes on after a run that failed.
-     *
-     * @param upstream where it was
-     * @param end how it ended
-     */
+    /** Decides how to continue after a failed run. */
     private void onRunFailed(UpstreamEntry upstream, AttemptEnd end) {
         recordFailure(upstream, end);
         if (end.notStarted() || mRoute.kind() == Route.Kind.RESUMABLE_STREAM) {
@@ -391,11 +349,10 @@
     }
 
     /**
-     * Looks for a place for another run, if there may be one.
+     * Starts the search for another run if one is allowed.
      *
-     * @param upstream where the last one was
-     * @param end how it ended
-     * @param ended whether that engine is known to have ended, and its memory with it
+     * @param upstream the engine of the failed run
+     * @param ended whether the engine's process is known to have ended, and its memory with it
      */
     private void retryRun(UpstreamEntry upstream, AttemptEnd end, boolean ended) {
         boolean resumable = mRoute.kind() == Route.Kind.RESUMABLE_STREAM;
@@ -411,7 +368,7 @@
         failWithoutRun(end.code(), end.detail());
     }
 
-    /** Looks for a place for another run, from now on. */
+    /** Searches for another decode engine, with a new wait budget. */
     private void restartSearch() {
         mTriedPrefillEngines.clear();
         mWaitStart = mStreamStarted ? mTrace.elapsedMillis() : 0;
@@ -432,7 +389,7 @@
         discardStoredPrompt();
     }
 
-    /** Frees the prompt that was read and not used. */
+    /** Frees the stored prefill result that no decode engine has fetched. */
     private void discardStoredPrompt() {
         if (mStoredPrompt != null) {
             mContext.port().discard(mStoredPrompt);
@@ -452,16 +409,17 @@
         return mStreamStarted;
     }
 
-    /** Receives a place. Confined to the traffic loop. */
+    /** Receives the outcome of a search over all decode engines. Confined to the traffic loop. */
     private final class SearchListener implements ReservationAllocator.Listener {
 
         /** {@inheritDoc} */
         @Override
-        public void onGranted(UpstreamEntry engine, Optional<UpstreamPort.Reservation> place) {
+        public void onGranted(
+                UpstreamEntry engine, Optional<UpstreamPort.Reservation> reservation) {
             mContext.metrics()
                     .recordPredictionError(
                             "place", mPredictedWaitMillis, mReservation.searchMillis());
-            acceptReservation(engine, place);
+            acceptReservation(engine, reservation);
             prefill();
         }
 
@@ -472,20 +430,23 @@
             mContext.growthMargin().recordRefusal();
             mTrace.addStep(
                     detail + ", prompt read in " + (long) predictedPrefillMillis() + "ms at best");
-            failWithoutRun(ResultCode.NO_PLACE, "no place");
+            failWithoutRun(ResultCode.NO_PLACE, "no decode engine had room in time");
         }
     }
 
-    /** Receives a place at the engine that has the prompt. Confined to the traffic loop. */
+    /**
+     * Receives the outcome of a search at the engine that may still have the prompt. Confined to
+     * the traffic loop.
+     */
     private final class ResumeSearchListener implements ReservationAllocator.Listener {
 
-        /** How the run ended whose prompt it has. */
+        /** How the run ended that is to be resumed. */
         private final AttemptEnd mEnd;
 
         /**
          * Creates a listener.
          *
-         * @param end how the run ended whose prompt the engine has
+         * @param end how the run ended that is to be resumed
          */
         ResumeSearchListener(AttemptEnd end) {
             mEnd = end;
@@ -493,8 +454,9 @@
 
         /** {@inheritDoc} */
         @Override
-        public void onGranted(UpstreamEntry engine, Optional<UpstreamPort.Reservation> place) {
-            acceptReservation(engine, place);
+        public void onGranted(
+                UpstreamEntry engine, Optional<UpstreamPort.Reservation> reservation) {
+            acceptReservation(engine, reservation);
             mResumeTarget.recordResume();
             mTrace.addStep("prompt still there");
             startRun(Optional.empty());
@@ -513,7 +475,7 @@
         }
     }
 
-    /** Receives the prompt. Confined to the traffic loop. */
+    /** Receives the outcome of a prefill. Confined to the traffic loop. */
     private final class PrefillListener implements PrefillCall.Listener {
 
         /** {@inheritDoc} */
@@ -537,43 +499,38 @@
     /** One run at a decode engine. Confined to the traffic loop. */
     private final class StreamRun extends UpstreamRun {
 
-        /** Where its prompt was read, if elsewhere. */
+        /** The stored prefill result; empty where the decode engine processes the prompt. */
         private final Optional<UpstreamPort.StoredPrompt> mPrompt;
 
-        /** When the last event came, milliseconds. */
+        /** When the last event arrived, milliseconds on the loop's clock; 0 before the first. */
         private long mLastEventAt;
 
-        /** An answer that is no stream, or null. */
+        /** A response that is no event stream, or null. */
         private BufferedResponse mErrorResponse;
 
         /**
          * Creates a run.
          *
-         * @param upstream where it runs
-         * @param prompt where its prompt was read, if elsewhere
+         * @param prompt the stored prefill result; empty where the decode engine processes the
+         *     prompt
          */
         StreamRun(UpstreamEntry upstream, Optional<UpstreamPort.StoredPrompt> prompt) {
             super(StreamExecution.this.mContext, upstream);
             mPrompt = prompt;
         }
 
-        /**
-         * Sends the call.
-         *
-         * @param plan what goes with it
-         */
         void start(UpstreamPort.RunPlan plan) {
             send(mRequest, plan);
             mCaller.onWritable(() -> setAutoRead(true));
             restartSilenceTimer();
         }
 
-        /** Starts to wait for the next event where the stream may be continued elsewhere. */
+        /** Restarts the silence timer where the stream can be resumed at another engine. */
         private void restartSilenceTimer() {
-            boolean another =
+            boolean canResume =
                     mRoute.kind() == Route.Kind.RESUMABLE_STREAM
                             && mAttempted.size() < mRoute.maxAttempts();
-            if (another) {
+            if (canResume) {
                 startSilenceTimer(ServingSettings.STREAM_SILENCE_MILLIS);
             } else {
                 stopSilenceTimer();
@@ -637,17 +594,18 @@
             }
         }
 
-        /** Notes a pause between events that makes the answer late. */
+        /** Records a pause between two events that exceeds the route's limit. */
         private void recordPause() {
             long now = mContext.loop().millis();
             long pause = now - mLastEventAt;
             if (mLastEventAt != 0
                     && mRoute.eventGapMillis() > 0
                     && pause > mRoute.eventGapMillis()) {
-                long used = mContext.loads().tokens(mUpstream);
+                long usedTokens = mContext.loads().tokens(mUpstream);
                 mTrace.markNotable();
                 mContext.growthMargin().recordPause(now);
-                mTrace.addStep("pause " + pause + "ms@" + mUpstream.id() + " known tokens " + used);
+                mTrace.addStep(
+                        "pause " + pause + "ms@" + mUpstream.id() + " known tokens " + usedTokens);
             }
             mLastEventAt = now;
         }
@@ -660,7 +618,9 @@
                 return;
             }
             if (!mRelay.atEventBoundary()) {
-                onFailure(AttemptEnd.failed(ResultCode.UPSTREAM_FAILED, "ended inside an event"));
+                onFailure(
+                        AttemptEnd.failed(
+                                ResultCode.UPSTREAM_FAILED, "stream ended inside an event"));
                 return;
             }
             close();
@@ -676,7 +636,7 @@
             finishAnswered();
         }
 
-        /** Goes on after an answer that is no stream. */
+        /** Handles a complete response that is no event stream. */
         private void onErrorResponse() {
             UpstreamPort.Head head = mErrorResponse.head();
             AttemptEnd end = AttemptEnds.end(head);
@@ -686,8 +646,8 @@
             } else if (end.notStarted()) {
                 mPrompt.ifPresent(mContext.port()::discard);
             }
-            boolean own = head.verdict() == UpstreamPort.Verdict.OWN_FAILURE;
-            if (own && !mStreamStarted && mRoute.kind() != Route.Kind.RESUMABLE_STREAM) {
+            boolean ownFailure = head.verdict() == UpstreamPort.Verdict.OWN_FAILURE;
+            if (ownFailure && !mStreamStarted && mRoute.kind() != Route.Kind.RESUMABLE_STREAM) {
                 recordFailure(mUpstream, end);
                 mTrace.markNotable();
                 mTrace.addStep("status=" + head.status());
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/TrafficLoop.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/TrafficLoop.java
@@ -4,24 +4,18 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * The one thread that serves requests. Implementations are thread safe. Invariant: tasks run one at
- * a time, so state that only they touch needs no lock.
+ * The single-threaded event loop that serves requests. Implementations are thread safe. Invariant:
+ * tasks run one at a time, so that state that only they access needs no lock.
  */
 public interface TrafficLoop {
 
-    /**
-     * Runs a task.
-     *
-     * @param task the task
-     */
+    /** Runs a task. */
     void execute(Runnable task);
 
     /**
-     * Runs a task later.
+     * Runs a task after a delay.
      *
-     * @param task the task
-     * @param millis how much later
-     * @return the timer, to stop it
+     * @param millis the delay
      */
     Timer schedule(Runnable task, long millis);
 
@@ -41,24 +35,19 @@
         return TimeUnit.NANOSECONDS.toMillis(nanos());
     }
 
-    /** A task that waits for its time. */
+    /** A scheduled task. */
     interface Timer {
 
-        /** Stops the timer; a task that has begun goes on. */
+        /** Cancels the task; one that has begun is not interrupted. */
         void cancel();
     }
 
-    /** A loop on Netty's event loop. Thread safe. */
+    /** An implementation on Netty's event loop. Thread safe. */
     final class ForNetty implements TrafficLoop {
 
-        /** Runs the tasks. */
         private final EventLoop mLoop;
 
-        /**
-         * Creates a loop.
-         *
-         * @param loop runs the tasks
-         */
+        /** Creates a traffic loop. */
         public ForNetty(EventLoop loop) {
             mLoop = loop;
         }
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/UpstreamRun.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/UpstreamRun.java
@@ -5,60 +5,46 @@
 import org.troutpier.daemon.upstream.AttemptEnd;
 
 /**
- * One run of a request at one upstream, from its call until it is over. Confined to the traffic
- * loop. Invariants: {@link #onClosed()} is called once; an upstream is given up for its silence
- * only while the run is not over.
+ * One call that runs a request at one upstream. Confined to the traffic loop. Invariants: {@link
+ * #onClosed()} is called exactly once; {@link #onSilence()} is not called after it.
  */
 abstract class UpstreamRun implements UpstreamPort.RunListener {
 
-    /** The collaborators. */
+    /** The shared collaborators. */
     protected final ServingContext mContext;
 
-    /** Where it runs. */
+    /** The upstream to which the call is sent. */
     protected final UpstreamEntry mUpstream;
 
-    /** When it began, milliseconds. */
+    /** When the run began, milliseconds on the loop's clock. */
     private final long mStart;
 
-    /** The call. */
     private UpstreamPort.Call mCall;
 
-    /** Fires when the upstream was silent for too long, or null. */
+    /** Fires when the upstream was silent for too long; null while it is not set. */
     private TrafficLoop.Timer mSilenceTimer;
 
-    /** Whether the run is over. */
     private boolean mEnded;
 
-    /**
-     * Creates a run.
-     *
-     * @param context the collaborators
-     * @param upstream where it runs
-     */
     UpstreamRun(ServingContext context, UpstreamEntry upstream) {
         mContext = context;
         mUpstream = upstream;
         mStart = context.loop().millis();
     }
 
-    /** Called when the upstream was silent for too long. */
+    /** Called when the silence timer fires. */
     protected abstract void onSilence();
 
-    /** Called when the run is over, whatever its end. */
+    /** Called when the run ends, however it ends. */
     protected abstract void onClosed();
 
-    /**
-     * Sends the call.
-     *
-     * @param request the request
-     * @param plan what goes with it
-     */
+    /** Sends the call. */
     protected void send(ServingRequest request, UpstreamPort.RunPlan plan) {
         mCall = mContext.port().run(mUpstream, request, plan, this);
     }
 
     /**
-     * Waits for a sign of the upstream, instead of what it was waited for before.
+     * Starts the silence timer; replaces one that was set before.
      *
      * @param millis how long the upstream may be silent from now on
      */
@@ -69,7 +55,7 @@
         }
     }
 
-    /** Lets the upstream be silent as long as it likes. */
+    /** Stops the silence timer. */
     protected void stopSilenceTimer() {
         if (mSilenceTimer != null) {
             mSilenceTimer.cancel();
@@ -77,7 +63,6 @@
         }
     }
 
-    /** Tells of the upstream's silence. */
     private void fireSilence() {
         if (!mEnded) {
             onSilence();
@@ -85,15 +70,15 @@
     }
 
     /**
-     * Lets the answer come, or holds it back.
+     * Enables or disables reading from the upstream, for back-pressure.
      *
-     * @param on whether it may come
+     * @param on whether to read what the upstream sends
      */
     protected void setAutoRead(boolean on) {
         mCall.setAutoRead(on);
     }
 
-    /** Ends the call without hearing more. */
+    /** Aborts the call; its listener is not called again. */
     void abort() {
         mCall.abort();
         close();
@@ -105,18 +90,14 @@
         mContext.admission().recordAnswer(mUpstream, notice, verdict, elapsedMillis());
     }
 
-    /**
-     * Gives back that the run was admitted, where it never reached its upstream.
-     *
-     * @param end how it ended
-     */
+    /** Refunds the admission of a call that never reached its upstream. */
     protected void refundIfUnreached(AttemptEnd end) {
         if (end.neverReached()) {
             mContext.admission().refund(mUpstream, mStart);
         }
     }
 
-    /** Records that the call is over. */
+    /** Ends the run. */
     protected void close() {
         stopSilenceTimer();
         if (!mEnded) {
@@ -126,7 +107,7 @@
     }
 
     /**
-     * Returns how long the run has taken so far.
+     * Returns the duration of the run so far.
      *
      * @return milliseconds
      */
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/package-info.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/package-info.java
@@ -1,2 +1,4 @@
-/** Serves requests by route: admission, attempts at upstreams, retries, streams, planned stops. */
+/**
+ * Serves requests by route: admission, attempts at upstreams, retries, streams, graceful shutdown.
+ */
 package org.troutpier.daemon.serving;
--- a/troutpier-daemon/src/test/java/org/troutpier/daemon/serving/DecisionLogTest.java
+++ b/troutpier-daemon/src/test/java/org/troutpier/daemon/serving/DecisionLogTest.java
@@ -11,7 +11,7 @@
 import org.troutpier.common.event.HybridClock;
 import org.troutpier.daemon.node.ManualTime;
 
-/** Which requests have a line of their own. */
+/** Which requests get a log line of their own. */
 public final class DecisionLogTest {
 
     private ManualTime mTime;
--- a/troutpier-daemon/src/test/java/org/troutpier/daemon/serving/EventRelayTest.java
+++ b/troutpier-daemon/src/test/java/org/troutpier/daemon/serving/EventRelayTest.java
@@ -12,7 +12,7 @@
 import org.testng.annotations.Test;
 import org.troutpier.common.result.TroutpierException;
 
-/** How events are handed on. */
+/** Events are relayed complete and in order. */
 public final class EventRelayTest {
 
     private FakeCaller mCaller;
--- a/troutpier-daemon/src/test/java/org/troutpier/daemon/serving/ExecutionTest.java
+++ b/troutpier-daemon/src/test/java/org/troutpier/daemon/serving/ExecutionTest.java
@@ -40,7 +40,7 @@
 import org.troutpier.daemon.route.Route;
 import org.troutpier.daemon.upstream.AttemptEnd;
 
-/** What becomes of a request whose upstreams fail. */
+/** Executions whose upstreams fail, leave, restart or refuse work. */
 public final class ExecutionTest {
 
     private ManualTime mTime;
@@ -50,10 +50,9 @@
     private ServingContext mContext;
     private Quarantine mQuarantine;
 
-    /** Who asks. */
     private Requester mRequester;
 
-    /** The decisions that wait for a fresh view; null where it is always fresh. */
+    /** The decisions that wait for a fresh load view; null where the view is always fresh. */
     private List<Runnable> mDeferredDecisions;
 
     @BeforeMethod
@@ -150,7 +149,10 @@
                 mRequester);
     }
 
-    /** Nothing is under way at any upstream; how calls ended may still be told. */
+    /**
+     * Asserts that no calls and tokens are recorded at any upstream; outcomes of past calls may
+     * remain.
+     */
     private void assertNothingHeld() {
         mContext.loads()
                 .usage()
@@ -544,9 +546,9 @@
     }
 
     /**
-     * A place was found, the engine said that it leaves while the prompt was read, and the run went
-     * there all the same: later than an upstream that leaves may get work, where the reading takes
-     * longer than that.
+     * Guards against a run that is sent to an engine which announced during the prefill that it
+     * leaves: the prefill can take longer than the time for which a leaving upstream still accepts
+     * new requests.
      */
     @Test
     public void aRunDoesNotGoToAnEngineThatLeftWhileItsPromptWasRead() {
@@ -576,7 +578,7 @@
         assertNothingHeld();
     }
 
-    /** Sends an upstream more than it takes, and has it name its rate. */
+    /** Sends an upstream more calls than it accepts and has it announce its rate. */
     private void exhaustRate(UpstreamEntry upstream) {
         for (int call = 0; call < 20; call++) {
             mContext.admission()
--- a/troutpier-daemon/src/test/java/org/troutpier/daemon/serving/FailingEnginesTest.java
+++ b/troutpier-daemon/src/test/java/org/troutpier/daemon/serving/FailingEnginesTest.java
@@ -17,8 +17,9 @@
 import org.troutpier.daemon.organisation.UsageReport;
 
 /**
- * Engines that say they are well and fail all their runs at once, under many routers of which each
- * sees few runs: what callers lose.
+ * Engines that report to be healthy and fail every run at once, used by many routers of which each
+ * sees few runs. Guards against routers that do not share the outcomes of their calls and therefore
+ * keep sending runs to such engines.
  */
 public final class FailingEnginesTest {
 
@@ -41,8 +42,9 @@
     private final List<Run> mRuns = new ArrayList<>();
 
     /**
-     * Six seconds of a burst after three calm ones in which all engines are sound. Lost before
-     * routers told each other how calls ended: 199 of some 252; since then 19.
+     * A burst of six seconds after three seconds of low load with healthy engines. Of about 252
+     * runs, 199 were lost when routers did not report the outcomes of their calls to each other,
+     * and 19 when they did.
      */
     @Test
     public void enginesThatFailAllRunsLoseFewOfThem() {
@@ -61,7 +63,7 @@
         assertTrue(lost <= 10 * FAILING, "lost " + lost);
     }
 
-    /** Has callers ask for a while; returns how many runs failed. */
+    /** Simulates callers for a time; returns how many runs failed. */
     private int simulate(Random random, int millis, double perSecond, int failing) {
         int lost = 0;
         for (int passed = 0; passed < millis; passed += STEP_MILLIS) {
@@ -99,7 +101,7 @@
         }
     }
 
-    /** Has each router hear the sum of all others, as a relay tells it. */
+    /** Delivers the sum of all other routers' reports to each router, as a relay does. */
     private void exchangeReports() {
         List<LoadReport> reports = new ArrayList<>();
         for (UpstreamLoads loads : mRouters) {
--- a/troutpier-daemon/src/test/java/org/troutpier/daemon/serving/FakeCaller.java
+++ b/troutpier-daemon/src/test/java/org/troutpier/daemon/serving/FakeCaller.java
@@ -4,7 +4,7 @@
 import java.nio.charset.StandardCharsets;
 import org.troutpier.common.result.ResultCode;
 
-/** A caller that notes what it gets. Confined to the test's thread. */
+/** A caller that records what it receives. Confined to the test's thread. */
 final class FakeCaller implements CallerChannel {
 
     private final StringBuilder mText = new StringBuilder();
--- a/troutpier-daemon/src/test/java/org/troutpier/daemon/serving/FakePort.java
+++ b/troutpier-daemon/src/test/java/org/troutpier/daemon/serving/FakePort.java
@@ -9,7 +9,7 @@
 import org.troutpier.daemon.directory.UpstreamEntry;
 import org.troutpier.daemon.upstream.AttemptEnd;
 
-/** Upstreams that a test answers for. Confined to the test's thread. */
+/** Upstreams whose answers are given by the test. Confined to the test's thread. */
 final class FakePort implements UpstreamPort {
 
     final List<Sent> mRuns = new ArrayList<>();
@@ -20,7 +20,7 @@
     final List<String> mReleased = new ArrayList<>();
     final Set<UpstreamIncarnation> mFullEngines = new HashSet<>();
 
-    /** Answers whether an upstream listens. */
+    /** Answers connection probes. */
     Consumer<Consumer<ProbeResult>> mOnCheck = listener -> listener.accept(ProbeResult.LISTENING);
 
     boolean mDefersReservations;
--- a/troutpier-daemon/src/test/java/org/troutpier/daemon/serving/RecentRefusalsTest.java
+++ b/troutpier-daemon/src/test/java/org/troutpier/daemon/serving/RecentRefusalsTest.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import org.testng.annotations.Test;
 
-/** How refused requests are known again. */
+/** Retries of refused requests are recognised. */
 public final class RecentRefusalsTest {
 
     @Test
--- a/troutpier-daemon/src/test/java/org/troutpier/daemon/serving/ReservationAllocatorTest.java
+++ b/troutpier-daemon/src/test/java/org/troutpier/daemon/serving/ReservationAllocatorTest.java
@@ -28,7 +28,7 @@
 import org.troutpier.daemon.notice.AnnouncedRate;
 import org.troutpier.daemon.organisation.UsageReport;
 
-/** How places at decode engines are found. */
+/** Searches for reservations at decode engines. */
 public final class ReservationAllocatorTest {
 
     private static final long MEMORY = 100_000;
@@ -150,7 +150,7 @@
         assertNull(mGranted);
     }
 
-    /** The last look falls behind the time in which engines may be asked by a moment at times. */
+    /** The last round may run shortly after the time in which engines may be asked. */
     @Test
     public void aRefusalNamesTheEnginesThatRefusedThoughNoneMayBeAskedAnyMore() {
         mPort.mFullEngines.addAll(Set.of(mFirst.incarnation(), mSecond.incarnation()));
@@ -270,7 +270,7 @@
         assertEquals(mAllocator.waitingTokens(), 0);
     }
 
-    /** Engines with room for one prompt at a time, which one organisation asks for ten times. */
+    /** One organisation sends ten requests to an engine with room for one prompt at a time. */
     @Test
     public void aFloodOfOneOrganisationTakesNoTurnOfAnother() {
         mPort.mFullEngines.add(mFirst.incarnation());
--- a/troutpier-daemon/src/test/java/org/troutpier/daemon/serving/TestUpstreams.java
+++ b/troutpier-daemon/src/test/java/org/troutpier/daemon/serving/TestUpstreams.java
@@ -5,12 +5,12 @@
 import org.troutpier.common.settings.Address;
 import org.troutpier.daemon.directory.UpstreamEntry;
 
-/** Makes upstreams for tests. */
+/** Creates upstream entries for tests. */
 final class TestUpstreams {
 
     static final HallId HALL = new HallId("hall-a");
 
-    /** How many requests each works on at once. */
+    /** The slots of each upstream. */
     static final int SLOTS = 10;
 
     private TestUpstreams() {}
@@ -27,7 +27,7 @@
         return entry(id, HALL.value(), UpstreamEntry.Role.PREFILL);
     }
 
-    /** The same upstream, started at a time. */
+    /** Returns the same upstream with another start time. */
     static UpstreamEntry startedAt(UpstreamEntry upstream, long startMillis) {
         return new UpstreamEntry(
                 new UpstreamIncarnation(upstream.id(), startMillis),
