--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/peer/CoordinatorSelector.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/peer/CoordinatorSelector.java
@@ -7,24 +7,22 @@
 import org.troutpier.daemon.peer.Membership.Member;
 
 /**
- * Picks the router that looks after something, by rendezvous hashing over the live members: each
- * router picks the same one while all see the same members, and when a member goes only what it
- * looked after moves. Stateless and thread safe. A wrong or doubled choice must cost goodput only.
+ * Selects the router that coordinates a subject, by rendezvous hashing over the live members.
+ * Routers that see the same members select the same coordinator, and when a member is gone, only
+ * its own subjects move to other routers. Stateless and thread safe. Members may differ for a
+ * while, so callers must tolerate a wrong or a second coordinator: either may only cost goodput.
  */
 public final class CoordinatorSelector {
 
-    /** The hash. */
     private static final Hasher64 HASHER = Hashing.komihash5_0();
 
-    /** Not to be instantiated. */
     private CoordinatorSelector() {}
 
     /**
-     * Picks the router that looks after something.
+     * Selects the coordinator of a subject: the member with the highest hash.
      *
-     * @param subject what is looked after
+     * @param subject the name of what is coordinated
      * @param members the live members; not empty
-     * @return the one with the highest hash
      */
     public static Incarnation select(String subject, List<Member> members) {
         Incarnation best = null;
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/peer/Membership.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/peer/Membership.java
@@ -12,77 +12,71 @@
 import org.troutpier.daemon.instancelist.InstanceList;
 
 /**
- * Who the other routers are and which of them are gone, from the lagging instance list and from
- * their own heartbeats. Thread safe by its lock; makes no I/O. Invariant: an incarnation is gone
- * only when the list does not show it alive <em>and</em> it has been silent for the grace, and
- * never because the list cannot be had.
+ * Tracks the other routers, from the platform's instance list, which lags, and from their own
+ * heartbeats. Thread safe: all state is guarded by the lock of the instance. Makes no I/O.
+ * Invariant: an incarnation is gone only if the list does not show it as alive <em>and</em> it has
+ * been silent for {@link #GONE_GRACE_NANOS}, and never because the list is unavailable.
  */
 public final class Membership {
 
-    /** How long an incarnation must be missing and silent to be gone, nanoseconds. */
-    public static final long GRACE_NANOS = 2_000_000_000L;
+    /** Time for which an incarnation must be missing from the list and silent before it is gone. */
+    public static final long GONE_GRACE_NANOS = 2_000_000_000L;
 
-    /** How long a heartbeat counts, nanoseconds. */
-    public static final long HEARD_NANOS = 1_500_000_000L;
+    /** Time after which a heartbeat no longer counts. */
+    public static final long HEARTBEAT_VALIDITY_NANOS = 1_500_000_000L;
 
-    /** How many missing incarnations are remembered. */
-    private static final int MOST_MISSING = 10_000;
+    private static final int MAX_MISSING = 10_000;
 
-    /** This router. */
     private final Member mSelf;
 
-    /** The monotonic clock. */
     private final LongSupplier mNanos;
 
-    /** The routers that the list shows, by incarnation. */
     private Map<Incarnation, Member> mListed = Map.of();
 
-    /** When each incarnation was heard last. */
-    private final Map<Incarnation, Long> mHeard = new HashMap<>();
+    /** Time of the last message of each incarnation, nanoseconds on the monotonic clock. */
+    private final Map<Incarnation, Long> mLastHeard = new HashMap<>();
 
-    /** The members that were heard, by incarnation. */
     private final Map<Incarnation, Member> mHeardMembers = new HashMap<>();
 
-    /** Since when an incarnation is missing and silent. */
+    /**
+     * Time since which an incarnation has been missing and silent, nanoseconds on the monotonic
+     * clock.
+     */
     private final Map<Incarnation, Long> mMissingSince = new HashMap<>();
 
-    /** Whether the list was had at least once. */
-    private boolean mListSeen;
+    private boolean mListReceived;
 
     /**
-     * One router. Immutable and thread safe.
+     * A router. Immutable and thread safe.
      *
-     * @param incarnation which start of which instance
-     * @param hall its hall
-     * @param address where its peers reach it
-     * @param leaving whether it takes no new work
+     * @param incarnation the incarnation of its instance
+     * @param hall its data hall
+     * @param address the address at which peers connect to it
+     * @param leaving whether it accepts no new work
      */
     public record Member(Incarnation incarnation, HallId hall, String address, boolean leaving) {}
 
     /**
-     * Creates the view of a router that knows only itself.
+     * Creates a membership that contains only this router.
      *
      * @param self this router
-     * @param nanos the monotonic clock
+     * @param nanos the monotonic clock, nanoseconds
      */
     public Membership(Member self, LongSupplier nanos) {
         mSelf = self;
         mNanos = nanos;
     }
 
-    /**
-     * Returns this router.
-     *
-     * @return the member that this router is
-     */
+    /** Returns this router as a member. */
     public Member self() {
         return mSelf;
     }
 
     /**
-     * Takes a list from the platform.
+     * Replaces the members that the instance list shows. Upstreams and instances that are gone are
+     * skipped.
      *
-     * @param instances the list
+     * @param instances the instance list
      */
     public synchronized void updateListed(List<InstanceList.Instance> instances) {
         Map<Incarnation, Member> listed = new HashMap<>();
@@ -99,25 +93,24 @@
             }
         }
         mListed = listed;
-        mListSeen = true;
+        mListReceived = true;
     }
 
     /**
-     * Takes note that a router was heard.
+     * Records that a message of a router has arrived.
      *
      * @param member the router
      */
     public synchronized void recordContact(Member member) {
-        mHeard.put(member.incarnation(), mNanos.getAsLong());
+        mLastHeard.put(member.incarnation(), mNanos.getAsLong());
         mHeardMembers.put(member.incarnation(), member);
         mMissingSince.remove(member.incarnation());
     }
 
     /**
-     * Lists the routers that are alive by either source, this one included, in a fixed order. Of
-     * two starts of one instance the one that was heard later counts.
-     *
-     * @return the members
+     * Returns the routers that are alive according to the list or to their heartbeats, this one
+     * included, ordered by instance. If two incarnations of an instance qualify, the one heard last
+     * counts.
      */
     public synchronized List<Member> live() {
         Map<String, Member> live = new TreeMap<>();
@@ -126,17 +119,13 @@
         long now = mNanos.getAsLong();
         mHeardMembers.values().stream()
                 .filter(member -> heardRecently(member.incarnation(), now))
-                .sorted((a, b) -> Long.compare(heardAt(a), heardAt(b)))
+                .sorted((a, b) -> Long.compare(lastHeard(a), lastHeard(b)))
                 .forEach(member -> live.put(member.incarnation().instance().value(), member));
         live.put(mSelf.incarnation().instance().value(), mSelf);
         return List.copyOf(live.values());
     }
 
-    /**
-     * Lists the routers that take work, this one included.
-     *
-     * @return the members that are alive and not leaving
-     */
+    /** Returns the live routers that are not leaving, and this router in any case. */
     public List<Member> serving() {
         List<Member> serving = new ArrayList<>(live());
         serving.removeIf(member -> member.leaving() && !member.equals(mSelf));
@@ -144,10 +133,8 @@
     }
 
     /**
-     * Returns whether an incarnation is gone for good.
-     *
-     * @param incarnation the incarnation
-     * @return whether it is missing from the list and has been silent for the grace
+     * Returns whether an incarnation is gone for good: missing from the list and silent for {@link
+     * #GONE_GRACE_NANOS}. The time runs from the first call that finds it missing and silent.
      */
     public synchronized boolean isGone(Incarnation incarnation) {
         long now = mNanos.getAsLong();
@@ -155,63 +142,52 @@
                 incarnation.equals(mSelf.incarnation())
                         || mListed.containsKey(incarnation)
                         || heardRecently(incarnation, now);
-        if (alive || !mListSeen) {
+        if (alive || !mListReceived) {
             mMissingSince.remove(incarnation);
             return false;
         }
-        if (mMissingSince.size() > MOST_MISSING) {
+        if (mMissingSince.size() > MAX_MISSING) {
             mMissingSince.clear();
         }
         long since = mMissingSince.computeIfAbsent(incarnation, missing -> now);
-        return now - since >= GRACE_NANOS;
+        return now - since >= GONE_GRACE_NANOS;
     }
 
     /**
-     * Returns whether a router was heard lately.
+     * Returns whether a heartbeat of a router still counts.
      *
      * @param incarnation the router
-     * @return whether its heartbeat still counts
      */
     public synchronized boolean heardRecently(Incarnation incarnation) {
         return heardRecently(incarnation, mNanos.getAsLong());
     }
 
     /**
-     * Returns whether the list shows this very start of this router.
-     *
-     * @return whether the platform, and so the others, can know of it
+     * Returns whether the instance list shows this incarnation of this router, so that the platform
+     * and other routers can know of it.
      */
     public synchronized boolean isSelfListed() {
         return mListed.containsKey(mSelf.incarnation());
     }
 
-    /** Forgets routers that have been silent for long. */
-    public synchronized void forget() {
+    /**
+     * Forgets routers that have been silent for a hundred times {@link #HEARTBEAT_VALIDITY_NANOS}.
+     */
+    public synchronized void evictSilent() {
         long now = mNanos.getAsLong();
-        final int many = 100;
-        mHeard.entrySet().removeIf(entry -> now - entry.getValue() > many * HEARD_NANOS);
-        mHeardMembers.keySet().retainAll(mHeard.keySet());
+        final int factor = 100;
+        mLastHeard
+                .entrySet()
+                .removeIf(entry -> now - entry.getValue() > factor * HEARTBEAT_VALIDITY_NANOS);
+        mHeardMembers.keySet().retainAll(mLastHeard.keySet());
     }
 
-    /**
-     * Returns whether a router was heard lately.
-     *
-     * @param incarnation the router
-     * @param now the time
-     * @return whether its heartbeat still counts
-     */
     private boolean heardRecently(Incarnation incarnation, long now) {
-        Long at = mHeard.get(incarnation);
-        return at != null && now - at < HEARD_NANOS;
+        Long at = mLastHeard.get(incarnation);
+        return at != null && now - at < HEARTBEAT_VALIDITY_NANOS;
     }
 
-    /**
-     * Returns when a member was heard last.
-     *
-     * @param member the member
-     * @return the time
-     */
-    private long heardAt(Member member) {
-        return mHeard.getOrDefault(member.incarnation(), Long.MIN_VALUE);
+    private long lastHeard(Member member) {
+        return mLastHeard.getOrDefault(member.incarnation(), Long.MIN_VALUE);
     }
 }
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/peer/PeerCodec.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/peer/PeerCodec.java
@@ -15,90 +15,76 @@
 import java.util.Optional;
 import org.msgpack.jackson.dataformat.MessagePackFactory;
 
-/** Turns peer messages into MessagePack and back. Thread safe: it keeps no state. */
+/** Encodes and decodes peer messages as MessagePack. Stateless and thread safe. */
 final class PeerCodec extends MessageToMessageCodec<ByteBuf, PeerMessage> {
 
-    /** The mapper; it is never changed after construction. */
     private static final ObjectMapper MAPPER =
             new ObjectMapper(new MessagePackFactory())
                     .disable(DeserializationFeature.FAIL_ON_UNKNOWN_PROPERTIES);
 
     /**
-     * Messages without fields, as they are sent. Two a second come on each connection; encoded
-     * anew, they were 7 % of the work of a router that serves little.
+     * Messages without fields and their encodings. Two per second arrive on each connection;
+     * encoding them each time took 7 % of the CPU time of a router with little traffic.
      */
-    private static final List<Constant> CONSTANTS =
-            List.of(Constant.of(new PeerMessage.Heard()), Constant.of(new PeerMessage.LoadAsked()));
+    private static final List<FieldlessMessage> FIELDLESS_MESSAGES =
+            List.of(
+                    FieldlessMessage.of(new PeerMessage.Heard()),
+                    FieldlessMessage.of(new PeerMessage.LoadAsked()));
 
     /**
      * A message without fields.
      *
-     * @param message the message
-     * @param bytes its encoding; never changed
+     * @param bytes its encoding; must not be modified
      */
-    private record Constant(PeerMessage message, byte[] bytes) {
+    private record FieldlessMessage(PeerMessage message, byte[] bytes) {
 
-        /**
-         * Encodes a message.
-         *
-         * @param message the message
-         * @return the message and its encoding
-         */
-        static Constant of(PeerMessage message) {
+        static FieldlessMessage of(PeerMessage message) {
             try {
-                return new Constant(message, MAPPER.writeValueAsBytes(message));
+                return new FieldlessMessage(message, MAPPER.writeValueAsBytes(message));
             } catch (JsonProcessingException exception) {
-                throw new IllegalStateException("no encoding for " + message, exception);
+                throw new IllegalStateException("cannot encode " + message, exception);
             }
         }
     }
 
-    /** {@inheritDoc} */
     @Override
     protected void encode(ChannelHandlerContext context, PeerMessage message, List<Object> out)
             throws IOException {
-        out.add(Unpooled.wrappedBuffer(bytes(message)));
+        out.add(Unpooled.wrappedBuffer(encode(message)));
     }
 
     /**
-     * Encodes a message, so that it can be sent on several connections.
+     * Encodes a message, so that the bytes can be sent on several connections.
      *
-     * @param message the message
-     * @return its bytes
-     * @throws JsonProcessingException when it has no encoding
+     * @return the encoding; must not be modified
+     * @throws JsonProcessingException if the message cannot be encoded
      */
-    static byte[] bytes(PeerMessage message) throws JsonProcessingException {
-        for (Constant constant : CONSTANTS) {
-            if (constant.message().getClass() == message.getClass()) {
-                return constant.bytes();
+    static byte[] encode(PeerMessage message) throws JsonProcessingException {
+        for (FieldlessMessage fieldless : FIELDLESS_MESSAGES) {
+            if (fieldless.message().getClass() == message.getClass()) {
+                return fieldless.bytes();
             }
         }
         return MAPPER.writeValueAsBytes(message);
     }
 
-    /**
-     * Returns the message without fields that a frame holds.
-     *
-     * @param frame the frame
-     * @return the message, or empty for any other
-     */
-    private static Optional<PeerMessage> constant(ByteBuf frame) {
-        for (Constant constant : CONSTANTS) {
-            boolean same = frame.readableBytes() == constant.bytes().length;
-            if (same && ByteBufUtil.equals(frame, Unpooled.wrappedBuffer(constant.bytes()))) {
-                return Optional.of(constant.message());
+    /** Returns the message without fields that a frame contains, or empty for any other message. */
+    private static Optional<PeerMessage> matchFieldless(ByteBuf frame) {
+        for (FieldlessMessage fieldless : FIELDLESS_MESSAGES) {
+            boolean same = frame.readableBytes() == fieldless.bytes().length;
+            if (same && ByteBufUtil.equals(frame, Unpooled.wrappedBuffer(fieldless.bytes()))) {
+                return Optional.of(fieldless.message());
             }
         }
         return Optional.empty();
     }
 
-    /** {@inheritDoc} */
     @Override
     protected void decode(ChannelHandlerContext context, ByteBuf frame, List<Object> out)
             throws IOException {
-        Optional<PeerMessage> constant = constant(frame);
-        if (constant.isPresent()) {
-            out.add(constant.get());
+        Optional<PeerMessage> fieldless = matchFieldless(frame);
+        if (fieldless.isPresent()) {
+            out.add(fieldless.get());
             return;
         }
         try (InputStream stream = new ByteBufInputStream(frame)) {
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/peer/PeerController.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/peer/PeerController.java
@@ -16,98 +16,87 @@
 import org.troutpier.daemon.peer.Membership.Member;
 
 /**
- * What this router does about the others: heartbeats, following the instance list, answering
- * changes, and fencing itself when it was paused or has lost everybody. Confined to the control
- * thread, but for {@link #isStalled()}. Invariant: a router that may have been left out of a change
- * takes no new work until it has read the latest version.
+ * Controls how this router takes part in the cluster: sends heartbeats, follows the instance list,
+ * answers configuration changes, and fences this router after a pause or while it is isolated.
+ * Confined to the control thread, except {@link #isStalled()}. Invariant: a router that may have
+ * missed a change accepts no new work until it has read the latest version.
  */
 public final class PeerController {
 
-    /** How often heartbeats are sent, milliseconds. */
-    private static final long BEAT_MILLIS = 400;
+    private static final long HEARTBEAT_INTERVAL_MILLIS = 400;
 
-    /** How often the control thread looks at its own clock, milliseconds. */
-    private static final long TICK_MILLIS = 100;
+    private static final long TICK_INTERVAL_MILLIS = 100;
 
-    /** How often the instance list is asked for, milliseconds. */
-    private static final long LIST_MILLIS = 500;
+    private static final long LIST_INTERVAL_MILLIS = 500;
 
-    /** How often the table is asked for the latest version, milliseconds. */
-    private static final long PULL_MILLIS = 5000;
+    private static final long PULL_INTERVAL_MILLIS = 5000;
 
-    /** How often a fenced router asks for the latest version, milliseconds. */
-    private static final long REVALIDATE_MILLIS = 250;
+    /** Interval at which a router that is fenced or not ready requests the latest version. */
+    private static final long REVALIDATE_INTERVAL_MILLIS = 250;
 
-    /** How long a pause may be without a fence, nanoseconds. */
-    private static final long PAUSE_NANOS = 1_200_000_000L;
+    /** Longest pause of the control thread that does not fence the router. */
+    private static final long MAX_PAUSE_NANOS = 1_200_000_000L;
 
-    /** How long everybody may be silent without a fence, nanoseconds. */
-    private static final long ALONE_NANOS = 1_500_000_000L;
+    /**
+     * Longest time without any answer from peers and the platform that does not fence the router.
+     */
+    private static final long ISOLATION_TIMEOUT_NANOS = 1_500_000_000L;
 
-    /** The router's identity, threads, clock and metrics. */
     private final Node mNode;
 
-    /** Who the others are. */
     private final Membership mMembership;
 
-    /** Whether this router takes new work. */
     private final Readiness mReadiness;
 
-    /** The platform's list. */
     private final InstanceList mInstances;
 
-    /** The declarations in force. */
     private final ConfigurationRegistry mConfigurations;
 
-    /** Sends messages. */
     private PeerMesh mMesh;
 
-    /** Carries changes through. */
     private ChangeProposer mProposer;
 
-    /** The permits, where they come from coordinators. */
+    /** Decode permits; empty if they are not assigned by coordinators. */
     private Optional<CoordinatorPermits> mPermits = Optional.empty();
 
-    /** Receives the upstreams that the list shows as leaving. */
-    private LeavingListener mLeaving = (id, leaving) -> {};
+    private LeavingListener mLeavingListener = (id, leaving) -> {};
 
-    /** When the control thread last looked at the clock. */
+    /** Time of the last {@link #tick()}, nanoseconds on the monotonic clock. */
     private volatile long mTickAt;
 
-    /** When a part of the platform answered last. */
-    private long mPlatformAt;
+    /** Time of the last answer of any part of the platform, nanoseconds on the monotonic clock. */
+    private long mPlatformAnsweredAt;
 
-    /** Whether the first version was asked for. */
-    private boolean mBegun;
+    /** Whether the initial version has been requested. */
+    private boolean mInitialPullSent;
 
-    /** Whether other routers were ever heard. */
-    private boolean mHadPeers;
+    private boolean mHeardAnyPeer;
 
-    /** When any other router was heard last. */
-    private long mPeersAt;
+    /** Time of the last message of any other router, nanoseconds on the monotonic clock. */
+    private long mPeerHeardAt;
 
-    /** The versions that others said to have in force. */
+    /** Versions that other routers reported as in force. */
     private final Map<Incarnation, Long> mVersions = new HashMap<>();
 
-    /** Receives the upstreams that the list shows as leaving. */
+    /** Receives the state of the upstreams in the instance list. */
     public interface LeavingListener {
 
         /**
-         * Receives one.
+         * Called for each upstream whenever the list has been read.
          *
          * @param id the upstream
-         * @param leaving whether it is leaving
+         * @param leaving whether the list shows it as leaving
          */
         void onUpstream(UpstreamId id, boolean leaving);
     }
 
     /**
-     * Creates the logic; {@link #start} sets it going.
+     * Creates a controller, which does nothing until {@link #start} is called.
      *
      * @param node the router's identity, threads, clock and metrics
-     * @param membership who the others are
-     * @param readiness whether this router takes new work
-     * @param instances the platform's list
+     * @param membership the other routers
+     * @param readiness whether this router accepts new work
+     * @param instances the platform's instance list
      * @param configurations the declarations in force
      */
     public PeerController(
@@ -122,16 +111,16 @@
         mInstances = instances;
         mConfigurations = configurations;
         mTickAt = node.nanos().getAsLong();
-        mPlatformAt = mTickAt;
+        mPlatformAnsweredAt = mTickAt;
     }
 
     /**
-     * Sets the logic going.
+     * Starts the periodic tasks.
      *
      * @param mesh sends messages
-     * @param proposer carries changes through
-     * @param permits the permits, where they come from coordinators
-     * @param leaving hears of upstreams that the list shows as leaving
+     * @param proposer coordinates configuration changes
+     * @param permits decode permits; empty if they are not assigned by coordinators
+     * @param leaving receives the state of upstreams in the instance list
      */
     public void start(
             PeerMesh mesh,
@@ -141,68 +130,68 @@
         mMesh = mesh;
         mProposer = proposer;
         mPermits = permits;
-        mLeaving = leaving;
-        mNode.control().every(this::tick, TICK_MILLIS);
-        mNode.control().every(this::beat, BEAT_MILLIS);
-        mNode.control().every(this::askList, LIST_MILLIS);
-        mNode.control().every(this::pull, PULL_MILLIS);
-        mNode.control().every(this::revalidate, REVALIDATE_MILLIS);
-        mNode.control().execute(this::askList);
+        mLeavingListener = leaving;
+        mNode.control().every(this::tick, TICK_INTERVAL_MILLIS);
+        mNode.control().every(this::sendHeartbeat, HEARTBEAT_INTERVAL_MILLIS);
+        mNode.control().every(this::requestInstanceList, LIST_INTERVAL_MILLIS);
+        mNode.control().every(this::pull, PULL_INTERVAL_MILLIS);
+        mNode.control().every(this::revalidate, REVALIDATE_INTERVAL_MILLIS);
+        mNode.control().execute(this::requestInstanceList);
     }
 
     /**
-     * Returns whether the control thread has not looked at the clock for too long: the process may
-     * just have been woken, and what it knows may be old. May be called from any thread.
-     *
-     * @return whether to take no new work
+     * Returns whether the control thread has not run for too long. The process may just have been
+     * resumed with outdated state, and must accept no new work. Thread safe.
      */
     public boolean isStalled() {
-        return mNode.nanos().getAsLong() - mTickAt > PAUSE_NANOS;
+        return mNode.nanos().getAsLong() - mTickAt > MAX_PAUSE_NANOS;
     }
 
-    /** Notices pauses and loneliness, and begins once the listed routers are connected. */
+    /**
+     * Fences this router after a pause or while it is isolated, and requests the initial version
+     * once all listed routers are connected.
+     */
     private void tick() {
         long now = mNode.nanos().getAsLong();
-        if (now - mTickAt > PAUSE_NANOS) {
+        if (now - mTickAt > MAX_PAUSE_NANOS) {
             mNode.count("fence.paused");
             mReadiness.fence("was paused");
         }
         mTickAt = now;
-        boolean platformSilent = now - mPlatformAt > ALONE_NANOS;
-        if (mHadPeers && platformSilent && now - mPeersAt > ALONE_NANOS && expectsPeers()) {
+        boolean platformSilent = now - mPlatformAnsweredAt > ISOLATION_TIMEOUT_NANOS;
+        if (mHeardAnyPeer
+                && platformSilent
+                && now - mPeerHeardAt > ISOLATION_TIMEOUT_NANOS
+                && expectsPeers()) {
             mNode.count("fence.alone");
             mReadiness.fence("hears neither peers nor the platform");
         }
-        begin();
+        requestInitialVersion();
     }
 
-    /**
-     * Returns whether there should be other routers.
-     *
-     * @return whether the last list showed some
-     */
+    /** Returns whether any other router is known to be live. */
     private boolean expectsPeers() {
         return mMembership.live().size() > 1;
     }
 
     /**
-     * Asks for the first version once the list shows this router and every router in it has
-     * answered, so that no change can pass this router by: who proposes one later knows of it.
-     * Without a list there is no start, as nothing else says who must know.
+     * Requests the initial version once the list shows this router and every router in the list has
+     * connected to it. A change that is proposed later then reaches this router, since its proposer
+     * knows of it. Without a list there is no start, since nothing else says which routers must
+     * know of this one.
      */
-    private void begin() {
-        if (!mBegun && mMembership.isSelfListed() && allKnowThis()) {
-            mBegun = true;
+    private void requestInitialVersion() {
+        if (!mInitialPullSent && mMembership.isSelfListed() && isConnectedToAll()) {
+            mInitialPullSent = true;
             revalidateNow();
         }
     }
 
     /**
-     * Returns whether every live router has connected back, and so knows this one.
-     *
-     * @return whether each was heard on a connection of its own
+     * Returns whether every live router is connected in both directions: it is connected to from
+     * here, and a heartbeat of it still counts.
      */
-    private boolean allKnowThis() {
+    private boolean isConnectedToAll() {
         return mMembership.live().stream()
                 .map(Member::incarnation)
                 .filter(incarnation -> !incarnation.equals(mNode.incarnation()))
@@ -212,10 +201,9 @@
                                         && mMembership.heardRecently(incarnation));
     }
 
-    /** Sends a heartbeat to every router. */
-    private void beat() {
+    private void sendHeartbeat() {
         mMesh.connect();
-        mMembership.forget();
+        mMembership.evictSilent();
         mMesh.broadcast(
                 new PeerMessage.Heartbeat(
                         mNode.events().clock().next(),
@@ -224,8 +212,7 @@
                         mReadiness.fenced()));
     }
 
-    /** Asks for the instance list. */
-    private void askList() {
+    private void requestInstanceList() {
         mInstances
                 .list()
                 .whenComplete(
@@ -234,54 +221,46 @@
                                         .execute(
                                                 () -> {
                                                     if (failure == null) {
-                                                        listed(instances);
+                                                        onInstanceList(instances);
                                                     } else {
                                                         mNode.count("platform.list-away");
                                                     }
                                                 }));
     }
 
-    /**
-     * Takes an instance list.
-     *
-     * @param instances the list
-     */
-    private void listed(List<InstanceList.Instance> instances) {
-        mPlatformAt = mNode.nanos().getAsLong();
+    private void onInstanceList(List<InstanceList.Instance> instances) {
+        mPlatformAnsweredAt = mNode.nanos().getAsLong();
         mMembership.updateListed(instances);
         mMesh.connect();
         for (InstanceList.Instance instance : instances) {
             if (!instance.router()) {
-                mLeaving.onUpstream(new UpstreamId(instance.id()), instance.leaving());
+                mLeavingListener.onUpstream(new UpstreamId(instance.id()), instance.leaving());
             }
         }
     }
 
-    /** Asks the table for the latest version. */
     private void pull() {
         mConfigurations
                 .pull()
                 .thenAccept(
                         answered -> {
                             if (answered) {
-                                mNode.control().execute(this::platformAnswered);
+                                mNode.control().execute(this::recordPlatformAnswer);
                             }
                         });
     }
 
-    /** Takes note that a part of the platform answered. */
-    private void platformAnswered() {
-        mPlatformAt = mNode.nanos().getAsLong();
+    private void recordPlatformAnswer() {
+        mPlatformAnsweredAt = mNode.nanos().getAsLong();
     }
 
-    /** Asks for the latest version while this router may not have it. */
     private void revalidate() {
-        if (mBegun && (mReadiness.fenced() || mReadiness.obstacle().isPresent())) {
+        if (mInitialPullSent && (mReadiness.fenced() || mReadiness.obstacle().isPresent())) {
             revalidateNow();
         }
     }
 
-    /** Asks the table and, where that is away, the peers. */
+    /** Requests the latest version from the table or, if that does not answer, from all peers. */
     private void revalidateNow() {
         mConfigurations
                 .pull()
@@ -291,31 +270,29 @@
                                         .execute(
                                                 () -> {
                                                     if (answered) {
-                                                        platformAnswered();
+                                                        recordPlatformAnswer();
                                                         mConfigurations.validated("table");
                                                     } else {
-                                                        askPeers();
+                                                        pullFromPeers();
                                                     }
                                                 }));
     }
 
-    /** Asks every peer for its declarations. */
-    private void askPeers() {
+    private void pullFromPeers() {
         mMesh.broadcast(new PeerMessage.Pull(mConfigurations.current().version()));
     }
 
     /**
-     * Takes a message from another router.
+     * Handles a message of another router.
      *
-     * @param from who sent it
-     * @param message the message
+     * @param from the sender
      */
     public void onMessage(Member from, PeerMessage message) {
-        mHadPeers = true;
-        mPeersAt = mNode.nanos().getAsLong();
+        mHeardAnyPeer = true;
+        mPeerHeardAt = mNode.nanos().getAsLong();
         Incarnation sender = from.incarnation();
-        if (message instanceof PeerMessage.Heartbeat beat) {
-            heartbeat(from, beat);
+        if (message instanceof PeerMessage.Heartbeat heartbeat) {
+            onHeartbeat(from, heartbeat);
         } else if (message instanceof PeerMessage.PermitAsk ask) {
             mPermits.ifPresent(permits -> permits.asked(sender, ask));
         } else if (message instanceof PeerMessage.PermitReport report) {
@@ -330,7 +307,7 @@
         } else if (message instanceof PeerMessage.Prepared prepared) {
             mProposer.prepared(sender, prepared);
         } else if (message instanceof PeerMessage.Activate activate) {
-            activate(sender, activate);
+            onActivate(sender, activate);
         } else if (message instanceof PeerMessage.Activated activated) {
             mProposer.activated(sender, activated);
         } else if (message instanceof PeerMessage.Pull pull) {
@@ -338,30 +315,20 @@
         }
     }
 
-    /**
-     * Takes a heartbeat.
-     *
-     * @param from who sent it
-     * @param beat the heartbeat
-     */
-    private void heartbeat(Member from, PeerMessage.Heartbeat beat) {
-        mNode.events().clock().observe(beat.stamp());
-        Member now = new Member(from.incarnation(), from.hall(), from.address(), beat.leaving());
+    private void onHeartbeat(Member from, PeerMessage.Heartbeat heartbeat) {
+        mNode.events().clock().observe(heartbeat.stamp());
+        Member now =
+                new Member(from.incarnation(), from.hall(), from.address(), heartbeat.leaving());
         mMembership.recordContact(now);
-        mVersions.put(from.incarnation(), beat.version());
+        mVersions.put(from.incarnation(), heartbeat.version());
         mVersions.keySet().removeIf(mMembership::isGone);
-        if (beat.version() > mConfigurations.current().version()) {
+        if (heartbeat.version() > mConfigurations.current().version()) {
             mMesh.send(
                     from.incarnation(), new PeerMessage.Pull(mConfigurations.current().version()));
         }
     }
 
-    /**
-     * Says why a change could not be put in force here.
-     *
-     * @param prepare the change
-     * @return the reason, empty where it could
-     */
+    /** Returns why a change cannot be put in force here, or an empty text if it can. */
     private String obstacle(PeerMessage.Prepare prepare) {
         Declarations current = mConfigurations.current();
         if (mReadiness.fenced()) {
@@ -375,12 +342,10 @@
     }
 
     /**
-     * Puts a committed change in force.
-     *
-     * @param from who says so
-     * @param activate the change
+     * Puts a committed change in force. An empty change id marks the answer to a {@link
+     * PeerMessage.Pull}, which is not acknowledged.
      */
-    private void activate(Incarnation from, PeerMessage.Activate activate) {
+    private void onActivate(Incarnation from, PeerMessage.Activate activate) {
         mConfigurations.adopt(activate.next(), "peer " + from.instance());
         boolean answersPull = activate.change().isEmpty();
         if (answersPull) {
@@ -392,10 +357,8 @@
     }
 
     /**
-     * Answers a router that asks for the declarations in force, unless this one is unsure itself.
-     *
-     * @param to who asks
-     * @param pull what it has
+     * Sends the declarations in force to a router that requested them, unless this router may be
+     * outdated itself and has nothing newer.
      */
     private void answerPull(Incarnation to, PeerMessage.Pull pull) {
         if (mReadiness.obstacle().isEmpty()
@@ -405,9 +368,8 @@
     }
 
     /**
-     * Tells which version each router has in force, as far as is known.
-     *
-     * @return versions by router, this one included
+     * Returns the version that each router has in force, as far as it is known, this router
+     * included.
      */
     public Map<Incarnation, Long> configurationVersions() {
         Map<Incarnation, Long> versions = new HashMap<>(mVersions);
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/peer/PeerLinks.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/peer/PeerLinks.java
@@ -8,17 +8,16 @@
 public interface PeerLinks {
 
     /**
-     * Connects to a router, unless there is a connection or one is being opened.
+     * Connects to a router, unless a connection is open or being opened.
      *
      * @param member the router
      */
     void connect(Member member);
 
     /**
-     * Returns whether there is a connection to a router.
+     * Returns whether messages can be sent to a router.
      *
      * @param to the router
-     * @return whether messages can be sent
      */
     boolean isConnected(Incarnation to);
 
@@ -26,30 +25,27 @@
      * Sends a message.
      *
      * @param to the router
-     * @param message the message
-     * @return whether there is a connection to it
+     * @return {@code false} if there is no connection to the router
      */
     boolean send(Incarnation to, PeerMessage message);
 
     /**
-     * Sends a message to several routers; it is encoded once. Those without a connection are left
-     * out.
+     * Sends a message to several routers, encoding it once. Routers without a connection are
+     * skipped.
      *
      * @param to the routers
-     * @param message the message
      */
     void sendAll(Collection<Incarnation> to, PeerMessage message);
 
-    /** Opens links for a router. */
+    /** Creates the links of a router. */
     interface Factory {
 
         /**
-         * Starts to listen.
+         * Starts to listen for connections of other routers.
          *
-         * @param members who the others are
-         * @param hearer hears messages on the control thread
-         * @return the links
+         * @param peers the other routers
+         * @param listener receives messages on the control thread
          */
-        PeerLinks open(PeerMesh.Peers members, PeerMesh.MessageListener hearer);
+        PeerLinks open(PeerMesh.Peers peers, PeerMesh.MessageListener listener);
     }
 }
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/peer/PeerMesh.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/peer/PeerMesh.java
@@ -29,114 +29,107 @@
 import org.troutpier.daemon.peer.Membership.Member;
 
 /**
- * Connections to the other routers. Each router connects to every other it knows and sends on its
- * own connections; it hears on those that others opened. Its methods are confined to the control
- * thread. Invariant: no message is taken from a connection that has not proved the secret.
+ * Connections among routers over TCP. Each router opens a connection to every peer that it wants to
+ * send to, and receives on the connections that peers opened. Methods are confined to the control
+ * thread. Invariant: no message is accepted on a connection before the peer has proved that it
+ * knows the shared secret.
  */
 public final class PeerMesh implements PeerLinks, AutoCloseable {
 
-    /** The largest frame, bytes. */
-    private static final int MOST_FRAME = 8 * 1024 * 1024;
+    private static final int MAX_FRAME_BYTES = 8 * 1024 * 1024;
 
-    /** The largest frame before the secret is proved, bytes. */
-    private static final int MOST_OPENING_FRAME = 4096;
+    /** Largest frame before the peer has proved the secret. */
+    private static final int MAX_HANDSHAKE_FRAME_BYTES = 4096;
 
-    /** How many bytes give a frame's length. */
-    private static final int LENGTH_BYTES = 4;
+    private static final int LENGTH_FIELD_BYTES = 4;
 
-    /** How long a connection may take to open, milliseconds. */
-    private static final int CONNECT_MILLIS = 1000;
+    private static final int CONNECT_TIMEOUT_MILLIS = 1000;
 
-    /** The router's identity, threads, clock and metrics. */
     private final Node mNode;
 
-    /** Who the others are. */
-    private final Peers mMembers;
+    private final Peers mPeers;
 
-    /** Proves the secret. */
     private final PeerSecret mSecret;
 
-    /** Receives messages on the control thread. */
-    private final MessageListener mHearer;
+    private final MessageListener mMessageListener;
 
     /**
-     * How long a connection that this router opened and sends on may be silent, milliseconds.
-     * Connections may go silent for good without a reset; a load that was told counts for this long
-     * at the other side, which then believes engines to be freer than they are.
+     * Time after which a silent connection that this router opened and sends on is closed. A
+     * connection may go silent without a reset, and peers use the load that was last reported to
+     * them for this time: beyond it, they would take engines to be less loaded than they are.
      */
-    static final long SILENT_MILLIS = PeerLoads.REPORT_TTL_MILLIS;
+    static final long SILENCE_TIMEOUT_MILLIS = PeerLoads.REPORT_TTL_MILLIS;
 
-    /** How often it is told on a connection that messages are heard, milliseconds. */
-    static final long HEARD_MILLIS = SILENT_MILLIS / 3;
+    /** Interval at which receipt is acknowledged on a connection that peers send on. */
+    static final long ACKNOWLEDGE_INTERVAL_MILLIS = SILENCE_TIMEOUT_MILLIS / 3;
 
-    /** The connections that this router opened and that are ready. */
+    /** Connections that this router opened, once the handshake is done. */
     private final Map<Incarnation, Channel> mReady = new HashMap<>();
 
-    /** Where connections are open or being opened and to which start of a router, by address. */
-    private final Map<String, Incarnation> mOpening = new HashMap<>();
+    /** Incarnation to which a connection is open or being opened, by peer address. */
+    private final Map<String, Incarnation> mTargets = new HashMap<>();
 
-    /** The listening socket. */
-    private final Channel mListener;
+    private final Channel mServerChannel;
 
-    /** Counts messages sent. */
     private final Counter mSent;
 
-    /** Counts messages sent and their bytes, by kind: looked up once, not with each message. */
-    private final Map<String, Kind> mKinds = new HashMap<>();
+    /**
+     * Counters of sent messages by kind, cached so that the registry is not searched for each
+     * message.
+     */
+    private final Map<String, KindCounters> mSentByKind = new HashMap<>();
 
-    /** Counts messages heard. */
-    private final Counter mHeard;
+    private final Counter mReceived;
 
-    /** Counts bytes sent and heard. */
+    /** Counts bytes in both directions. */
     private final Counter mBytes;
 
     /**
-     * Counts the messages of one kind. Thread safe.
+     * Counters of one kind of message. Thread safe.
      *
-     * @param messages how many were sent
-     * @param bytes how many bytes their frames had
+     * @param messages number of messages sent
+     * @param bytes their size including the length field
      */
-    private record Kind(Counter messages, Counter bytes) {}
+    private record KindCounters(Counter messages, Counter bytes) {}
 
-    /** Receives messages, on the control thread. */
+    /** Receives messages on the control thread. */
     public interface MessageListener {
 
         /**
-         * Receives a message.
+         * Called for each message.
          *
-         * @param from who sent it
-         * @param message the message
+         * @param from the sender
          */
         void onMessage(Member from, PeerMessage message);
     }
 
     /**
-     * Who the others are and to whom connections are kept. Thread safe if its parts are.
+     * The other routers, and those to connect to. Thread safe if its components are.
      *
-     * @param membership takes note of who was heard
-     * @param connectionTargets whom to be connected to; asked on the control thread
+     * @param membership tracks the routers
+     * @param connectionTargets the routers to keep connections to; called on the control thread
      */
     public record Peers(Membership membership, Supplier<List<Member>> connectionTargets) {}
 
     /**
-     * Creates and starts a mesh.
+     * Creates a mesh and starts to listen.
      *
      * @param node the router's identity, threads, clock and metrics
-     * @param address where others come in
-     * @param members who the others are
-     * @param secret what routers prove to each other that they know
-     * @param hearer hears messages on the control thread
+     * @param address the address to listen at
+     * @param peers the other routers
+     * @param secret the secret that all routers share
+     * @param listener receives messages on the control thread
      */
     public PeerMesh(
-            Node node, Address address, Peers members, String secret, MessageListener hearer) {
+            Node node, Address address, Peers peers, String secret, MessageListener listener) {
         mNode = node;
-        mMembers = members;
+        mPeers = peers;
         mSecret = new PeerSecret(secret);
-        mHearer = hearer;
+        mMessageListener = listener;
         mSent = node.metrics().counter("peer.sent");
-        mHeard = node.metrics().counter("peer.heard");
+        mReceived = node.metrics().counter("peer.heard");
         mBytes = node.metrics().counter("peer.bytes");
-        mListener =
+        mServerChannel =
                 new ServerBootstrap()
                         .group(node.loops())
                         .channel(NioServerSocketChannel.class)
@@ -144,10 +137,9 @@
                         .childOption(ChannelOption.TCP_NODELAY, true)
                         .childHandler(
                                 new ChannelInitializer<SocketChannel>() {
-                                    /** {@inheritDoc} */
                                     @Override
                                     protected void initChannel(SocketChannel channel) {
-                                        frames(channel);
+                                        addFraming(channel);
                                         channel.pipeline().addLast(new Incoming());
                                     }
                                 })
@@ -156,52 +148,50 @@
                         .channel();
     }
 
-    /**
-     * Sets up a connection's framing.
-     *
-     * @param channel the connection
-     */
-    private void frames(Channel channel) {
+    private void addFraming(Channel channel) {
         channel.pipeline()
                 .addLast(
                         "frames",
                         new LengthFieldBasedFrameDecoder(
-                                MOST_OPENING_FRAME, 0, LENGTH_BYTES, 0, LENGTH_BYTES))
-                .addLast(new LengthFieldPrepender(LENGTH_BYTES))
+                                MAX_HANDSHAKE_FRAME_BYTES,
+                                0,
+                                LENGTH_FIELD_BYTES,
+                                0,
+                                LENGTH_FIELD_BYTES))
+                .addLast(new LengthFieldPrepender(LENGTH_FIELD_BYTES))
                 .addLast(new ByteCounter(mBytes))
                 .addLast(new PeerCodec());
     }
 
     /**
-     * Lets a connection that has proved the secret send larger frames.
-     *
-     * @param channel the connection
+     * Allows frames of up to {@link #MAX_FRAME_BYTES} on a connection whose peer has proved the
+     * secret.
      */
-    private static void trust(Channel channel) {
+    private static void raiseFrameLimit(Channel channel) {
         channel.pipeline()
                 .replace(
                         "frames",
                         "trusted-frames",
                         new LengthFieldBasedFrameDecoder(
-                                MOST_FRAME, 0, LENGTH_BYTES, 0, LENGTH_BYTES));
+                                MAX_FRAME_BYTES, 0, LENGTH_FIELD_BYTES, 0, LENGTH_FIELD_BYTES));
     }
 
-    /** Connects to every router that is wanted and not connected. */
+    /** Connects to every target that is not connected. */
     public void connect() {
-        mMembers.connectionTargets().get().forEach(this::connect);
+        mPeers.connectionTargets().get().forEach(this::connect);
     }
 
     /**
-     * {@inheritDoc} A connection to an earlier start of the same router is closed first: messages
-     * are sent by incarnation.
+     * {@inheritDoc} A connection to an earlier incarnation at the same address is closed first,
+     * since messages are addressed by incarnation; the next call opens the new one.
      */
     @Override
     public void connect(Member member) {
         Incarnation incarnation = member.incarnation();
-        if (incarnation.equals(mMembers.membership().self().incarnation())) {
+        if (incarnation.equals(mPeers.membership().self().incarnation())) {
             return;
         }
-        Incarnation before = mOpening.putIfAbsent(member.address(), incarnation);
+        Incarnation before = mTargets.putIfAbsent(member.address(), incarnation);
         if (before == null) {
             open(member);
         } else if (!before.equals(incarnation) && mReady.containsKey(before)) {
@@ -209,30 +199,25 @@
         }
     }
 
-    /**
-     * Opens a connection.
-     *
-     * @param member the router to connect to
-     */
     private void open(Member member) {
         Address address = Address.parse(member.address());
         new Bootstrap()
                 .group(mNode.loops())
                 .channel(NioSocketChannel.class)
                 .option(ChannelOption.TCP_NODELAY, true)
-                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_MILLIS)
+                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_TIMEOUT_MILLIS)
                 .handler(
                         new ChannelInitializer<SocketChannel>() {
-                            /** {@inheritDoc} */
                             @Override
                             protected void initChannel(SocketChannel channel) {
-                                frames(channel);
+                                addFraming(channel);
                                 channel.pipeline()
-                                        .addLast(new SilenceGuard(mNode::millis, this::silent))
+                                        .addLast(
+                                                new SilenceTimeoutHandler(
+                                                        mNode::millis, this::silent))
                                         .addLast(new Outgoing(member));
                             }
 
-                            /** Counts a connection that is closed for its silence. */
                             private void silent() {
                                 mNode.count("peer.silent");
                             }
@@ -241,38 +226,32 @@
                 .addListener(
                         connected -> {
                             if (!connected.isSuccess()) {
-                                mNode.control().execute(() -> mOpening.remove(member.address()));
+                                mNode.control().execute(() -> mTargets.remove(member.address()));
                             }
                         });
     }
 
-    /** {@inheritDoc} */
     @Override
     public boolean send(Incarnation to, PeerMessage message) {
         Channel channel = mReady.get(to);
         if (channel == null || !channel.isActive()) {
             return false;
         }
-        send(channel, message, encoded(message));
+        send(channel, message, encode(message));
         return true;
     }
 
-    /**
-     * Sends a message to every router that is connected.
-     *
-     * @param message the message
-     */
+    /** Sends a message to all connected routers. */
     public void broadcast(PeerMessage message) {
         sendAll(mReady.keySet(), message);
     }
 
-    /** {@inheritDoc} */
     @Override
     public void sendAll(Collection<Incarnation> to, PeerMessage message) {
         if (to.isEmpty()) {
             return;
         }
-        byte[] frame = encoded(message);
+        byte[] frame = encode(message);
         for (Incarnation each : to) {
             Channel channel = mReady.get(each);
             if (channel != null && channel.isActive()) {
@@ -282,76 +261,52 @@
     }
 
     /**
-     * Sends a message, and counts it by its kind: what is told to whom is most of what routers cost
+     * Sends a message, and counts it by kind, since these messages are most of what routers cost
      * each other.
-     *
-     * @param channel the connection
-     * @param message the message
-     * @param frame its bytes
      */
     private void send(Channel channel, PeerMessage message, byte[] frame) {
         mSent.inc();
-        Kind kind = mKinds.computeIfAbsent(message.label(), this::kind);
+        KindCounters kind = mSentByKind.computeIfAbsent(message.label(), this::registerKind);
         kind.messages().inc();
-        kind.bytes().inc(frame.length + LENGTH_BYTES);
+        kind.bytes().inc(frame.length + LENGTH_FIELD_BYTES);
         channel.writeAndFlush(Unpooled.wrappedBuffer(frame), channel.voidPromise());
     }
 
-    /**
-     * Registers the counters of a kind.
-     *
-     * @param label the kind's name
-     * @return its counters
-     */
-    private Kind kind(String label) {
+    private KindCounters registerKind(String label) {
         String name = "peer.sent." + label;
-        return new Kind(
+        return new KindCounters(
                 mNode.metrics().counter(name + ".messages"),
                 mNode.metrics().counter(name + ".bytes"));
     }
 
-    /**
-     * Encodes a message.
-     *
-     * @param message the message
-     * @return its bytes
-     */
-    private static byte[] encoded(PeerMessage message) {
+    private static byte[] encode(PeerMessage message) {
         try {
-            return PeerCodec.bytes(message);
+            return PeerCodec.encode(message);
         } catch (JsonProcessingException exception) {
-            throw new IllegalStateException("no encoding for " + message, exception);
+            throw new IllegalStateException("cannot encode " + message, exception);
         }
     }
 
-    /** {@inheritDoc} */
     @Override
     public boolean isConnected(Incarnation to) {
         return mReady.containsKey(to);
     }
 
-    /** A connection that this router opened. Confined to the connection's event loop. */
+    /** A connection that this router opened. Confined to the event loop of the connection. */
     private final class Outgoing extends SimpleChannelInboundHandler<PeerMessage> {
 
-        /** Who is on the other side. */
         private final Member mMember;
 
-        /** The number that the other side must prove the secret over. */
-        private final String mNonce = mSecret.nonce();
+        /** Nonce that the peer's proof must cover. */
+        private final String mNonce = mSecret.newNonce();
 
-        /**
-         * Creates a handler.
-         *
-         * @param member who is on the other side
-         */
         Outgoing(Member member) {
             mMember = member;
         }
 
-        /** {@inheritDoc} */
         @Override
         public void channelActive(ChannelHandlerContext context) {
-            Member self = mMembers.membership().self();
+            Member self = mPeers.membership().self();
             context.writeAndFlush(
                     new PeerMessage.Hello(
                             self.incarnation().value(),
@@ -360,25 +315,24 @@
                             mNonce));
         }
 
-        /** {@inheritDoc} */
         @Override
         protected void channelRead0(ChannelHandlerContext context, PeerMessage message) {
             if (message instanceof PeerMessage.Heard) {
                 return;
             }
-            boolean right =
+            boolean valid =
                     message instanceof PeerMessage.Challenge challenge
-                            && mSecret.proves(
+                            && mSecret.verify(
                                     challenge.proof(), "answer", mNonce, challenge.nonce());
-            if (!right) {
+            if (!valid) {
                 mNode.count("peer.refused");
                 context.close();
                 return;
             }
             String nonce = ((PeerMessage.Challenge) message).nonce();
-            String self = mMembers.membership().self().incarnation().value();
+            String self = mPeers.membership().self().incarnation().value();
             context.writeAndFlush(
-                    new PeerMessage.Proof(mSecret.prove("caller", nonce, mNonce, self)));
+                    new PeerMessage.Proof(mSecret.computeProof("caller", nonce, mNonce, self)));
             mNode.control()
                     .execute(
                             () -> {
@@ -386,62 +340,59 @@
                             });
         }
 
-        /** {@inheritDoc} */
         @Override
         public void channelInactive(ChannelHandlerContext context) {
             mNode.control()
                     .execute(
                             () -> {
-                                mOpening.remove(mMember.address());
+                                mTargets.remove(mMember.address());
                                 mReady.remove(mMember.incarnation(), context.channel());
                             });
         }
 
-        /** {@inheritDoc} */
         @Override
         public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
             context.close();
         }
     }
 
-    /** A connection that another router opened. Confined to the connection's event loop. */
+    /** A connection that a peer opened. Confined to the event loop of the connection. */
     private final class Incoming extends SimpleChannelInboundHandler<PeerMessage> {
 
-        /** Who says to be on the other side, or null. */
+        /** The peer's first message, whose identity is not proved yet; null before it arrives. */
         private PeerMessage.Hello mHello;
 
-        /** The number that the other side must prove the secret over. */
-        private final String mNonce = mSecret.nonce();
+        /** Nonce that the peer's proof must cover. */
+        private final String mNonce = mSecret.newNonce();
 
-        /** Who is on the other side, once proved. */
+        /** The peer; null until it has proved the secret. */
         private Member mMember;
 
-        /** When it was last told that messages are heard, milliseconds. */
-        private long mTold;
+        /** Time of the last acknowledgement, milliseconds on the monotonic clock. */
+        private long mAcknowledgedAt;
 
-        /** {@inheritDoc} */
         @Override
         protected void channelRead0(ChannelHandlerContext context, PeerMessage message) {
             if (mMember != null) {
-                tellHeard(context);
-                take(message);
+                acknowledge(context);
+                dispatch(message);
             } else if (message instanceof PeerMessage.Hello hello && mHello == null) {
                 mHello = hello;
-                String proof = mSecret.prove("answer", hello.nonce(), mNonce);
+                String proof = mSecret.computeProof("answer", hello.nonce(), mNonce);
                 context.writeAndFlush(new PeerMessage.Challenge(mNonce, proof));
-            } else if (message instanceof PeerMessage.Proof proof && proved(proof)) {
+            } else if (message instanceof PeerMessage.Proof proof && isProofValid(proof)) {
                 mMember =
                         new Member(
                                 new Incarnation(mHello.incarnation()),
                                 new HallId(mHello.hall()),
                                 mHello.peer(),
                                 false);
-                trust(context.channel());
+                raiseFrameLimit(context.channel());
                 Member member = mMember;
                 mNode.control()
                         .execute(
                                 () -> {
-                                    mMembers.membership().recordContact(member);
+                                    mPeers.membership().recordContact(member);
                                     connect();
                                 });
             } else {
@@ -451,42 +402,29 @@
         }
 
         /**
-         * Tells the other side now and then that it is heard.
-         *
-         * @param context the connection
+         * Acknowledges receipt if the last acknowledgement is {@link #ACKNOWLEDGE_INTERVAL_MILLIS}
+         * old.
          */
-        private void tellHeard(ChannelHandlerContext context) {
+        private void acknowledge(ChannelHandlerContext context) {
             long now = mNode.millis();
-            if (now - mTold >= HEARD_MILLIS) {
-                mTold = now;
+            if (now - mAcknowledgedAt >= ACKNOWLEDGE_INTERVAL_MILLIS) {
+                mAcknowledgedAt = now;
                 context.writeAndFlush(new PeerMessage.Heard(), context.voidPromise());
             }
         }
 
-        /**
-         * Returns whether the other side knows the secret.
-         *
-         * @param proof what it says
-         * @return whether it does
-         */
-        private boolean proved(PeerMessage.Proof proof) {
+        private boolean isProofValid(PeerMessage.Proof proof) {
             return mHello != null
-                    && mSecret.proves(
+                    && mSecret.verify(
                             proof.proof(), "caller", mNonce, mHello.nonce(), mHello.incarnation());
         }
 
-        /**
-         * Takes a message.
-         *
-         * @param message the message
-         */
-        private void take(PeerMessage message) {
-            mHeard.inc();
+        private void dispatch(PeerMessage message) {
+            mReceived.inc();
             Member member = mMember;
-            mNode.control().execute(() -> mHearer.onMessage(member, message));
+            mNode.control().execute(() -> mMessageListener.onMessage(member, message));
         }
 
-        /** {@inheritDoc} */
         @Override
         public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
             if (mMember == null) {
@@ -496,9 +434,9 @@
         }
     }
 
-    /** Closes the listener; open connections end with their event loops. Any thread may call it. */
+    /** Closes the listening socket. Open connections end with their event loops. Thread safe. */
     @Override
     public void close() {
-        mListener.close().syncUninterruptibly();
+        mServerChannel.close().syncUninterruptibly();
     }
 }
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/peer/PeerMessage.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/peer/PeerMessage.java
@@ -11,7 +11,7 @@
 import org.troutpier.daemon.quarantine.CrashReport;
 import org.troutpier.daemon.rows.TableState;
 
-/** What routers say to each other. All messages are immutable and thread safe. */
+/** Messages between routers. All messages are immutable and thread safe. */
 @JsonTypeInfo(use = JsonTypeInfo.Id.NAME, property = "t")
 @JsonSubTypes({
     @JsonSubTypes.Type(value = PeerMessage.Hello.class, name = "hello"),
@@ -40,195 +40,179 @@
 })
 public sealed interface PeerMessage {
 
-    /**
-     * Returns what messages are counted by.
-     *
-     * @return the kind's name
-     */
+    /** Returns the label under which messages of this kind are counted. */
     default String label() {
         return getClass().getSimpleName();
     }
 
     /**
-     * Opens a connection.
+     * Starts the handshake, on a connection that the sender opened.
      *
-     * @param incarnation who connects
-     * @param hall its hall
-     * @param peer where it is reached
-     * @param nonce a number that the answer must prove the secret over
+     * @param incarnation the sender
+     * @param hall the sender's data hall
+     * @param peer the address at which the sender accepts connections
+     * @param nonce nonce that the receiver's proof must cover
      */
     record Hello(String incarnation, String hall, String peer, String nonce)
             implements PeerMessage {}
 
     /**
-     * Answers a hello.
+     * Answers {@link Hello}.
      *
-     * @param nonce a number that the caller must prove the secret over
-     * @param proof proves the secret over both numbers
+     * @param nonce nonce that the peer's proof must cover
+     * @param proof proves knowledge of the secret over both nonces
      */
     record Challenge(String nonce, String proof) implements PeerMessage {}
 
     /**
-     * Ends the opening.
+     * Completes the handshake.
      *
-     * @param proof proves the secret over both numbers and the name
+     * @param proof proves knowledge of the secret over both nonces and the sender's incarnation
      */
     record Proof(String proof) implements PeerMessage {}
 
     /**
-     * Says that a router runs.
+     * Reports that a router is alive.
      *
-     * @param stamp its hybrid clock
-     * @param version the version in force there
-     * @param leaving whether it takes no new work
-     * @param fenced whether it waits for revalidation
+     * @param stamp the sender's hybrid clock
+     * @param version the version in force at the sender
+     * @param leaving whether the sender accepts no new work
+     * @param fenced whether the sender is fenced until it has revalidated its version
      */
     record Heartbeat(long stamp, long version, boolean leaving, boolean fenced)
             implements PeerMessage {}
 
     /**
-     * Asks an engine's coordinator for permits, or gives some back.
+     * Requests permits from the coordinator of an engine, or returns some.
      *
-     * @param engine the engine
-     * @param held how many it holds, used and free
-     * @param received how many this coordinator has given it in all, as far as it knows
-     * @param wanted how many more it wants
+     * @param held number of permits that the sender holds, used and free
+     * @param received total number of permits received from this coordinator, as far as the sender
+     *     knows
+     * @param wanted number of further permits requested
      */
     record PermitAsk(String engine, int held, long received, int wanted) implements PeerMessage {}
 
     /**
-     * Tells an engine's coordinator what is held, now and then, in case an earlier word was lost.
+     * Reports to the coordinator of an engine which permits are held; sent periodically, in case an
+     * earlier message was lost.
      *
-     * @param engine the engine
-     * @param held how many it holds, used and free
-     * @param received how many this coordinator has given it in all, as far as it knows
+     * @param held number of permits that the sender holds, used and free
+     * @param received total number of permits received from this coordinator, as far as the sender
+     *     knows
      */
     record PermitReport(String engine, int held, long received) implements PeerMessage {}
 
     /**
-     * Gives permits.
+     * Grants permits.
      *
-     * @param engine the engine
-     * @param count how many
+     * @param count number of permits
      */
     record PermitGrant(String engine, int count) implements PeerMessage {}
 
-    /**
-     * Asks for idle permits back.
-     *
-     * @param engine the engine
-     */
+    /** Requests that idle permits be returned. */
     record PermitRecall(String engine) implements PeerMessage {}
 
     /**
-     * Asks whether a change could be put in force.
+     * Asks whether a change could be put in force at the receiver.
      *
-     * @param change the change
-     * @param next the declarations that it would make
+     * @param change the change's id
+     * @param next the declarations after the change
      */
     record Prepare(String change, Declarations next) implements PeerMessage {}
 
     /**
-     * Answers a prepare.
+     * Answers {@link Prepare}.
      *
-     * @param change the change
-     * @param obstacle why it could not be put in force; empty where it could
+     * @param change the change's id
+     * @param obstacle why the change cannot be put in force; empty if it can
      */
     record Prepared(String change, String obstacle) implements PeerMessage {}
 
     /**
-     * Says that a change is committed.
+     * Announces that a change is committed.
      *
-     * @param change the change
-     * @param next the declarations that it makes
+     * @param change the change's id; empty in an answer to {@link Pull}
+     * @param next the declarations after the change
      */
     record Activate(String change, Declarations next) implements PeerMessage {}
 
     /**
-     * Says that a change is in force.
+     * Reports that a change is in force at the sender.
      *
-     * @param change the change
+     * @param change the change's id
      * @param version the version in force
      */
     record Activated(String change, long version) implements PeerMessage {}
 
     /**
-     * Asks for the declarations in force, to be sent as {@link Activate}.
+     * Requests the declarations in force, which are sent as {@link Activate}.
      *
-     * @param version the version in force at the asking router
+     * @param version the version in force at the sender
      */
     record Pull(long version) implements PeerMessage {}
 
     /**
-     * Tells of the load of one or several routers.
+     * Reports the load of one or several routers.
      *
      * @param scope whose load it is
      * @param report the load
      */
     record Load(ReportScope scope, LoadReport report) implements PeerMessage {
 
-        /** {@inheritDoc} */
         @Override
         public String label() {
             return "Load." + scope;
         }
     }
 
-    /** Asks a relay for the load of all others, to be sent as {@link Load}. */
+    /** Requests the load of all other routers from a relay, which sends it as {@link Load}. */
     record LoadAsked() implements PeerMessage {}
 
     /**
-     * Hands on a configuration as the operator wrote it.
+     * Forwards a configuration as the operator wrote it.
      *
-     * @param version its version
-     * @param encoded the operator's bytes
+     * @param encoded the encoded configuration, byte for byte
      */
     record Configuration(long version, byte[] encoded) implements PeerMessage {}
 
     /**
-     * Tells that requests were refused and will come back.
+     * Announces refused requests that their callers are expected to retry.
      *
-     * @param keys the part of each one's prompt that is its own
+     * @param keys for each request, the part of its prompt that it does not share with others
      */
     record Refused(List<String> keys) implements PeerMessage {}
 
     /**
-     * Tells of requests under which upstreams ended, or that were cleared.
+     * Reports requests during which upstreams crashed, or whose quarantine was cleared.
      *
-     * @param reports what the sender knows of them
+     * @param reports the sender's reports
      */
     record Crashed(List<CrashReport> reports) implements PeerMessage {}
 
-    /**
-     * Reports upstreams that have announced in their answers that they leave.
-     *
-     * @param upstreams their starts
-     */
+    /** Reports upstreams that announced in their answers that they are leaving. */
     record Leaving(List<UpstreamIncarnation> upstreams) implements PeerMessage {}
 
     /**
-     * Shares changes of a table that the sender read.
+     * Shares changes of a table that the sender has read from the store.
      *
      * @param page the changes
      */
     record Page(SharedPage page) implements PeerMessage {}
 
     /**
-     * Asks for a table that the store does not tell the asking router.
+     * Requests a table that the store does not return to the sender.
      *
-     * @param table the table
-     * @param version the newest version that the asking router knows
+     * @param version the newest version that the sender knows
      */
     record TableAsked(String table, long version) implements PeerMessage {}
 
     /**
-     * Tells a router that asked of a table.
+     * Answers {@link TableAsked}.
      *
-     * @param table the table
      * @param state the table as the sender knows it
      */
     record TableTold(String table, TableState state) implements PeerMessage {}
 
-    /** Says, on the connection that they came on, that messages are heard. */
+    /** Acknowledges, on the connection on which they arrived, that messages are received. */
     record Heard() implements PeerMessage {}
 }
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/peer/PeerSecret.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/peer/PeerSecret.java
@@ -8,48 +8,30 @@
 import javax.crypto.Mac;
 import javax.crypto.spec.SecretKeySpec;
 
-/** Proves that a router knows the shared secret without sending it. Thread safe. */
+/** Proves knowledge of the shared secret by HMAC, without sending the secret. Thread safe. */
 final class PeerSecret {
 
-    /** How the proof is made. */
     private static final String ALGORITHM = "HmacSHA256";
 
-    /** How many random bytes a nonce has. */
     private static final int NONCE_BYTES = 16;
 
-    /** The secret. */
     private final byte[] mSecret;
 
-    /** Draws the nonces. */
     private final SecureRandom mRandom = new SecureRandom();
 
-    /**
-     * Creates a prover.
-     *
-     * @param secret the secret from the settings
-     */
     PeerSecret(String secret) {
         mSecret = secret.getBytes(StandardCharsets.UTF_8);
     }
 
-    /**
-     * Draws a nonce.
-     *
-     * @return a number that was not used before
-     */
-    String nonce() {
+    /** Returns a new random nonce. */
+    String newNonce() {
         byte[] bytes = new byte[NONCE_BYTES];
         mRandom.nextBytes(bytes);
         return HexFormat.of().formatHex(bytes);
     }
 
-    /**
-     * Makes a proof.
-     *
-     * @param parts what it is over
-     * @return the proof
-     */
-    String prove(String... parts) {
+    /** Computes the proof over some parts, in hexadecimal digits. */
+    String computeProof(String... parts) {
         try {
             Mac mac = Mac.getInstance(ALGORITHM);
             mac.init(new SecretKeySpec(mSecret, ALGORITHM));
@@ -59,20 +41,20 @@
             }
             return HexFormat.of().formatHex(mac.doFinal());
         } catch (GeneralSecurityException exception) {
-            throw new IllegalStateException("every Java platform has " + ALGORITHM, exception);
+            throw new IllegalStateException("algorithm not available: " + ALGORITHM, exception);
         }
     }
 
     /**
-     * Checks a proof in constant time.
+     * Verifies a proof in constant time.
      *
-     * @param proof the proof
-     * @param parts what it must be over
-     * @return whether it was made with the same secret
+     * @param proof the proof; may be null
+     * @param parts the parts that the proof must cover
+     * @return whether the proof was computed with the same secret
      */
-    boolean proves(String proof, String... parts) {
+    boolean verify(String proof, String... parts) {
         return MessageDigest.isEqual(
-                prove(parts).getBytes(StandardCharsets.UTF_8),
+                computeProof(parts).getBytes(StandardCharsets.UTF_8),
                 String.valueOf(proof).getBytes(StandardCharsets.UTF_8));
     }
 }
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/peer/package-info.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/peer/package-info.java
@@ -1,2 +1,2 @@
-/** The other routers: connections, messages and membership. */
+/** Connections, messages and membership among routers. */
 package org.troutpier.daemon.peer;
--- a/troutpier-daemon/src/test/java/org/troutpier/daemon/peer/MembershipTest.java
+++ b/troutpier-daemon/src/test/java/org/troutpier/daemon/peer/MembershipTest.java
@@ -98,7 +98,7 @@
     }
 
     @Test
-    public void onlyWhatAGoneCoordinatorLookedAfterMoves() {
+    public void onlySubjectsOfAGoneCoordinatorMove() {
         List<Member> three =
                 List.of(member("router-1~a"), member("router-2~b"), member("router-3~c"));
         List<Member> two = List.of(member("router-1~a"), member("router-3~c"));
--- a/troutpier-daemon/src/test/java/org/troutpier/daemon/peer/PeerMeshTest.java
+++ b/troutpier-daemon/src/test/java/org/troutpier/daemon/peer/PeerMeshTest.java
@@ -39,7 +39,7 @@
     private Peer mOne;
     private Peer mOther;
 
-    /** One router's mesh. */
+    /** A router with its mesh. */
     private final class Peer implements AutoCloseable {
         final Member mSelf;
         final ControlThread mControl = new ControlThread();
@@ -143,7 +143,7 @@
     }
 
     @Test
-    public void aConnectionMadeUnderAnEarlierStartIsMadeAgainUnderTheLater() {
+    public void aConnectionToAnEarlierIncarnationIsReplaced() {
         Member earlier =
                 new Member(new Incarnation("other~1"), HALL, mOther.mSelf.address(), false);
         await("connected", () -> connected(earlier));
@@ -158,13 +158,13 @@
         await("heard", () -> mOther.mHeard.contains(new PeerMessage.Refused(List.of("late"))));
     }
 
-    /** A connection that stood by was closed and opened again every two seconds before. */
+    /** Idle connections used to be closed and opened again every two seconds. */
     @Test
     public void aConnectionOnWhichNothingIsSentIsKept() {
         await("connected", () -> connected(mOther.mSelf));
         Awaitility.await("kept")
-                .during(Duration.ofMillis(2 * PeerMesh.SILENT_MILLIS))
-                .atMost(Duration.ofMillis(3 * PeerMesh.SILENT_MILLIS))
+                .during(Duration.ofMillis(2 * PeerMesh.SILENCE_TIMEOUT_MILLIS))
+                .atMost(Duration.ofMillis(3 * PeerMesh.SILENCE_TIMEOUT_MILLIS))
                 .until(
                         () ->
                                 mOne.onControl(
@@ -172,7 +172,7 @@
     }
 
     @Test
-    public void aConnectionThatGoesSilentWithoutAResetIsMadeAgain() {
+    public void aConnectionThatGoesSilentWithoutAResetIsReopened() {
         Address to = Address.parse(mOther.mSelf.address());
         try (FaultProxy proxy = new FaultProxy(new Address("127.0.0.1", 0), to, mLoops)) {
             Member behind =
--- a/troutpier-daemon/src/test/java/org/troutpier/daemon/peer/SilenceGuardTest.java
+++ b/troutpier-daemon/src/test/java/org/troutpier/daemon/peer/SilenceTimeoutHandlerTest.java
@@ -11,31 +11,34 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** When a connection counts as silent. */
-public final class SilenceGuardTest {
+/** When a connection is closed as silent, and when it is probed. */
+public final class SilenceTimeoutHandlerTest {
 
     private static final PeerMessage MESSAGE = new PeerMessage.Heard();
     private static final long STEP_MILLIS = 50;
 
     private long mMillis;
-    private int mSilent;
+    private int mTimeouts;
     private EmbeddedChannel mChannel;
 
     @BeforeMethod
     void open() {
         mMillis = 0;
-        mSilent = 0;
-        mChannel = new EmbeddedChannel(new SilenceGuard(() -> mMillis, () -> mSilent++));
+        mTimeouts = 0;
+        mChannel = new EmbeddedChannel(new SilenceTimeoutHandler(() -> mMillis, () -> mTimeouts++));
     }
 
-    /** Was asked after five seconds only before, in which its router could not be reached. */
+    /**
+     * An unanswered handshake used to be noticed only by the probe after five seconds, and the
+     * router was unreachable until then.
+     */
     @Test
     public void aConnectionWhoseOpeningIsNotAnsweredIsClosed() {
-        pass(PeerMesh.SILENT_MILLIS - STEP_MILLIS);
+        pass(PeerMesh.SILENCE_TIMEOUT_MILLIS - STEP_MILLIS);
         assertTrue(mChannel.isActive());
         pass(2 * STEP_MILLIS);
         assertFalse(mChannel.isActive());
-        assertEquals(mSilent, 1);
+        assertEquals(mTimeouts, 1);
     }
 
     private void pass(long millis) {
@@ -46,7 +49,7 @@
         }
     }
 
-    /** Returns after how long a connection is closed on which messages are sent all the time. */
+    /** Returns the time until a connection is closed on which messages are sent continuously. */
     private long closedAfter(long pauseMillis) {
         long from = mMillis;
         while (mChannel.isActive()) {
@@ -61,8 +64,8 @@
         pass(600);
         mChannel.writeInbound(MESSAGE);
         long after = closedAfter(50);
-        assertTrue(after <= PeerMesh.SILENT_MILLIS + STEP_MILLIS, "closed after " + after);
-        assertEquals(mSilent, 1);
+        assertTrue(after <= PeerMesh.SILENCE_TIMEOUT_MILLIS + STEP_MILLIS, "closed after " + after);
+        assertEquals(mTimeouts, 1);
     }
 
     @Test
@@ -82,18 +85,18 @@
         mChannel.writeInbound(MESSAGE);
         pass(100);
         mChannel.writeOutbound(MESSAGE);
-        pass(2 * PeerMesh.SILENT_MILLIS);
+        pass(2 * PeerMesh.SILENCE_TIMEOUT_MILLIS);
         assertTrue(mChannel.isActive());
     }
 
     @Test
-    public void anUnusedConnectionIsAskedAndClosedWhereNobodyAnswers() {
+    public void anIdleConnectionIsProbedAndClosedWithoutAnAnswer() {
         mChannel.writeInbound(MESSAGE);
-        pass(SilenceGuard.ASK_MILLIS - 2 * PeerMesh.SILENT_MILLIS);
+        pass(SilenceTimeoutHandler.PROBE_IDLE_MILLIS - 2 * PeerMesh.SILENCE_TIMEOUT_MILLIS);
         assertNull(mChannel.readOutbound());
-        pass(3 * PeerMesh.SILENT_MILLIS);
+        pass(3 * PeerMesh.SILENCE_TIMEOUT_MILLIS);
         assertNotNull(mChannel.readOutbound());
-        pass(PeerMesh.SILENT_MILLIS);
+        pass(PeerMesh.SILENCE_TIMEOUT_MILLIS);
         assertFalse(mChannel.isActive());
     }
 }
