--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/rows/InstrumentedRowStore.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/rows/InstrumentedRowStore.java
@@ -7,25 +7,22 @@
 import java.util.function.LongSupplier;
 
 /**
- * Counts and times the calls to another store, by table. Thread safe if the other is. A waiting
- * read counts as long as it waits.
+ * Decorates a store with metrics: counts and times the calls by table. Thread safe if the decorated
+ * store is. The time of {@link #pollChanges} includes the wait for a change.
  */
 public final class InstrumentedRowStore implements RowStore {
 
-    /** The other store. */
     private final RowStore mStore;
 
-    /** Keeps the figures. */
     private final MetricRegistry mMetrics;
 
-    /** The monotonic clock, nanoseconds. */
     private final LongSupplier mNanos;
 
     /**
-     * Creates a store.
+     * Creates a decorator.
      *
-     * @param store the other store
-     * @param metrics keeps the figures
+     * @param store the store that carries out the calls
+     * @param metrics the registry of the metrics
      * @param nanos the monotonic clock, nanoseconds
      */
     public InstrumentedRowStore(RowStore store, MetricRegistry metrics, LongSupplier nanos) {
@@ -34,37 +31,26 @@
         mNanos = nanos;
     }
 
-    /** {@inheritDoc} */
     @Override
     public CompletableFuture<RowPage> read(String table, String part) {
         return measured("read", table, mStore.read(table, part));
     }
 
-    /** {@inheritDoc} */
     @Override
     public CompletableFuture<RowPage> pollChanges(String table, long after, int waitMillis) {
         return measured("feed", table, mStore.pollChanges(table, after, waitMillis));
     }
 
-    /** {@inheritDoc} */
     @Override
     public CompletableFuture<WriteResult> write(Row row, long expectedVersion) {
         return counted("write", measured("write", row.table(), mStore.write(row, expectedVersion)));
     }
 
-    /** {@inheritDoc} */
     @Override
     public CompletableFuture<WriteResult> delete(Row row) {
         return counted("drop", measured("drop", row.table(), mStore.delete(row)));
     }
 
-    /**
-     * Counts what became of a write.
-     *
-     * @param call what it does
-     * @param result its result
-     * @return the same result
-     */
     private CompletableFuture<WriteResult> counted(
             String call, CompletableFuture<WriteResult> result) {
         return result.thenApply(
@@ -75,15 +61,7 @@
                 });
     }
 
-    /**
-     * Measures a call.
-     *
-     * @param <T> the result's type
-     * @param call what it does
-     * @param table the table
-     * @param result its result
-     * @return the same result
-     */
+    /** Counts and times a call once it has completed. */
     private <T> CompletableFuture<T> measured(
             String call, String table, CompletableFuture<T> result) {
         long start = mNanos.getAsLong();
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/rows/RowDecoder.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/rows/RowDecoder.java
@@ -11,102 +11,88 @@
 import org.troutpier.daemon.rows.RowStore.Row;
 
 /**
- * Tells of rows that cannot be read, as another writer may leave them in any table: one log line
- * for each key and version, and a counter. Confined to the control thread. Invariant: there are
- * {@link #MOST_LINES} lines at most in {@link #WINDOW_MILLIS}, however many rows there are.
+ * Decodes rows and reports those that cannot be decoded, since other programs may write to the same
+ * tables. Each key and version is counted and logged once. Confined to the control thread.
+ * Invariant: at most {@link #MAX_LINES} rows are logged in {@link #WINDOW_MILLIS}, however many
+ * fail.
  */
 public final class RowDecoder {
 
-    /** How many lines are logged in a window: enough to see who writes what. */
-    static final int MOST_LINES = 20;
+    /** Enough to see which rows are affected and who writes them. */
+    static final int MAX_LINES = 20;
 
-    /** How long a window lasts, milliseconds. */
     static final long WINDOW_MILLIS = 10_000;
 
-    /** Of how many keys it is remembered that they were told of. */
-    private static final int MOST_KEYS = 1000;
+    /** Number of keys whose reported version is remembered. */
+    private static final int MAX_KEYS = 1000;
 
-    /** How much of what is wrong is told, characters: it may quote a row of 64 KB. */
-    private static final int MOST_DETAIL = 200;
+    /** Longest logged detail, characters: an exception's message may quote a row of 64 KB. */
+    private static final int MAX_DETAIL_CHARS = 200;
 
-    /** Logs the rows. */
     private static final Logger LOGGER = LogManager.getLogger(RowDecoder.class);
 
-    /** Counts the rows. */
     private final MetricRegistry mMetrics;
 
-    /** The monotonic clock, milliseconds. */
     private final LongSupplier mMillis;
 
-    /** Which version was told of, by table and key; the oldest are forgotten. */
-    private final Map<String, Long> mTold =
+    /** Last reported version by table and key. The oldest entries are evicted. */
+    private final Map<String, Long> mReportedVersions =
             new LinkedHashMap<>() {
 
-                /** Serial version, as every throwable and collection has one. */
                 private static final long serialVersionUID = 1L;
 
-                /** {@inheritDoc} */
                 @Override
                 protected boolean removeEldestEntry(Map.Entry<String, Long> eldest) {
-                    return size() > MOST_KEYS;
+                    return size() > MAX_KEYS;
                 }
             };
 
-    /** When the window began, milliseconds. */
-    private long mWindowBegan;
+    private long mWindowStart;
 
-    /** How many lines were logged in the window. */
     private int mLines;
 
-    /** How many rows were not told of in the window. */
-    private int mUntold;
+    /** Rows that were not logged in the current window. */
+    private int mSuppressed;
 
     /**
-     * Creates a teller.
+     * Creates a decoder.
      *
-     * @param metrics counts the rows
+     * @param metrics the registry that rows are counted in
      * @param millis the monotonic clock, milliseconds
      */
     public RowDecoder(MetricRegistry metrics, LongSupplier millis) {
         mMetrics = metrics;
         mMillis = millis;
-        mWindowBegan = mMillis.getAsLong();
+        mWindowStart = mMillis.getAsLong();
     }
 
     /**
-     * Reads a row, or tells of it.
+     * Decodes a row, or reports that it cannot be decoded.
      *
-     * @param <T> what it says
-     * @param row the row
-     * @param reader reads it; throws where another writer left it
-     * @return what it says, or empty where it cannot be read
+     * @param <T> the type of the decoded row
+     * @param decoder decodes the row; throws if the row is malformed
+     * @return the decoded row; empty if the row is malformed
      */
-    public <T> Optional<T> decode(Row row, Function<Row, T> reader) {
+    public <T> Optional<T> decode(Row row, Function<Row, T> decoder) {
         try {
-            return Optional.of(reader.apply(row));
+            return Optional.of(decoder.apply(row));
         } catch (RuntimeException exception) {
-            unreadable(row, exception);
+            report(row, exception);
             return Optional.empty();
         }
     }
 
-    /**
-     * Takes a row that cannot be read.
-     *
-     * @param row the row
-     * @param fault what is wrong with it
-     */
-    private void unreadable(Row row, Exception fault) {
-        Long before = mTold.put(row.table() + "/" + row.key(), row.version());
-        if (before != null && before == row.version()) {
+    private void report(Row row, Exception fault) {
+        Long previous = mReportedVersions.put(row.table() + "/" + row.key(), row.version());
+        if (previous != null && previous == row.version()) {
             return;
         }
         mMetrics.counter("rows.unreadable." + row.table()).inc();
-        if (mMillis.getAsLong() - mWindowBegan >= WINDOW_MILLIS) {
+        if (mMillis.getAsLong() - mWindowStart >= WINDOW_MILLIS) {
             openWindow();
         }
-        if (mLines >= MOST_LINES) {
-            mUntold++;
+        if (mLines >= MAX_LINES) {
+            mSuppressed++;
             return;
         }
         mLines++;
@@ -116,27 +102,22 @@
                 row.key(),
                 row.version(),
                 row.value().length,
-                cut(String.valueOf(fault.getMessage())));
+                truncate(String.valueOf(fault.getMessage())));
     }
 
-    /** Begins a window, and tells how many rows were not told of in the one before. */
+    /** Starts a window, and logs how many rows the last one left out. */
     private void openWindow() {
-        if (mUntold > 0) {
-            LOGGER.warn("rows not readable and not told of count={}", mUntold);
+        if (mSuppressed > 0) {
+            LOGGER.warn("rows not readable and not logged count={}", mSuppressed);
         }
-        mWindowBegan = mMillis.getAsLong();
+        mWindowStart = mMillis.getAsLong();
         mLines = 0;
-        mUntold = 0;
+        mSuppressed = 0;
     }
 
-    /**
-     * Cuts a text that may be long.
-     *
-     * @param text the text
-     * @return its beginning, on one line
-     */
-    private static String cut(String text) {
+    /** Returns the beginning of a text, on a single line. */
+    private static String truncate(String text) {
         String line = text.replace('\n', ' ');
-        return line.length() <= MOST_DETAIL ? line : line.substring(0, MOST_DETAIL);
+        return line.length() <= MAX_DETAIL_CHARS ? line : line.substring(0, MAX_DETAIL_CHARS);
     }
 }
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/rows/RowStore.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/rows/RowStore.java
@@ -4,95 +4,89 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * A table service with versions, conditions and a change feed. It may come back from a copy that
- * lacks what was written last; all versions here are {@link StoreVersion}s, which rise all the
- * same, and a version of an era before is no condition and no place to go on from. Implementations
- * are thread safe. Reads fail with {@link RowStoreException}; a write tells what is known of it.
+ * A table service with versioned rows, conditional writes and a change feed. The service may be
+ * restored from a backup that lacks the latest writes. Versions are {@link StoreVersion}s, which
+ * keep increasing across a restore; a version of an earlier era is valid neither as a condition nor
+ * as a position in the feed. Implementations are thread safe. Reads fail with {@link
+ * RowStoreException}; a write does not fail but reports its outcome as far as it is known.
  */
 public interface RowStore {
 
     /**
-     * Reads all rows of a table's part as of one moment or, where there are many, page by page.
+     * Reads all rows in a part of a table. The rows are a snapshot or, if they are many, are read
+     * page by page.
      *
-     * @param table the table
      * @param part the part; may be empty
-     * @return the rows and the version that a feed goes on from
+     * @return the rows, and the version from which the feed continues
      */
     CompletableFuture<RowPage> read(String table, String part);
 
     /**
-     * Waits for changes.
+     * Waits for changes to a table.
      *
-     * @param table the table
-     * @param after the version after which changes are wanted
-     * @param waitMillis how long to wait for the first one
+     * @param after the version after which changes are returned
+     * @param waitMillis how long to wait for the first change, milliseconds
      * @return the changed rows in order; fails with {@link RowStoreException.Reason#HISTORY_GONE}
-     *     where the table must be read whole again, as it must in each new era
+     *     if the whole table must be read again, as in each new era
      */
     CompletableFuture<RowPage> pollChanges(String table, long after, int waitMillis);
 
     /**
-     * Writes a row on the condition that it still has a version.
+     * Writes a row if its version has not changed.
      *
      * @param row the row with its new value
-     * @param expectedVersion the version that it must have; 0 for a row that must not be there
-     * @return what is known of the write
+     * @param expectedVersion the version that the row must have; 0 if the row must not exist
      */
     CompletableFuture<WriteResult> write(Row row, long expectedVersion);
 
     /**
-     * Deletes a row on the condition that it still has the version that it has here.
+     * Deletes a row if its version has not changed.
      *
-     * @param row the row
-     * @return what is known of the deletion
+     * @param row the row with the version that it must have
      */
     CompletableFuture<WriteResult> delete(Row row);
 
     /**
-     * A row. Immutable by agreement: the value is not changed.
+     * A row. Immutable by convention: the value must not be modified.
      *
-     * @param table the table
      * @param part the part; may be empty
-     * @param key the key
      * @param value the value; empty for a deleted row
-     * @param version the version of its last change
-     * @param deleted whether the row was deleted
+     * @param version the version of the row's last change
+     * @param deleted whether the row has been deleted
      */
     record Row(
             String table, String part, String key, byte[] value, long version, boolean deleted) {}
 
     /**
-     * Rows and the store's version when they were read. Immutable and thread safe.
+     * Rows as they were read. Immutable and thread safe.
      *
-     * @param rows the rows
      * @param version the newest version that the rows reflect
-     * @param nowMillis the store's steady clock
+     * @param nowMillis the store's steady clock, milliseconds
      */
     record RowPage(List<Row> rows, long version, long nowMillis) {}
 
     /**
-     * What is known of a write. Immutable and thread safe.
+     * What is known about a write. Immutable and thread safe.
      *
-     * @param outcome what is known
-     * @param version the version written, or the row's version on a conflict; else 0
-     * @param nowMillis the store's steady clock when it answered; else 0
+     * @param version the version written or, on a conflict, the version of the row; otherwise 0
+     * @param nowMillis the store's steady clock when it answered, milliseconds; otherwise 0
      */
     record WriteResult(Outcome outcome, long version, long nowMillis) {}
 
-    /** What is known of a write. */
+    /** Outcome of a write. */
     enum Outcome {
-        /** It took effect. */
+        /** The write took effect. */
         WRITTEN,
-        /** Its condition failed; it took no effect. */
+        /** The condition failed; the write had no effect. */
         CONFLICT,
         /**
-         * It took effect under a version of an era before, which proves nothing of the row that was
-         * written over.
+         * The write took effect, but its condition was a version of an earlier era, which proves
+         * nothing about the row that was overwritten.
          */
         OUTDATED,
-        /** The store refused it, or it was not sent; it took no effect. */
+        /** The store rejected the write, or it was not sent; it had no effect. */
         NOT_DONE,
-        /** It may have taken effect, now or later. */
+        /** The write may have taken effect, or may still do so. */
         UNKNOWN
     }
 }
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/rows/RowStoreException.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/rows/RowStoreException.java
@@ -1,21 +1,19 @@
 package org.troutpier.daemon.rows;
 
-/** Says why a read of the table service failed. Immutable and thread safe. */
+/** Reports why a read from the table service failed. Immutable and thread safe. */
 public final class RowStoreException extends RuntimeException {
 
-    /** Serial version, as every throwable has one. */
     private static final long serialVersionUID = 1L;
 
-    /** Why the read failed. */
     private final Reason mReason;
 
-    /** Why a read failed. */
+    /** Reason for a failed read. */
     public enum Reason {
-        /** The history that a feed asked for is no longer kept. */
+        /** The service no longer keeps the requested part of the change feed. */
         HISTORY_GONE,
-        /** The service answered that it is overloaded or away. */
+        /** The service answered that it is overloaded or unavailable. */
         REFUSED,
-        /** No answer came. */
+        /** The service did not answer. */
         SILENT
     }
 
@@ -23,18 +21,14 @@
      * Creates an exception.
      *
      * @param reason why the read failed
-     * @param detail what exactly happened
+     * @param detail what happened
      */
     public RowStoreException(Reason reason, String detail) {
         super(reason + ": " + detail);
         mReason = reason;
     }
 
-    /**
-     * Returns why the read failed.
-     *
-     * @return the reason
-     */
+    /** Returns why the read failed. */
     public Reason reason() {
         return mReason;
     }
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/rows/StoreVersion.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/rows/StoreVersion.java
@@ -3,79 +3,64 @@
 import org.troutpier.common.settings.Check;
 
 /**
- * Versions of a store that may come back from a copy: the era, which rises each time, and the
- * number that the store gave, which goes back then. Both are kept in one number, so that versions
- * compare as the states that they name follow each other. Not to be instantiated; stateless and
- * thread safe.
+ * Versions of a store that may be restored from a backup. A version combines the store's era, which
+ * increases with each restore, and the number that the store assigned, which a restore may set
+ * back. Both are packed into one {@code long}, so that the order of versions is the order of the
+ * states. Stateless and thread safe.
  */
 public final class StoreVersion {
 
-    /** The version of a row that is not there, and of a table that was never read. */
+    /** Version of a row that does not exist, and of a table that has never been read. */
     public static final long NONE = 0;
 
-    /** How many bits the store's number takes. */
     private static final int NUMBER_BITS = 40;
 
-    /** The largest number that a store may give. */
-    private static final long MOST_NUMBER = (1L << NUMBER_BITS) - 1;
+    private static final long MAX_NUMBER = (1L << NUMBER_BITS) - 1;
 
-    /** The largest era: versions stay whole numbers wherever they are read as decimals. */
-    private static final long MOST_ERA = (1L << 13) - 1;
+    /**
+     * The largest era. Versions stay below 2<sup>53</sup>, so that they remain exact where they are
+     * read as floating-point numbers.
+     */
+    private static final long MAX_ERA = (1L << 13) - 1;
 
-    /** Not to be instantiated. */
     private StoreVersion() {}
 
     /**
-     * Makes a version.
+     * Returns the version of a table, which is greater than all versions of earlier eras.
      *
-     * @param era the store's era; 0 for a store that names none
-     * @param number the number that the store gave; 0 for a store without any change
-     * @return the version, greater than all of earlier eras
+     * @param era the store's era; 0 if the store does not report one
+     * @param number the number that the store assigned; 0 before the first change
      */
     public static long of(long era, long number) {
-        Check.range("store era", era, 0, MOST_ERA);
-        Check.range("store version", number, 0, MOST_NUMBER);
+        Check.range("store era", era, 0, MAX_ERA);
+        Check.range("store version", number, 0, MAX_NUMBER);
         return era << NUMBER_BITS | number;
     }
 
     /**
-     * Makes the version of a row.
+     * Returns the version of a row.
      *
-     * @param era the store's era; 0 for a store that names none
-     * @param number the number that the store gave; 0 for a row that is not there
-     * @return the version; {@link #NONE} for a row that is not there
+     * @param era the store's era; 0 if the store does not report one
+     * @param number the number that the store assigned; 0 for a row that does not exist
+     * @return the version; {@link #NONE} for a row that does not exist
      */
     public static long ofRow(long era, long number) {
         return number == NONE ? NONE : of(era, number);
     }
 
-    /**
-     * Returns a version's era.
-     *
-     * @param version the version
-     * @return its era
-     */
+    /** Returns the era of a version. */
     public static long era(long version) {
         return version >> NUMBER_BITS;
     }
 
-    /**
-     * Returns a version's number.
-     *
-     * @param version the version
-     * @return the number that the store gave
-     */
+    /** Returns the number that the store assigned. */
     public static long number(long version) {
-        return version & MOST_NUMBER;
+        return version & MAX_NUMBER;
     }
 
     /**
-     * Returns whether a version, as a condition or as the place where a feed goes on, means the
-     * same in an era.
-     *
-     * @param version the version
-     * @param era the era in which the store used it
-     * @return whether it is of that era; that a row is not there means the same in all
+     * Returns whether a version is valid in an era, as the condition of a write or as a position in
+     * the change feed. {@link #NONE} is valid in every era.
      */
     public static boolean isValidIn(long version, long era) {
         return version == NONE || era(version) == era;
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/rows/TableFollower.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/rows/TableFollower.java
@@ -15,161 +15,163 @@
 import org.troutpier.daemon.rows.RowStore.RowPage;
 
 /**
- * Follows a table: reads it whole, then its changes, and whole again where the history is gone.
- * Confined to the control thread. Invariants: a call that is not answered soon is not waited for,
- * the next is made beside it, and the first answer counts; after any failure the follower tries
- * again; what is told never goes back behind what was told before. A router that the store does not
- * answer asks another for the table ({@link ChangePublisher#requestTable}), and each tells with the
- * table for how long it has been read without a break.
+ * Follows a table of the store: reads the whole table, then its changes, and the whole table again
+ * when the change feed no longer reaches back far enough. Confined to the control thread, except
+ * {@link #isStoreAvailable()}. Invariants: a call that is not answered in time does not block the
+ * next one, and the first answer counts; after any failure the follower tries again; the state that
+ * the listener receives never goes back in version. While the store does not answer, the follower
+ * requests the table from another router ({@link ChangePublisher#requestTable}); such a state
+ * carries the time for which it has been followed without interruption.
  */
 public final class TableFollower {
 
-    /** How long to wait after the first failure, milliseconds. */
-    private static final long FIRST_RETRY_MILLIS = 100;
+    /** Delay after the first failure. */
+    private static final long FIRST_RETRY_DELAY_MILLIS = 100;
 
     /**
-     * Within which time routers read a table whole that learn from each other that the store came
-     * back from a copy, milliseconds.
+     * Time over which routers spread their reads of the whole table when they learn from each other
+     * that the store was restored from a backup.
      */
     private static final long RESTORED_SPREAD_MILLIS = 300;
 
-    /** How long a call waits for a change while the store may be away, milliseconds. */
-    private static final int PROBE_MILLIS = 1;
+    /** Wait for a change while the store may be unavailable. */
+    private static final int PROBE_WAIT_MILLIS = 1;
 
-    /** Logs loss and return of the store. */
     private static final Logger LOGGER = LogManager.getLogger(TableFollower.class);
 
-    /** The control thread. */
     private final Control mControl;
 
-    /** The store. */
     private final RowStore mStore;
 
-    /** The table. */
     private final String mTable;
 
-    /** How the table is followed. */
-    private final PollTiming mPace;
+    private final PollTiming mTiming;
 
-    /** Receives what is read, on the control thread. */
     private final Listener mListener;
 
-    /** Shares what is read. */
-    private final ChangePublisher mSharer;
+    private final ChangePublisher mPublisher;
 
-    /** The monotonic clock, milliseconds. */
     private final LongSupplier mMillis;
 
-    /** The table's rows by key, to be told to others. */
+    /** Rows by key, kept to answer other routers. */
     private final Map<String, Row> mRows = new HashMap<>();
 
-    /** Before when no call is needed, milliseconds on the monotonic clock. */
+    /** Time before which no call is needed, milliseconds on the monotonic clock. */
     private long mNotBefore;
 
-    /** The version that was read last. */
     private long mVersion;
 
-    /** The version of the last change of a row, or of the whole table that was read after it. */
+    /**
+     * Version of the last change of any row; after a read of the whole table, the version of that
+     * read.
+     */
     private long mChangedVersion;
 
-    /** Whether the table must be read whole. */
-    private boolean mWhole = true;
+    /** Whether the whole table must be read next. */
+    private boolean mSnapshotNeeded = true;
 
-    /** Failures since the last answer of the store; read by any thread. */
+    /** Failures since the store's last answer. Written by the control thread, read by any. */
     private volatile int mFailures;
 
-    /** The number of the last call. */
-    private int mCall;
+    /** Number of the last call. */
+    private int mLastCall;
 
-    /** The number of the oldest call whose answer still counts. */
-    private int mOldestCall = 1;
+    /** Number of the oldest call whose answer still counts. */
+    private int mOldestValidCall = 1;
 
-    /** The number of the next turn: only the one that was planned last is taken. */
-    private int mTurn;
+    /** Number of the last scheduled poll. Earlier ones that are still scheduled have no effect. */
+    private int mScheduled;
 
-    /** Whether a call has failed or was not answered soon since the table was last known. */
-    private boolean mDoubtful;
+    /** Whether a call has failed or has been late since the state was last confirmed. */
+    private boolean mUncertain;
 
-    /** When the table was last known to be the store's, milliseconds on the monotonic clock. */
-    private long mKnownAt;
+    /**
+     * Time at which the state was last confirmed to be the store's, milliseconds on the monotonic
+     * clock.
+     */
+    private long mConfirmedAt;
 
-    /** Since when it has been known without a break, milliseconds on the monotonic clock. */
+    /**
+     * Time since which the state has been confirmed without interruption, milliseconds on the
+     * monotonic clock.
+     */
     private long mUnbrokenSince;
 
     /**
-     * How a table is followed. Immutable and thread safe.
+     * Timing of the calls to the store. Immutable and thread safe.
      *
-     * @param waitMillis how long one call waits for a change
-     * @param pauseMillis how long to pause between calls
-     * @param sharedValidityMillis how long after a page that another router shared no call is
-     *     needed, and how old knowledge may be that is told to another; 0 where none is shared
-     * @param retryMillis how long a call is waited for, beyond what it waits for a change, before
-     *     the next is made beside it
+     * @param waitMillis how long a call waits for a change
+     * @param pauseMillis pause between calls
+     * @param sharedValidityMillis how long no call is needed after another router has shared
+     *     changes, and the maximum age of state that is sent to other routers; 0 if nothing is
+     *     shared
+     * @param retryMillis how long a call may take beyond its wait for a change before the next one
+     *     is started beside it
      */
     public record PollTiming(
             int waitMillis, long pauseMillis, long sharedValidityMillis, long retryMillis) {}
 
-    /** Shares with other routers what this one read itself, and asks them. */
+    /** Publishes changes to other routers, and requests state from them. */
     public interface ChangePublisher {
 
-        /** Stands for a version before any other. */
+        /** Precedes all versions. */
         long NO_VERSION = -1;
 
         /**
-         * Receives changes.
+         * Publishes changes that this router has read from the store.
          *
-         * @param after the version after which they came
-         * @param version the newest version that they reflect
-         * @param unbrokenMillis for how long the table has been read without a break
-         * @param rows all changed rows, also those that say nothing new to this router: another may
-         *     have missed what was between; may be empty
+         * @param after the version that the changes follow
+         * @param version the newest version that the changes reflect
+         * @param unbrokenMillis time for which the table has been followed without interruption
+         * @param rows all changed rows; may be empty. Rows without news for this router are
+         *     included, since another router may have missed an earlier change
          */
         void publish(long after, long version, long unbrokenMillis, List<Row> rows);
 
         /**
-         * Called when the store does not answer: another router that it answers is asked for the
-         * table, to be taken with {@link TableFollower#applyPeerState}.
+         * Requests the table from another router because the store does not answer this one. The
+         * answer is passed to {@link TableFollower#applyPeerState}.
          *
-         * @param version the newest version that this router knows; {@link #NO_VERSION} where it
-         *     needs the whole table
+         * @param version the newest version that this router has; {@link #NO_VERSION} if it needs
+         *     the whole table
          */
         default void requestTable(long version) {}
     }
 
-    /** Receives what is read, on the control thread. */
+    /** Receives the state of the table on the control thread. */
     public interface Listener {
 
         /**
-         * Called before what is read, and where nothing has changed: the table is known to be the
-         * store's now.
+         * Called when the state is confirmed to be the store's, before any changes that came with
+         * the confirmation.
          *
-         * @param own whether this router read it itself
-         * @param since since when it has been known without a break, by this router or the one that
-         *     told it, milliseconds on the monotonic clock
+         * @param own whether this router read the state from the store itself
+         * @param since time since which the state has been confirmed without interruption, by this
+         *     router or by the one that sent it, milliseconds on the monotonic clock
          */
         default void onConfirmed(boolean own, long since) {}
 
         /**
-         * Called before the whole table is received where the store has come back from a copy: what
-         * was written to it last may be missing, and rows that were deleted may be back.
+         * Called before {@link #onSnapshot} if the store was restored from a backup: the latest
+         * writes may be missing, and deleted rows may be back.
          */
         default void onRestored() {}
 
         /**
-         * Receives the whole table.
+         * Called with the whole table.
          *
          * @param rows all rows
          */
         void onSnapshot(List<Row> rows);
 
         /**
-         * Receives changes.
+         * Called with changes.
          *
          * @param rows the changed rows in order; may be empty
          */
         void onChanges(List<Row> rows);
 
-        /** Called when the store cannot be read. */
+        /** Called after each failed read. */
         void onStoreUnavailable();
     }
 
@@ -177,79 +179,79 @@
      * Creates a follower.
      *
      * @param control the control thread
-     * @param store the store
-     * @param table the table
-     * @param pace how the table is followed
-     * @param listener receives what is read, on the control thread
-     * @param sharer shares what is read
+     * @param timing timing of the calls
+     * @param listener receives the state on the control thread
+     * @param publisher publishes changes to other routers
      * @param millis the monotonic clock, milliseconds
      */
     public TableFollower(
             Control control,
             RowStore store,
             String table,
-            PollTiming pace,
+            PollTiming timing,
             Listener listener,
-            ChangePublisher sharer,
+            ChangePublisher publisher,
             LongSupplier millis) {
-        mSharer = sharer;
+        mPublisher = publisher;
         mMillis = millis;
         mNotBefore = mMillis.getAsLong();
-        mKnownAt = mMillis.getAsLong();
+        mConfirmedAt = mMillis.getAsLong();
         mControl = control;
         mStore = store;
         mTable = table;
-        mPace = pace;
+        mTiming = timing;
         mListener = listener;
     }
 
-    /** Starts to follow. */
+    /** Starts to follow the table. */
     public void start() {
-        plan(0);
+        schedule(0);
     }
 
     /**
-     * Returns whether the store answered the last call that is over. Thread safe.
-     *
-     * @return whether it did; true before the first
+     * Returns whether the store answered the last completed call; {@code true} before the first.
+     * Thread safe.
      */
     public boolean isStoreAvailable() {
         return mFailures == 0;
     }
 
     /**
-     * Takes changes that another router read. They count only where nothing is missing before them
-     * and they are not older than what is known; then no call is needed for a while.
+     * Applies changes that another router has read. They are dropped if they leave a gap after the
+     * known version or are older than it; otherwise the next call is postponed. If they show a
+     * later era, the whole table is read instead.
      *
-     * @param after the version after which they came
-     * @param version the newest version that they reflect
-     * @param unbrokenMillis for how long the other has read the table without a break
+     * @param after the version that the changes follow
+     * @param version the newest version that the changes reflect
+     * @param unbrokenMillis time for which the other router has followed the table without
+     *     interruption
      * @param rows the changed rows
      */
     public void applyShared(long after, long version, long unbrokenMillis, List<Row> rows) {
-        if (StoreVersion.era(version) > StoreVersion.era(mVersion) && !mWhole) {
-            mWhole = true;
-            plan(ThreadLocalRandom.current().nextLong(RESTORED_SPREAD_MILLIS));
+        if (StoreVersion.era(version) > StoreVersion.era(mVersion) && !mSnapshotNeeded) {
+            mSnapshotNeeded = true;
+            schedule(ThreadLocalRandom.current().nextLong(RESTORED_SPREAD_MILLIS));
         }
-        if (mWhole || after > mVersion || version < mVersion) {
+        if (mSnapshotNeeded || after > mVersion || version < mVersion) {
             return;
         }
-        known(false, 0, unbrokenMillis, version);
+        confirm(false, 0, unbrokenMillis, version);
         if (version > mVersion) {
-            take(version, rows);
+            applyChanges(version, rows);
         }
-        mNotBefore = mMillis.getAsLong() + mPace.sharedValidityMillis();
+        mNotBefore = mMillis.getAsLong() + mTiming.sharedValidityMillis();
     }
 
     /**
-     * Returns what this router can tell another whom the store does not answer.
+     * Returns the state for a router that the store does not answer.
      *
-     * @param version the newest version that the other knows
-     * @return the table, or empty where this router does not know it well enough itself
+     * @param version the newest version that the other router has
+     * @return the state, without rows if nothing has changed since that version; empty if this
+     *     router's own state is incomplete or too old
      */
     public Optional<TableState> stateSince(long version) {
-        long age = mMillis.getAsLong() - mKnownAt;
-        if (mWhole || age > mPace.sharedValidityMillis()) {
+        long age = mMillis.getAsLong() - mConfirmedAt;
+        if (mSnapshotNeeded || age > mTiming.sharedValidityMillis()) {
             return Optional.empty();
         }
         boolean whole = mChangedVersion > version;
@@ -257,151 +259,135 @@
                 new TableState(
                         mVersion,
                         age,
-                        mKnownAt - mUnbrokenSince,
+                        mConfirmedAt - mUnbrokenSince,
                         whole,
                         whole ? List.copyOf(mRows.values()) : List.of()));
     }
 
     /**
-     * Takes the table as another router told it, unless this one knows a newer state.
-     *
-     * @param state the table
+     * Applies the state that another router sent, unless it is older than the known one, or lacks
+     * the rows that this router needs.
      */
     public void applyPeerState(TableState state) {
-        if (state.version() < mVersion || mWhole && !state.whole()) {
+        if (state.version() < mVersion || mSnapshotNeeded && !state.whole()) {
             return;
         }
-        known(false, state.ageMillis(), state.unbrokenMillis(), state.version());
+        confirm(false, state.ageMillis(), state.unbrokenMillis(), state.version());
         if (state.whole()) {
-            takeWhole(state.version(), state.rows());
+            applySnapshot(state.version(), state.rows());
         } else {
             mVersion = state.version();
         }
     }
 
-    /**
-     * Plans the next turn in place of any that was planned before.
-     *
-     * @param millis how much later
-     */
-    private void plan(long millis) {
-        int turn = ++mTurn;
+    /** Schedules the next poll, replacing any scheduled earlier. */
+    private void schedule(long millis) {
+        int number = ++mScheduled;
         mControl.later(
                 () -> {
-                    if (turn == mTurn) {
-                        next();
+                    if (number == mScheduled) {
+                        poll();
                     }
                 },
                 millis);
     }
 
     /**
-     * Reads the table whole, or its next changes, unless another router's page made it needless.
+     * Starts the next read, or postpones it if changes that another router shared make it
+     * unnecessary.
      */
-    private void next() {
-        long early = mNotBefore - mMillis.getAsLong();
-        if (!mWhole && early > 0) {
-            plan(early);
+    private void poll() {
+        long untilDue = mNotBefore - mMillis.getAsLong();
+        if (!mSnapshotNeeded && untilDue > 0) {
+            schedule(untilDue);
             return;
         }
-        boolean unanswered = mCall >= mOldestCall;
+        boolean unanswered = mLastCall >= mOldestValidCall;
         if (unanswered) {
-            mDoubtful = true;
-            mSharer.requestTable(mWhole ? ChangePublisher.NO_VERSION : mVersion);
+            mUncertain = true;
+            mPublisher.requestTable(mSnapshotNeeded ? ChangePublisher.NO_VERSION : mVersion);
         }
-        call(unanswered ? PROBE_MILLIS : mPace.waitMillis());
+        call(unanswered ? PROBE_WAIT_MILLIS : mTiming.waitMillis());
     }
 
     /**
-     * Calls the store, and plans the next call in case that this one is not answered soon.
+     * Calls the store, and schedules the next call in case this one is not answered in time.
      *
      * @param waitMillis how long the call waits for a change
      */
     private void call(int waitMillis) {
-        int call = ++mCall;
-        boolean whole = mWhole;
+        int call = ++mLastCall;
+        boolean whole = mSnapshotNeeded;
         CompletableFuture<RowPage> page =
                 whole ? mStore.read(mTable, "") : mStore.pollChanges(mTable, mVersion, waitMillis);
-        plan(mPace.retryMillis() + (whole ? 0 : waitMillis));
+        schedule(mTiming.retryMillis() + (whole ? 0 : waitMillis));
         page.whenComplete(
-                (read, failure) -> mControl.execute(() -> heard(call, read, failure, whole)));
+                (read, failure) -> mControl.execute(() -> onAnswer(call, read, failure, whole)));
     }
 
     /**
-     * Takes an answer.
-     *
-     * @param call the call's number
-     * @param page what was read, or null
-     * @param failure why nothing was read, or null
-     * @param whole whether the table was read whole
+     * Handles an answer or a failure of the store. Answers of calls that were superseded are
+     * ignored.
      */
-    private void heard(int call, RowPage page, Throwable failure, boolean whole) {
-        if (call < mOldestCall) {
+    private void onAnswer(int call, RowPage page, Throwable failure, boolean whole) {
+        if (call < mOldestValidCall) {
             return;
         }
         if (failure != null) {
-            failed(failure);
+            onFailure(failure);
             return;
         }
         if (mFailures > 0) {
             LOGGER.info("store regained table={} failures={}", mTable, mFailures);
         }
         mFailures = 0;
-        mOldestCall = mCall + 1;
-        plan(mPace.pauseMillis());
+        mOldestValidCall = mLastCall + 1;
+        schedule(mTiming.pauseMillis());
         if (page.version() < mVersion) {
             LOGGER.info("older page table={} known={} read={}", mTable, mVersion, page.version());
-            plan(Math.max(FIRST_RETRY_MILLIS, mPace.pauseMillis()));
+            schedule(Math.max(FIRST_RETRY_DELAY_MILLIS, mTiming.pauseMillis()));
             return;
         }
-        known(true, 0, 0, page.version());
+        confirm(true, 0, 0, page.version());
         if (whole) {
-            takeWhole(page.version(), page.rows());
+            applySnapshot(page.version(), page.rows());
         } else {
             long after = mVersion;
-            take(page.version(), page.rows());
-            mSharer.publish(after, mVersion, mKnownAt - mUnbrokenSince, page.rows());
+            applyChanges(page.version(), page.rows());
+            mPublisher.publish(after, mVersion, mConfirmedAt - mUnbrokenSince, page.rows());
         }
     }
 
     /**
-     * Takes note that the table is known to be the store's.
+     * Records that the state is confirmed to be the store's.
      *
-     * @param own whether this router read it itself
-     * @param ageMillis how long ago that was
-     * @param unbrokenMillis for how long it had been known without a break there
-     * @param version the version at which it is known
+     * @param own whether this router read it from the store itself
+     * @param ageMillis time since the store confirmed it
+     * @param unbrokenMillis time until then for which it had been confirmed without interruption
+     * @param version the version that is confirmed
      */
-    private void known(boolean own, long ageMillis, long unbrokenMillis, long version) {
+    private void confirm(boolean own, long ageMillis, long unbrokenMillis, long version) {
         long at = mMillis.getAsLong() - ageMillis;
-        boolean away = mDoubtful && at - mKnownAt > mPace.sharedValidityMillis();
-        boolean broken = away || restored(version);
+        boolean interrupted = mUncertain && at - mConfirmedAt > mTiming.sharedValidityMillis();
+        boolean broken = interrupted || isRestored(version);
         long since = at - unbrokenMillis;
         boolean first = mVersion == 0;
         mUnbrokenSince = broken || first ? since : Math.min(mUnbrokenSince, since);
-        mKnownAt = Math.max(mKnownAt, at);
-        mDoubtful = false;
+        mConfirmedAt = Math.max(mConfirmedAt, at);
+        mUncertain = false;
         mListener.onConfirmed(own, mUnbrokenSince);
     }
 
     /**
-     * Returns whether the store has come back from a copy since the table was read last.
-     *
-     * @param version the version at which it is read now
-     * @return whether that is of a later era
+     * Returns whether a version shows that the store was restored from a backup since the last
+     * read.
      */
-    private boolean restored(long version) {
+    private boolean isRestored(long version) {
         return mVersion != StoreVersion.NONE
                 && StoreVersion.era(version) > StoreVersion.era(mVersion);
     }
 
-    /**
-     * Takes changes.
-     *
-     * @param version the newest version that they reflect
-     * @param rows the changed rows in order
-     */
-    private void take(long version, List<Row> rows) {
+    private void applyChanges(long version, List<Row> rows) {
         mVersion = version;
         for (Row row : rows) {
             if (row.deleted()) {
@@ -414,14 +400,8 @@
         mListener.onChanges(rows);
     }
 
-    /**
-     * Takes the whole table.
-     *
-     * @param version the version at which it was so
-     * @param rows all rows
-     */
-    private void takeWhole(long version, List<Row> rows) {
-        if (restored(version)) {
+    private void applySnapshot(long version, List<Row> rows) {
+        if (isRestored(version)) {
             LOGGER.warn(
                     "store came back from a copy table={} known={}/{} read={}/{}",
                     mTable,
@@ -431,7 +411,7 @@
                     StoreVersion.number(version));
             mListener.onRestored();
         }
-        mWhole = false;
+        mSnapshotNeeded = false;
         mVersion = version;
         mChangedVersion = version;
         mRows.clear();
@@ -439,25 +419,20 @@
         mListener.onSnapshot(rows);
     }
 
-    /**
-     * Takes a failure.
-     *
-     * @param failure why nothing was read
-     */
-    private void failed(Throwable failure) {
+    private void onFailure(Throwable failure) {
         Throwable cause = failure instanceof CompletionException ? failure.getCause() : failure;
         if (cause instanceof RowStoreException refused
                 && refused.reason() == RowStoreException.Reason.HISTORY_GONE) {
             LOGGER.info("history gone table={} version={}", mTable, mVersion);
-            mWhole = true;
-            mOldestCall = mCall + 1;
-            plan(0);
+            mSnapshotNeeded = true;
+            mOldestValidCall = mLastCall + 1;
+            schedule(0);
             return;
         }
-        mDoubtful = true;
+        mUncertain = true;
         if (mFailures++ == 0) {
             LOGGER.warn("store lost table={} cause={}", mTable, String.valueOf(cause));
-            plan(FIRST_RETRY_MILLIS);
+            schedule(FIRST_RETRY_DELAY_MILLIS);
         }
         mListener.onStoreUnavailable();
     }
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/rows/TableState.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/rows/TableState.java
@@ -4,15 +4,16 @@
 import org.troutpier.daemon.rows.RowStore.Row;
 
 /**
- * A table as one router knows it and tells it to another that the store does not answer. Immutable
- * by agreement: the rows' values are not changed.
+ * State of a table, as one router sends it to another that the store does not answer. Immutable by
+ * convention: the values of the rows must not be modified.
  *
- * @param version the version at which the table was so
- * @param ageMillis how long ago the store said so, milliseconds
- * @param unbrokenMillis for how long until then it had been read without a break, milliseconds
- * @param whole whether the rows are told; otherwise nothing has changed since the version that the
- *     other knows
- * @param rows all rows, or none where they are not told
+ * @param version the version of the table
+ * @param ageMillis time since the store confirmed this state, milliseconds
+ * @param unbrokenMillis time until then for which the table had been followed without interruption,
+ *     milliseconds
+ * @param whole whether the rows are included; otherwise nothing has changed since the version that
+ *     the receiver has
+ * @param rows all rows; empty if they are not included
  */
 public record TableState(
         long version, long ageMillis, long unbrokenMillis, boolean whole, List<Row> rows) {}
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/rows/package-info.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/rows/package-info.java
@@ -1,2 +1,5 @@
-/** The port to a table of rows with conditional writes and a change feed. */
+/**
+ * Access to the platform's table of versioned rows: conditional writes, change feed, and followers
+ * of a table.
+ */
 package org.troutpier.daemon.rows;
--- a/troutpier-daemon/src/test/java/org/troutpier/daemon/rows/FakeRowStore.java
+++ b/troutpier-daemon/src/test/java/org/troutpier/daemon/rows/FakeRowStore.java
@@ -11,10 +11,12 @@
 import org.troutpier.standins.platform.VersionedRows.Key;
 import org.troutpier.standins.platform.VersionedRows.Write;
 
-/** A row store in memory whose answers a test may lose or delay. Confined to the test's thread. */
+/**
+ * A row store in memory; tests can suppress or delay its answers. Confined to the test's thread.
+ */
 public final class FakeRowStore implements RowStore {
 
-    /** How calls are carried out: takes the call's work and what answers it. */
+    /** Carries out calls: receives the work of a call and the task that answers it. */
     public BiConsumer<Runnable, Runnable> mCarrier =
             (work, answer) -> {
                 work.run();
@@ -25,7 +27,7 @@
     private final Queue<CompletableFuture<RowPage>> mUnanswered = new ArrayDeque<>();
     public boolean mAway;
 
-    /** Whether calls are not answered; those sent meanwhile never are. */
+    /** Whether calls are left unanswered. Calls made meanwhile are never answered. */
     public boolean mSilent;
 
     public FakeRowStore(VersionedRows rows) {
@@ -122,7 +124,7 @@
         return future;
     }
 
-    /** Ends the oldest call that was not answered, as its time limit does. */
+    /** Fails the oldest unanswered call, as its time-out would. */
     public void timeOut() {
         mUnanswered
                 .remove()
@@ -130,7 +132,9 @@
                         new RowStoreException(RowStoreException.Reason.SILENT, "time limit"));
     }
 
-    /** Answers with what was read; a call that is answered before it is done has failed. */
+    /**
+     * Answers with the rows read; fails the call if it is answered before its work has been done.
+     */
     private static void answer(CompletableFuture<RowPage> future, List<RowPage> pages) {
         if (pages.isEmpty()) {
             future.completeExceptionally(
@@ -140,7 +144,7 @@
         }
     }
 
-    /** Returns how many times the rows have come back from a copy. */
+    /** Returns how many times the rows have been restored from a backup. */
     private long era() {
         return mRows.era() - 1;
     }
--- a/troutpier-daemon/src/test/java/org/troutpier/daemon/rows/StoreVersionTest.java
+++ b/troutpier-daemon/src/test/java/org/troutpier/daemon/rows/StoreVersionTest.java
@@ -8,11 +8,11 @@
 import org.testng.annotations.Test;
 import org.troutpier.common.settings.FieldException;
 
-/** How versions of a store compare that gives its numbers out again. */
+/** Order of the versions of a store that assigns numbers again after a restore. */
 public final class StoreVersionTest {
 
     @Test
-    public void aLaterEraComesAfterAllNumbersOfAnEarlierOne() {
+    public void versionsOfALaterEraAreGreaterThanAllOfAnEarlierOne() {
         assertTrue(StoreVersion.of(2, 1) > StoreVersion.of(1, 1_000_000_000_000L));
         assertTrue(StoreVersion.of(1, 2) > StoreVersion.of(1, 1));
         assertTrue(StoreVersion.of(1, 1) > StoreVersion.of(0, 55));
@@ -28,7 +28,7 @@
     }
 
     @Test
-    public void aRowThatIsNotThereIsSoInAllEras() {
+    public void aMissingRowHasTheSameVersionInAllEras() {
         assertEquals(StoreVersion.ofRow(7, 0), StoreVersion.NONE);
         assertEquals(StoreVersion.ofRow(7, 1), StoreVersion.of(7, 1));
         assertTrue(StoreVersion.isValidIn(StoreVersion.NONE, 7));
@@ -37,7 +37,7 @@
     }
 
     @Test
-    public void whatDoesNotFitIsRejected() {
+    public void valuesOutOfRangeAreRejected() {
         assertThrows(FieldException.class, () -> StoreVersion.of(-1, 1));
         assertThrows(FieldException.class, () -> StoreVersion.of(1L << 13, 1));
         assertThrows(FieldException.class, () -> StoreVersion.of(1, 1L << 40));
--- a/troutpier-daemon/src/test/java/org/troutpier/daemon/rows/TableFollowerTest.java
+++ b/troutpier-daemon/src/test/java/org/troutpier/daemon/rows/TableFollowerTest.java
@@ -14,7 +14,7 @@
 import org.troutpier.standins.platform.VersionedRows;
 import org.troutpier.standins.platform.VersionedRows.Key;
 
-/** How a table is followed by a router's own reads and by pages that others share. */
+/** How a table is followed by a router's own reads and by changes that other routers share. */
 public final class TableFollowerTest {
 
     private static final String TABLE = "table";
@@ -25,7 +25,7 @@
     private ManualTime mTime;
     private VersionedRows mRows;
     private FakeRowStore mStore;
-    private List<String> mTold;
+    private List<String> mReceived;
     private List<Long> mShared;
     private List<String> mSharedKeys;
     private int mPages;
@@ -37,7 +37,7 @@
         mTime = new ManualTime();
         mRows = new VersionedRows();
         mStore = new FakeRowStore(mRows);
-        mTold = new ArrayList<>();
+        mReceived = new ArrayList<>();
         mShared = new ArrayList<>();
         mSharedKeys = new ArrayList<>();
         mPages = 0;
@@ -58,7 +58,7 @@
         mTime.pass(10);
     }
 
-    /** Keeps what it is told. */
+    /** Records what it receives. */
     private final class Listener implements TableFollower.Listener {
 
         @Override
@@ -68,23 +68,23 @@
 
         @Override
         public void onRestored() {
-            mTold.add("restored");
+            mReceived.add("restored");
         }
 
         @Override
         public void onSnapshot(List<Row> rows) {
-            rows.forEach(row -> mTold.add(row.key()));
+            rows.forEach(row -> mReceived.add(row.key()));
         }
 
         @Override
         public void onChanges(List<Row> rows) {
             mPages++;
-            rows.forEach(row -> mTold.add(row.key()));
+            rows.forEach(row -> mReceived.add(row.key()));
         }
 
         @Override
         public void onStoreUnavailable() {
-            mTold.add("lost");
+            mReceived.add("lost");
         }
     }
 
@@ -106,39 +106,39 @@
     public void whatThisRouterReadIsShared() {
         put("b");
         mTime.pass(PAUSE);
-        assertEquals(mTold, List.of("a", "b"));
+        assertEquals(mReceived, List.of("a", "b"));
         assertEquals(mShared, List.of(mRows.version()));
     }
 
     @Test
-    public void aRowThatSaysNothingNewIsSharedTooSinceAnotherMayHaveMissedIt() {
+    public void aRowWithoutNewsIsSharedTooSinceAnotherRouterMayHaveMissedIt() {
         put("a");
         mTime.pass(PAUSE);
         assertEquals(mSharedKeys, List.of("a"));
     }
 
     @Test
-    public void aSharedPageMakesTheNextReadNeedlessForAWhile() {
+    public void aSharedPagePostponesTheNextRead() {
         share("b");
-        assertEquals(mTold, List.of("a", "b"));
+        assertEquals(mReceived, List.of("a", "b"));
         mTime.pass(SHARED - 20);
         assertEquals(mPages, 1);
         mTime.pass(40);
         assertEquals(mPages, 2);
-        assertEquals(mTold, List.of("a", "b"));
+        assertEquals(mReceived, List.of("a", "b"));
     }
 
     @Test
-    public void aSharedPageBehindAGapIsNotTaken() {
+    public void aSharedPageBehindAGapIsIgnored() {
         put("b");
         share("c");
-        assertEquals(mTold, List.of("a"));
+        assertEquals(mReceived, List.of("a"));
         mTime.pass(PAUSE);
-        assertEquals(mTold, List.of("a", "b", "c"));
+        assertEquals(mReceived, List.of("a", "b", "c"));
     }
 
     @Test
-    public void aSharedPageThatIsOlderThanWhatIsKnownDelaysNoRead() {
+    public void aSharedPageOlderThanTheKnownVersionPostponesNoRead() {
         long before = mRows.version();
         put("b");
         mTime.pass(PAUSE);
@@ -147,11 +147,11 @@
         mFollower.applyShared(before - 1, before, 0, List.of(row("a", before)));
         mTime.pass(60);
         assertEquals(mPages, 2);
-        assertEquals(mTold, List.of("a", "b"));
+        assertEquals(mReceived, List.of("a", "b"));
     }
 
     @Test
-    public void aSharedPageWithoutChangesMakesTheNextReadNeedlessToo() {
+    public void aSharedPageWithoutChangesPostponesTheNextReadToo() {
         long version = mRows.version();
         mTime.pass(PAUSE - 50);
         mFollower.applyShared(version, version, 0, List.of());
@@ -160,21 +160,21 @@
     }
 
     @Test
-    public void aRouterThatTheStoreTurnsAwayFollowsByPages() {
+    public void aRouterThatTheStoreRefusesFollowsBySharedPages() {
         mStore.mAway = true;
         mTime.pass(PAUSE);
         share("b");
-        assertEquals(mTold, List.of("a", "lost", "b"));
+        assertEquals(mReceived, List.of("a", "lost", "b"));
     }
 
     /**
-     * A router could not reach the store for twelve seconds. Its call of just before the return
-     * hung for the whole limit of a second and was tried again half a second later, so the list of
-     * upstreams was read 1.4 s after the store answered others' calls and this router's other
-     * tables.
+     * A call that hung when the store returned delayed the next read: after an outage of twelve
+     * seconds, a router's last call before the return hung for its whole time limit of one second
+     * and was repeated half a second later. The list of upstreams was read 1.4 s after the store
+     * had answered other routers' calls and this router's other tables.
      */
     @Test
-    public void theReturnOfAStoreThatWasSilentIsNoticedThoughACallStillHangs() {
+    public void theReturnOfASilentStoreIsDetectedWhileACallStillHangs() {
         mStore.mSilent = true;
         mTime.pass(PAUSE);
         mTime.pass(1000);
@@ -183,11 +183,11 @@
         put("b");
         mStore.mSilent = false;
         mTime.pass(500);
-        assertEquals(mTold, List.of("a", "lost", "b"));
+        assertEquals(mReceived, List.of("a", "lost", "b"));
     }
 
     @Test
-    public void aTableOfALaterEraIsReadWholeThoughItsVersionsAreLower() {
+    public void aTableOfALaterEraIsReadWholeEvenIfItsNumbersAreLower() {
         VersionedRows.Copy copy = mRows.copy();
         put("b");
         put("c");
@@ -196,12 +196,12 @@
         mRows.restore(copy);
         put("d");
         mTime.pass(3 * PAUSE);
-        assertEquals(mTold, List.of("a", "b", "c", "restored", "a", "d"));
+        assertEquals(mReceived, List.of("a", "b", "c", "restored", "a", "d"));
         assertTrue(mSince >= returned, "the reading was broken");
     }
 
     @Test
-    public void twoReturnsInARowAreBothTaken() {
+    public void twoConsecutiveRestoresAreBothDetected() {
         VersionedRows.Copy copy = mRows.copy();
         put("b");
         mTime.pass(PAUSE);
@@ -210,11 +210,11 @@
         mTime.pass(2 * PAUSE);
         mRows.restore(copy);
         mTime.pass(2 * PAUSE);
-        assertEquals(mTold, List.of("a", "b", "restored", "a", "restored", "a"));
+        assertEquals(mReceived, List.of("a", "b", "restored", "a", "restored", "a"));
     }
 
     @Test
-    public void aPeersPageOfALaterEraHasTheTableReadWhole() {
+    public void aSharedPageOfALaterEraCausesAReadOfTheWholeTable() {
         VersionedRows.Copy copy = mRows.copy();
         put("b");
         mTime.pass(PAUSE);
@@ -222,22 +222,22 @@
         long version = StoreVersion.of(1, mRows.version());
         mFollower.applyShared(version, version, 0, List.of());
         mTime.pass(310);
-        assertEquals(mTold, List.of("a", "b", "restored", "a"));
+        assertEquals(mReceived, List.of("a", "b", "restored", "a"));
     }
 
     @Test
-    public void aTableThatAPeerReportsOfAnEarlierEraIsNotTaken() {
+    public void peerStateOfAnEarlierEraIsIgnored() {
         VersionedRows.Copy copy = mRows.copy();
         put("b");
         mTime.pass(PAUSE);
         mRows.restore(copy);
         mTime.pass(2 * PAUSE);
         mFollower.applyPeerState(state(mRows.version() + 100, 0, 5000, "z"));
-        assertEquals(mTold, List.of("a", "b", "restored", "a"));
+        assertEquals(mReceived, List.of("a", "b", "restored", "a"));
     }
 
     @Test
-    public void anOlderAnswerIsNotAskedForAgainAtOnce() {
+    public void anOlderAnswerIsNotRequestedAgainAtOnce() {
         put("b");
         mTime.pass(PAUSE);
         mFollower.applyPeerState(state(mRows.version() + 100, 0, 5000, "b"));
@@ -252,16 +252,16 @@
     }
 
     @Test
-    public void whatOneThatReadAllTheWhileTellsIsKnownForAsLong() {
+    public void stateOfAPeerThatReadWithoutInterruptionIsConfirmedForAsLong() {
         mStore.mSilent = true;
         mTime.pass(3000);
         mFollower.applyPeerState(state(mRows.version() + 1, 40, 5000, "b"));
-        assertEquals(mTold, List.of("a", "b"));
+        assertEquals(mReceived, List.of("a", "b"));
         assertEquals(mSince, mTime.millis() - 5040);
     }
 
     @Test
-    public void whatOneThatHasJustBegunToReadTellsIsKnownForNoLonger() {
+    public void stateOfAPeerThatHasJustBegunToReadIsConfirmedForNoLonger() {
         mStore.mSilent = true;
         mTime.pass(3000);
         mFollower.applyPeerState(state(mRows.version() + 1, 40, 10, "b"));
@@ -269,17 +269,17 @@
     }
 
     @Test
-    public void anOlderTableIsNotTaken() {
+    public void olderPeerStateIsIgnored() {
         put("b");
         mTime.pass(PAUSE);
         long since = mSince;
         mFollower.applyPeerState(state(mRows.version() - 1, 0, 5000, "c"));
-        assertEquals(mTold, List.of("a", "b"));
+        assertEquals(mReceived, List.of("a", "b"));
         assertEquals(mSince, since);
     }
 
     @Test
-    public void aTableThatHasNotChangedIsToldWithoutItsRows() {
+    public void anUnchangedTableIsSentWithoutItsRows() {
         long version = mRows.version();
         mTime.pass(PAUSE / 2);
         TableState state = mFollower.stateSince(version).orElseThrow();
@@ -291,12 +291,12 @@
     }
 
     @Test
-    public void aReadThatIsOlderThanWhatWasToldIsNotTaken() {
+    public void aReadOlderThanPeerStateIsIgnored() {
         mStore.mSilent = true;
         mTime.pass(3000);
         mFollower.applyPeerState(state(mRows.version() + 5, 0, 5000, "b"));
         mStore.mSilent = false;
         mTime.pass(2000);
-        assertEquals(mTold, List.of("a", "b"));
+        assertEquals(mReceived, List.of("a", "b"));
     }
 }
