--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/directory/UpstreamDirectory.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/directory/UpstreamDirectory.java
@@ -21,161 +21,142 @@
 import org.troutpier.daemon.node.Control;
 
 /**
- * The upstreams that may get work. Changes are confined to the control thread; {@link #usable},
- * {@link #isLoaded()}, {@link #ageMillis()} and {@link #missingCount()} are thread safe. Invariant:
- * an entry that the platform lists as draining or no longer lists gets no work, except that an
- * entry which vanished in a time that nobody read is believed until {@link #GRACE_MILLIS} after the
- * reading went on: the store may have been away, and entries of live upstreams lapse then. Where
- * another router read all the time, the store was not away and a missing entry is gone at once. An
- * upstream that has announced itself that it leaves gets no work whatever its entry, until it
- * starts again.
+ * Holds the upstreams that the platform lists. Changes are confined to the control thread; {@link
+ * #usable}, {@link #hasRestarted}, {@link #isLoaded()}, {@link #ageMillis()} and {@link
+ * #missingCount()} are thread safe. Invariant: an upstream whose entry is draining, unreadable or
+ * no longer listed is not usable, with one exception: an entry that disappeared while no router
+ * read the store stays usable until {@link #MISSING_GRACE_MILLIS} after reading resumed, since
+ * entries of live upstreams lapse while the store is unavailable. If another router read without
+ * interruption, the store was available, and a missing entry is removed at once. An upstream that
+ * has announced that it is leaving is not usable, whatever its entry says, until it restarts.
  */
 public final class UpstreamDirectory {
 
     /**
-     * How long after the store's return an entry that vanished meanwhile is still believed,
-     * milliseconds: the users say that entries of live servers are back within about two seconds.
+     * Grace period for missing entries after the store has returned. According to the operators,
+     * entries of live servers are back within about two seconds.
      */
-    static final long GRACE_MILLIS = 2000;
+    static final long MISSING_GRACE_MILLIS = 2000;
 
     /**
-     * After which time without news of the store the end of the grace waits for its next return,
-     * milliseconds: what is missing could not come back meanwhile.
+     * Time without news of the store after which the end of the grace period waits for the store's
+     * next return, since missing entries cannot come back in the meantime.
      */
     private static final long STALE_MILLIS = 1000;
 
-    /** How many upstreams are remembered that have announced that they leave. */
-    private static final int MOST_LEAVING = 4096;
+    private static final int MAX_REMEMBERED = 4096;
 
     /**
-     * How long that is remembered, milliseconds: an upstream ends long before, and its entry may be
-     * back until then.
+     * Time for which leaving and removed upstreams are remembered. An upstream ends long before
+     * that, and until it does, its entry may come back.
      */
-    private static final long LEAVING_MILLIS = 600_000;
+    private static final long REMEMBERED_MILLIS = 600_000;
 
-    /** Logs each change. */
     private static final Logger LOGGER = LogManager.getLogger(UpstreamDirectory.class);
 
-    /** Runs what is due later. */
     private final Control mControl;
 
-    /** The monotonic clock, milliseconds. */
     private final LongSupplier mMillis;
 
-    /** The entries by id. */
     private final Map<UpstreamId, UpstreamEntry> mEntries = new HashMap<>();
 
-    /** The entries that vanished and are believed until the grace is over; read by any thread. */
-    private final Set<UpstreamId> mVanished = ConcurrentHashMap.newKeySet();
+    /** Missing entries that are in their grace period. Read by any thread. */
+    private final Set<UpstreamId> mMissing = ConcurrentHashMap.newKeySet();
 
-    /** The entries whose latest word cannot be read. */
+    /** Upstreams whose latest entry cannot be decoded. */
     private final Set<UpstreamId> mUnreadable = new HashSet<>();
 
-    /**
-     * The starts of upstreams that have announced that they leave, in answers or by their entries.
-     */
+    /** Incarnations that announced, in answers or by their entries, that they are leaving. */
     private final AgingMap<UpstreamId, UpstreamIncarnation> mLeaving =
-            new AgingMap<>(MOST_LEAVING, LEAVING_MILLIS);
+            new AgingMap<>(MAX_REMEMBERED, REMEMBERED_MILLIS);
 
-    /** The starts that were listed and are no longer. */
-    private final AgingMap<UpstreamId, UpstreamIncarnation> mGone =
-            new AgingMap<>(MOST_LEAVING, LEAVING_MILLIS);
+    /** Incarnations that are no longer listed. */
+    private final AgingMap<UpstreamId, UpstreamIncarnation> mRemoved =
+            new AgingMap<>(MAX_REMEMBERED, REMEMBERED_MILLIS);
 
-    /** The starts that were gone before the store came back from a copy, which may list them. */
-    private final Map<UpstreamId, UpstreamIncarnation> mGoneBefore = new HashMap<>();
+    /**
+     * Incarnations that were no longer listed when the store was restored from a backup, which may
+     * still list them.
+     */
+    private final Map<UpstreamId, UpstreamIncarnation> mRemovedBeforeRestore = new HashMap<>();
 
-    /** Whether this router's last call to the store was not answered. */
-    private boolean mAway;
+    /** Whether the store did not answer this router's last call. */
+    private boolean mStoreUnavailable;
 
-    /** Since when the entries have been known without a break, milliseconds; empty before that. */
-    private OptionalLong mSince = OptionalLong.empty();
+    /**
+     * Time since which the entries have been confirmed without interruption, milliseconds on the
+     * monotonic clock; empty before the first confirmation.
+     */
+    private OptionalLong mConfirmedSince = OptionalLong.empty();
 
-    /** Until when a vanished entry is believed, milliseconds. */
+    /** End of the grace period, milliseconds on the monotonic clock. */
     private long mGraceUntil;
 
-    /** The entries by service, for readers on any thread. */
-    private volatile Map<String, List<UpstreamEntry>> mSnapshot = Map.of();
+    /** Usable entries by service, replaced on each change. */
+    private volatile Map<String, List<UpstreamEntry>> mUsable = Map.of();
 
-    /** The listed start of each upstream, for readers on any thread. */
-    private volatile Map<UpstreamId, UpstreamIncarnation> mStarts = Map.of();
+    /** Listed incarnation of each upstream, replaced on each change. */
+    private volatile Map<UpstreamId, UpstreamIncarnation> mIncarnations = Map.of();
 
-    /** Receives the upstreams that are listed. */
     private Consumer<Set<UpstreamIncarnation>> mListener = listed -> {};
 
-    /** Whether the entries were read at least once. */
     private volatile boolean mLoaded;
 
-    /** When the entries were last known to be those of the store, milliseconds. */
-    private volatile long mKnownAt;
+    /** Time at which the entries were last confirmed, milliseconds on the monotonic clock. */
+    private volatile long mConfirmedAt;
 
     /**
      * Creates an empty directory.
      *
-     * @param control runs what is due later, on the control thread
+     * @param control the control thread
      * @param millis the monotonic clock, milliseconds
      */
     public UpstreamDirectory(Control control, LongSupplier millis) {
         mControl = control;
         mMillis = millis;
-        mKnownAt = mMillis.getAsLong();
+        mConfirmedAt = mMillis.getAsLong();
         mGraceUntil = mMillis.getAsLong();
     }
 
     /**
-     * Returns how long ago the entries were known to be those of the store.
-     *
-     * @return milliseconds; since the start where they have not been read
+     * Returns the time since the entries were last confirmed to be those of the store, or since
+     * this directory was created, in milliseconds.
      */
     public long ageMillis() {
-        return mMillis.getAsLong() - mKnownAt;
+        return mMillis.getAsLong() - mConfirmedAt;
     }
 
-    /**
-     * Returns how many entries are missing and still believed.
-     *
-     * @return the count
-     */
+    /** Returns the number of missing entries that are in their grace period. */
     public int missingCount() {
-        return mVanished.size();
+        return mMissing.size();
     }
 
-    /**
-     * Returns whether the entries were read at least once.
-     *
-     * @return whether the directory can be used
-     */
+    /** Returns whether the entries have been read at least once. */
     public boolean isLoaded() {
         return mLoaded;
     }
 
     /**
-     * Returns the upstreams of a service that may get work.
+     * Returns the usable upstreams of a service.
      *
      * @param service the service's name
-     * @return the entries
      */
     public List<UpstreamEntry> usable(String service) {
-        return mSnapshot.getOrDefault(service, List.of());
+        return mUsable.getOrDefault(service, List.of());
     }
 
-    /**
-     * Returns the upstreams of all services that may get work.
-     *
-     * @param role what they do
-     * @return the entries
-     */
+    /** Returns the usable upstreams of all services in a role. */
     public List<UpstreamEntry> usable(UpstreamEntry.Role role) {
-        return mSnapshot.values().stream()
+        return mUsable.values().stream()
                 .flatMap(List::stream)
                 .filter(entry -> entry.role() == role)
                 .toList();
     }
 
     /**
-     * Returns what is listed now of a start of an upstream.
+     * Returns the current entry of an upstream, if the same incarnation is still usable.
      *
-     * @param upstream the upstream as it was listed before
-     * @return its entry; empty where it is listed no more or leaving
+     * @param upstream an earlier entry of the upstream
      */
     public Optional<UpstreamEntry> usable(UpstreamEntry upstream) {
         return usable(upstream.service()).stream()
@@ -184,20 +165,18 @@
     }
 
     /**
-     * Returns whether an upstream is known to have started again since one of its starts.
-     *
-     * @param incarnation the start
-     * @return whether what that start held is lost
+     * Returns whether an upstream is known to have restarted after an incarnation, so that the
+     * state of that incarnation is lost.
      */
     public boolean hasRestarted(UpstreamIncarnation incarnation) {
-        UpstreamIncarnation now = mStarts.get(incarnation.id());
-        return now != null && now.follows(incarnation);
+        UpstreamIncarnation listed = mIncarnations.get(incarnation.id());
+        return listed != null && listed.follows(incarnation);
     }
 
     /**
-     * Sets who is told of the upstreams that are listed, whenever that changes.
+     * Sets the listener that is called whenever the entries have changed.
      *
-     * @param listener takes their starts, on the control thread
+     * @param listener receives all listed incarnations on the control thread
      */
     public void setListener(Consumer<Set<UpstreamIncarnation>> listener) {
         mListener = listener;
@@ -205,77 +184,76 @@
 
     /** Records that the store did not answer this router. */
     public void onStoreUnavailable() {
-        if (!mAway) {
+        if (!mStoreUnavailable) {
             LOGGER.warn(
                     "directory store lost entries={} ageMillis={}", mEntries.size(), ageMillis());
         }
-        mAway = true;
+        mStoreUnavailable = true;
     }
 
     /**
-     * Records that the entries are known to be the store's, before the changes that came with it.
+     * Records that the entries are confirmed to be those of the store. Called before the changes
+     * that came with the confirmation.
      *
-     * @param own whether the store answered this router, not only another that told it
-     * @param since since when they have been known without a break, milliseconds on the monotonic
-     *     clock
+     * @param own whether this router read the store itself, rather than another one that shared its
+     *     state
+     * @param since time since which the entries have been confirmed without interruption,
+     *     milliseconds on the monotonic clock
      */
     public void onConfirmed(boolean own, long since) {
-        if (own && mAway) {
-            mAway = false;
+        if (own && mStoreUnavailable) {
+            mStoreUnavailable = false;
             LOGGER.info(
                     "directory store regained entries={} ageMillis={}",
                     mEntries.size(),
                     ageMillis());
         }
-        if (mSince.isPresent() && mSince.getAsLong() != since) {
-            mGraceUntil = since + GRACE_MILLIS;
-            expireWhenDue();
+        if (mConfirmedSince.isPresent() && mConfirmedSince.getAsLong() != since) {
+            mGraceUntil = since + MISSING_GRACE_MILLIS;
+            scheduleExpiry();
         }
-        mSince = OptionalLong.of(since);
-        mKnownAt = mMillis.getAsLong();
-        expire();
+        mConfirmedSince = OptionalLong.of(since);
+        mConfirmedAt = mMillis.getAsLong();
+        expireMissing();
     }
 
     /**
-     * Takes note that the next list is from a copy of the store that lacks what was written last.
-     * An upstream that was gone before and is listed there gets no work until its entry changes,
-     * which that of one that runs soon does.
+     * Records that the store was restored from a backup that lacks the latest writes, and that the
+     * next list is from there. An upstream that had been removed before and is listed again is not
+     * usable until its entry changes; the entry of a running upstream does so soon.
      */
     public void onRestored() {
-        mGoneBefore.clear();
-        mGoneBefore.putAll(mGone.values(mMillis.getAsLong()));
+        mRemovedBeforeRestore.clear();
+        mRemovedBeforeRestore.putAll(mRemoved.values(mMillis.getAsLong()));
     }
 
     /**
-     * Returns whether an entry is void, since it was gone and a copy brought it back.
-     *
-     * @param listed the entry as a whole list has it
-     * @return whether it is not to be taken
+     * Returns whether an entry is of an incarnation that was removed before the store was restored.
      */
-    private boolean broughtBack(UpstreamEntry listed) {
-        UpstreamIncarnation gone = mGoneBefore.get(listed.id());
-        return gone != null && listed.incarnation().mayBe(gone);
+    private boolean isRevivedByRestore(UpstreamEntry listed) {
+        UpstreamIncarnation removed = mRemovedBeforeRestore.get(listed.id());
+        return removed != null && listed.incarnation().mayBe(removed);
     }
 
     /**
-     * Takes the whole list, all of whose entries can be read.
+     * Replaces all entries.
      *
-     * @param listed all entries that the platform lists
+     * @param listed all listed entries, none of which is unreadable
      */
     public void replaceAll(Collection<UpstreamEntry> listed) {
         replaceAll(listed, Set.of());
     }
 
     /**
-     * Takes the whole list.
+     * Replaces all entries.
      *
-     * @param listed all entries that the platform lists and that can be read
-     * @param unreadable the upstreams that it lists by a word that cannot be read
+     * @param listed all listed entries that can be decoded
+     * @param unreadable the listed upstreams whose entries cannot be decoded
      */
     public void replaceAll(Collection<UpstreamEntry> listed, Set<UpstreamId> unreadable) {
         Map<UpstreamId, UpstreamEntry> next =
                 listed.stream()
-                        .filter(entry -> !broughtBack(entry))
+                        .filter(entry -> !isRevivedByRestore(entry))
                         .collect(Collectors.toMap(UpstreamEntry::id, entry -> entry));
         for (UpstreamId known : List.copyOf(mEntries.keySet())) {
             if (unreadable.contains(known)) {
@@ -290,57 +268,54 @@
     }
 
     /**
-     * Takes one changed entry.
+     * Applies the change of an entry.
      *
-     * @param id the entry's id
-     * @param entry the entry, or empty where it was deleted
+     * @param id the upstream
+     * @param entry the new entry; empty if it was deleted
      */
     public void update(UpstreamId id, Optional<UpstreamEntry> entry) {
-        mGoneBefore.remove(id);
-        boolean news = entry.isPresent() ? put(entry.get()) : remove(id);
-        if (news) {
+        mRemovedBeforeRestore.remove(id);
+        boolean changed = entry.isPresent() ? put(entry.get()) : remove(id);
+        if (changed) {
             publish();
         }
     }
 
     /**
-     * Takes note that an upstream has announced itself that it leaves. Its entry may follow later,
-     * or state the contrary for as long as the store is away.
+     * Records that an upstream itself announced that it is leaving. Its entry may follow later, or
+     * may state the contrary while the store is unavailable.
      *
-     * @param start the start that leaves, whether it is listed or not
-     * @return whether that was not known
+     * @param incarnation the incarnation that is leaving, whether it is listed or not
+     * @return whether this is news
      */
-    public boolean markLeaving(UpstreamIncarnation start) {
-        boolean news =
-                mLeaving.get(start.id(), mMillis.getAsLong()).filter(start::equals).isEmpty();
-        mLeaving.put(start.id(), start, mMillis.getAsLong());
-        UpstreamEntry entry = mEntries.get(start.id());
-        if (entry != null && !entry.draining() && entry.incarnation().mayBe(start)) {
-            LOGGER.info("upstream leaves id={}", start);
-            mEntries.put(start.id(), entry.leaving());
+    public boolean markLeaving(UpstreamIncarnation incarnation) {
+        boolean changed =
+                mLeaving.get(incarnation.id(), mMillis.getAsLong())
+                        .filter(incarnation::equals)
+                        .isEmpty();
+        mLeaving.put(incarnation.id(), incarnation, mMillis.getAsLong());
+        UpstreamEntry entry = mEntries.get(incarnation.id());
+        if (entry != null && !entry.draining() && entry.incarnation().mayBe(incarnation)) {
+            LOGGER.info("upstream leaves id={}", incarnation);
+            mEntries.put(incarnation.id(), entry.asDraining());
             publish();
         }
-        return news;
+        return changed;
     }
 
-    /**
-     * Returns an entry as it holds with what its upstream has announced itself.
-     *
-     * @param entry the entry as it is listed
-     * @return an entry that gets no work where the same start has announced that it leaves
-     */
-    private UpstreamEntry heeding(UpstreamEntry entry) {
+    /** Returns an entry marked as draining if its incarnation has announced that it is leaving. */
+    private UpstreamEntry applyLeaving(UpstreamEntry entry) {
         boolean leaving =
                 mLeaving.get(entry.id(), mMillis.getAsLong())
                         .filter(entry.incarnation()::mayBe)
                         .isPresent();
-        return leaving && !entry.draining() ? entry.leaving() : entry;
+        return leaving && !entry.draining() ? entry.asDraining() : entry;
     }
 
     /**
-     * Takes note that the latest word of an upstream cannot be read, so that nobody knows whether
-     * it takes work: it gets none until it is listed again. Of its entry only the start is still
-     * believed, so that a word of an earlier one is not taken for news.
+     * Records that the latest entry of an upstream cannot be decoded. Whether it accepts work is
+     * unknown, so it is not usable until it is listed again. Of its previous entry, only the
+     * incarnation is still used, so that an entry of an earlier incarnation is not taken for news.
      *
      * @param id the upstream
      */
@@ -351,23 +326,19 @@
         }
     }
 
-    /**
-     * Stores an entry.
-     *
-     * @param told the entry as it is told
-     * @return whether it says something new
-     */
-    private boolean put(UpstreamEntry told) {
-        mVanished.remove(told.id());
-        mGone.remove(told.id());
-        UpstreamEntry before = mEntries.get(told.id());
-        UpstreamEntry entry = heeding(before == null ? told : before.after(told));
+    /** Merges a reported entry into the known one, and returns whether that changed anything. */
+    private boolean put(UpstreamEntry reported) {
+        mMissing.remove(reported.id());
+        mRemoved.remove(reported.id());
+        UpstreamEntry previous = mEntries.get(reported.id());
+        UpstreamEntry entry =
+                applyLeaving(previous == null ? reported : previous.mergedWith(reported));
         mEntries.put(entry.id(), entry);
         if (entry.draining()) {
             mLeaving.put(entry.id(), entry.incarnation(), mMillis.getAsLong());
         }
-        boolean news = mUnreadable.remove(entry.id()) || !entry.equals(before);
-        if (news) {
+        boolean changed = mUnreadable.remove(entry.id()) || !entry.equals(previous);
+        if (changed) {
             LOGGER.info(
                     "upstream listed id={} service={} address={} role={} draining={}",
                     entry.incarnation(),
@@ -376,87 +347,81 @@
                     entry.role(),
                     entry.draining());
         }
-        return news;
+        return changed;
     }
 
     /**
-     * Removes an entry, or lets it lapse later where it may have vanished by mistake.
-     *
-     * @param id the entry's id
-     * @return whether it is gone now
+     * Removes an entry, or starts its grace period if it may be missing by mistake. Returns whether
+     * it was removed.
      */
     private boolean remove(UpstreamId id) {
         UpstreamEntry entry = mEntries.get(id);
-        if (entry == null || mVanished.contains(id)) {
+        if (entry == null || mMissing.contains(id)) {
             return false;
         }
-        long believed = mGraceUntil - mMillis.getAsLong();
-        if (believed > 0 && !entry.draining() && !mUnreadable.contains(id)) {
-            LOGGER.info("upstream missing id={} believedMillis={}", id, believed);
-            mVanished.add(id);
-            expireWhenDue();
+        long remaining = mGraceUntil - mMillis.getAsLong();
+        if (remaining > 0 && !entry.draining() && !mUnreadable.contains(id)) {
+            LOGGER.info("upstream missing id={} believedMillis={}", id, remaining);
+            mMissing.add(id);
+            scheduleExpiry();
             return false;
         }
-        forget(id);
+        discard(id);
         LOGGER.info("upstream gone id={}", id);
         return true;
     }
 
-    /**
-     * Forgets an entry, and remembers that its upstream is gone.
-     *
-     * @param id the upstream
-     */
-    private void forget(UpstreamId id) {
+    /** Removes an entry, and remembers its incarnation as removed. */
+    private void discard(UpstreamId id) {
         UpstreamEntry entry = mEntries.remove(id);
         mUnreadable.remove(id);
         if (entry != null) {
-            mGone.put(id, entry.incarnation(), mMillis.getAsLong());
+            mRemoved.put(id, entry.incarnation(), mMillis.getAsLong());
         }
     }
 
-    /** Plans the end of the grace, if there are vanished entries. */
-    private void expireWhenDue() {
-        if (!mVanished.isEmpty()) {
-            mControl.later(this::expire, Math.max(0, mGraceUntil - mMillis.getAsLong()));
+    private void scheduleExpiry() {
+        if (!mMissing.isEmpty()) {
+            mControl.later(this::expireMissing, Math.max(0, mGraceUntil - mMillis.getAsLong()));
         }
     }
 
     /**
-     * Removes vanished entries once the grace is over. The clock ends it: waiting for the next page
-     * with news, it ended up to 1.2 s late (60 ends, median 0.13 s).
+     * Removes missing entries at the end of their grace period. A timer calls this, too: without
+     * it, the period ended with the next page that had changes, up to 1.2 s late (median 0.13 s in
+     * 60 cases).
      */
-    private void expire() {
+    private void expireMissing() {
         long overdue = mMillis.getAsLong() - mGraceUntil;
-        boolean couldNotReturn = mAway && ageMillis() > STALE_MILLIS;
-        if (mVanished.isEmpty() || overdue < 0 || couldNotReturn) {
+        boolean storeSilent = mStoreUnavailable && ageMillis() > STALE_MILLIS;
+        if (mMissing.isEmpty() || overdue < 0 || storeSilent) {
             return;
         }
-        for (UpstreamId vanished : mVanished) {
-            forget(vanished);
+        for (UpstreamId missing : mMissing) {
+            discard(missing);
             LOGGER.info(
                     "upstream gone after the store's return id={} overdueMillis={}",
-                    vanished,
+                    missing,
                     overdue);
         }
-        mVanished.clear();
+        mMissing.clear();
         publish();
     }
 
-    /** Publishes what may get work. */
+    /** Publishes the usable entries to readers on other threads, and calls the listener. */
     private void publish() {
         List<UpstreamEntry> usable = new ArrayList<>(mEntries.values());
         usable.removeIf(entry -> entry.draining() || mUnreadable.contains(entry.id()));
-        mSnapshot =
+        mUsable =
                 usable.stream()
                         .collect(
                                 Collectors.groupingBy(
                                         UpstreamEntry::service, Collectors.toUnmodifiableList()));
-        mStarts =
+        mIncarnations =
                 mEntries.values().stream()
                         .collect(
                                 Collectors.toUnmodifiableMap(
                                         UpstreamEntry::id, UpstreamEntry::incarnation));
-        mListener.accept(Set.copyOf(mStarts.values()));
+        mListener.accept(Set.copyOf(mIncarnations.values()));
     }
 }
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/directory/UpstreamEntry.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/directory/UpstreamEntry.java
@@ -6,14 +6,12 @@
 import org.troutpier.common.settings.Address;
 
 /**
- * One incarnation of an upstream as the platform lists it. Immutable and thread safe.
+ * An incarnation of an upstream as the platform lists it. Immutable and thread safe.
  *
- * @param incarnation names it
  * @param service the service that it belongs to
- * @param address where it listens
- * @param hall where it stands
- * @param slots how many requests it works on at once
- * @param role what it does
+ * @param address the address that it listens at
+ * @param hall its data hall
+ * @param slots number of requests that it processes concurrently
  * @param draining whether it is about to leave
  */
 public record UpstreamEntry(
@@ -25,57 +23,49 @@
         Role role,
         boolean draining) {
 
-    /**
-     * Returns the upstream's id, whichever of its starts this is.
-     *
-     * @return the id
-     */
+    /** Returns the upstream's id, which all of its incarnations share. */
     public UpstreamId id() {
         return incarnation.id();
     }
 
-    /**
-     * Returns this entry of an upstream that leaves.
-     *
-     * @return an entry that gets no work
-     */
-    UpstreamEntry leaving() {
+    /** Returns this entry marked as draining. */
+    UpstreamEntry asDraining() {
         return new UpstreamEntry(incarnation, service, address, hall, slots, role, true);
     }
 
     /**
-     * Returns what is known after this upstream was told of again. What is told of an earlier start
-     * is dropped. Within one start, a told start is kept, and an upstream that is leaving does not
-     * come back: only a later start is ready again.
+     * Merges this entry with a later report about the same upstream. A report about an earlier
+     * incarnation is dropped. Within one incarnation, a known start time is kept, and draining is
+     * final: only a later incarnation is ready again.
      *
-     * @param told what is told now, of the same id
-     * @return what is known
+     * @param reported the reported entry, with the same id
+     * @return the merged entry
      */
-    UpstreamEntry after(UpstreamEntry told) {
-        if (told.incarnation.follows(incarnation)) {
-            return told;
+    UpstreamEntry mergedWith(UpstreamEntry reported) {
+        if (reported.incarnation.follows(incarnation)) {
+            return reported;
         }
-        if (!told.incarnation.mayBe(incarnation)) {
+        if (!reported.incarnation.mayBe(incarnation)) {
             return this;
         }
-        boolean known = told.incarnation.startMillis() != UpstreamIncarnation.UNKNOWN;
+        boolean known = reported.incarnation.startMillis() != UpstreamIncarnation.UNKNOWN;
         return new UpstreamEntry(
-                known ? told.incarnation : incarnation,
-                told.service,
-                told.address,
-                told.hall,
-                told.slots,
-                told.role,
-                draining || told.draining);
+                known ? reported.incarnation : incarnation,
+                reported.service,
+                reported.address,
+                reported.hall,
+                reported.slots,
+                reported.role,
+                draining || reported.draining);
     }
 
-    /** What an upstream does. */
+    /** Role of an upstream. */
     public enum Role {
-        /** Reads prompts. */
+        /** Prefill engine, which processes prompts. */
         PREFILL,
-        /** Makes tokens. */
+        /** Decode engine, which generates tokens. */
         DECODE,
-        /** Answers plain calls. */
+        /** Replica of a plain service. */
         PLAIN
     }
 }
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/directory/package-info.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/directory/package-info.java
@@ -1,2 +1,2 @@
-/** The upstreams that the platform lists, followed from a table's change feed. */
+/** The upstreams that the platform lists, kept up to date from a table's change feed. */
 package org.troutpier.daemon.directory;
--- a/troutpier-daemon/src/test/java/org/troutpier/daemon/directory/UpstreamDirectoryTest.java
+++ b/troutpier-daemon/src/test/java/org/troutpier/daemon/directory/UpstreamDirectoryTest.java
@@ -16,7 +16,7 @@
 import org.troutpier.common.settings.Address;
 import org.troutpier.daemon.node.ManualTime;
 
-/** Which upstreams may get work. */
+/** Which upstreams are usable. */
 public final class UpstreamDirectoryTest {
 
     private ManualTime mTime;
@@ -44,22 +44,22 @@
     }
 
     @Test
-    public void whatDrainsOrIsGoneGetsNoWork() {
+    public void drainingAndRemovedUpstreamsAreNotUsable() {
         mDirectory.replaceAll(List.of(entry("a", false), entry("b", false), entry("c", false)));
         mDirectory.update(new UpstreamId("a"), Optional.of(entry("a", true)));
         mDirectory.update(new UpstreamId("b"), Optional.empty());
         assertEquals(mDirectory.usable("web"), List.of(entry("c", false)));
     }
 
-    private boolean leaves(String start) {
+    private boolean announceLeaving(String start) {
         return mDirectory.markLeaving(UpstreamIncarnation.of(start));
     }
 
     @Test
-    public void whatSaysThatItLeavesGetsNoWorkWhateverItsEntrySays() {
+    public void anUpstreamThatAnnouncedLeavingIsNotUsableWhateverItsEntrySays() {
         mDirectory.replaceAll(List.of(entry("a", false), entry("b", false)));
-        assertTrue(leaves("a"));
-        assertFalse(leaves("a"), "it is known");
+        assertTrue(announceLeaving("a"));
+        assertFalse(announceLeaving("a"), "it is known");
         assertEquals(mDirectory.usable("web"), List.of(entry("b", false)));
         mDirectory.update(new UpstreamId("a"), Optional.of(entry("a", false)));
         assertEquals(usable(), 1);
@@ -69,32 +69,32 @@
     }
 
     @Test
-    public void whatLeavesBeforeItIsListedGetsNoWork() {
-        assertTrue(leaves("a"));
+    public void anUpstreamThatAnnouncedLeavingBeforeItIsListedIsNotUsable() {
+        assertTrue(announceLeaving("a"));
         mDirectory.replaceAll(List.of(entry("a", false)));
         assertEquals(usable(), 0);
     }
 
     @Test
-    public void theNextStartOfWhatHasLeftGetsWork() {
+    public void theNextIncarnationOfALeavingUpstreamIsUsable() {
         mDirectory.replaceAll(List.of(entry("a~1", false)));
-        leaves("a~1");
+        announceLeaving("a~1");
         assertEquals(usable(), 0);
         mDirectory.update(new UpstreamId("a"), Optional.of(entry("a~2", false)));
         assertEquals(usable(), 1);
-        assertTrue(leaves("a~2"));
+        assertTrue(announceLeaving("a~2"));
         assertEquals(usable(), 0);
     }
 
     @Test
-    public void anEarlierStartThatSaysThatItLeavesTakesNothingFromTheNext() {
+    public void leavingOfAnEarlierIncarnationDoesNotAffectTheNext() {
         mDirectory.replaceAll(List.of(entry("a~2", false)));
-        leaves("a~1");
+        announceLeaving("a~1");
         assertEquals(usable(), 1);
     }
 
     @Test
-    public void whatDrainedAndWentGetsNoWorkThoughACopyListsItAsReady() {
+    public void aDrainedUpstreamIsNotUsableEvenIfARestoredStoreListsItAsReady() {
         mDirectory.replaceAll(List.of(entry("a", false), entry("b", false)));
         mDirectory.update(new UpstreamId("a"), Optional.of(entry("a", true)));
         mDirectory.update(new UpstreamId("a"), Optional.empty());
@@ -105,7 +105,7 @@
     }
 
     @Test
-    public void whatWentWithoutAWordGetsNoWorkByACopyUntilItsEntryChanges() {
+    public void aRemovedUpstreamThatARestoredStoreListsIsNotUsableUntilItsEntryChanges() {
         mTime.pass(10_000);
         mDirectory.replaceAll(List.of(entry("a", false), entry("b", false)));
         mDirectory.update(new UpstreamId("a"), Optional.empty());
@@ -118,26 +118,26 @@
         assertEquals(usable(), 2, "it runs");
     }
 
-    /** The list is read without a break from now on. */
-    private void readFromNowOn() {
+    /** The entries are confirmed without interruption from now on. */
+    private void confirmFromNowOn() {
         mDirectory.onConfirmed(true, mTime.millis());
     }
 
-    /** Nobody reads for a while, then the reading goes on. */
-    private void unreadFor(long millis) {
+    /** No router reads the store for a while, then reading resumes. */
+    private void interruptFor(long millis) {
         mDirectory.onStoreUnavailable();
         mTime.pass(millis);
-        readFromNowOn();
+        confirmFromNowOn();
     }
 
     @Test
-    public void whatVanishedWhileTheStoreWasAwayIsBelievedForTheGrace() {
-        readFromNowOn();
+    public void anEntryMissingAfterAnOutageStaysUsableForTheGracePeriod() {
+        confirmFromNowOn();
         mDirectory.replaceAll(List.of(entry("a", false), entry("b", false)));
-        unreadFor(5000);
+        interruptFor(5000);
         mDirectory.replaceAll(List.of(entry("a", false)));
         assertEquals(usable(), 2);
-        mTime.pass(UpstreamDirectory.GRACE_MILLIS - 1);
+        mTime.pass(UpstreamDirectory.MISSING_GRACE_MILLIS - 1);
         assertEquals(usable(), 2);
         assertEquals(mDirectory.missingCount(), 1);
         mTime.pass(1);
@@ -145,20 +145,20 @@
         assertEquals(mDirectory.missingCount(), 0);
     }
 
-    /** Waiting for the next page with news, the grace ended up to 1.2 s late. */
+    /** The grace period used to end with the next page that had changes, up to 1.2 s late. */
     @Test
-    public void theGraceEndsByTheClockThoughNothingIsRead() {
-        readFromNowOn();
+    public void theGracePeriodEndsByTheClockEvenIfNothingIsRead() {
+        confirmFromNowOn();
         mDirectory.replaceAll(List.of(entry("a", false)));
-        unreadFor(5000);
+        interruptFor(5000);
         mDirectory.replaceAll(List.of());
-        mTime.pass(UpstreamDirectory.GRACE_MILLIS);
+        mTime.pass(UpstreamDirectory.MISSING_GRACE_MILLIS);
         assertEquals(usable(), 0);
     }
 
     @Test
-    public void whatVanishedWhileAnotherRouterReadIsGoneAtOnce() {
-        readFromNowOn();
+    public void anEntryMissingWhileAnotherRouterReadIsRemovedAtOnce() {
+        confirmFromNowOn();
         long since = mTime.millis();
         mDirectory.replaceAll(List.of(entry("a", false)));
         mDirectory.onStoreUnavailable();
@@ -169,10 +169,10 @@
     }
 
     @Test
-    public void theGraceIsCutShortByOneThatReadAllTheWhile() {
-        readFromNowOn();
+    public void theGracePeriodIsShortenedByARouterThatReadWithoutInterruption() {
+        confirmFromNowOn();
         mDirectory.replaceAll(List.of(entry("a", false)));
-        unreadFor(5000);
+        interruptFor(5000);
         mDirectory.replaceAll(List.of());
         mTime.pass(300);
         mDirectory.onConfirmed(false, mTime.millis() - 1800);
@@ -183,23 +183,23 @@
     }
 
     @Test
-    public void whatCouldNotComeBackSinceTheStoreIsAwayAgainIsBelievedOn() {
-        readFromNowOn();
+    public void theGracePeriodStartsAgainAfterASecondOutage() {
+        confirmFromNowOn();
         mDirectory.replaceAll(List.of(entry("a", false)));
-        unreadFor(5000);
+        interruptFor(5000);
         mDirectory.replaceAll(List.of());
         mTime.pass(500);
-        unreadFor(4000);
+        interruptFor(4000);
         assertEquals(usable(), 1);
-        mTime.pass(UpstreamDirectory.GRACE_MILLIS);
+        mTime.pass(UpstreamDirectory.MISSING_GRACE_MILLIS);
         assertEquals(usable(), 0);
     }
 
     @Test
-    public void whatComesBackWithinTheGraceStays() {
-        readFromNowOn();
+    public void anEntryThatReturnsWithinTheGracePeriodIsKept() {
+        confirmFromNowOn();
         mDirectory.replaceAll(List.of(entry("a", false)));
-        unreadFor(5000);
+        interruptFor(5000);
         mDirectory.update(new UpstreamId("a"), Optional.empty());
         mDirectory.update(new UpstreamId("a"), Optional.of(entry("a", false)));
         mTime.pass(10_000);
@@ -207,7 +207,7 @@
     }
 
     @Test
-    public void anEntryThatWasGoneIsBackWithTheNextRowThatListsIt() {
+    public void aRemovedEntryIsUsableAgainOnceItIsListed() {
         mDirectory.replaceAll(List.of(entry("a", false)));
         mDirectory.update(new UpstreamId("a"), Optional.empty());
         mDirectory.update(new UpstreamId("a"), Optional.of(entry("a", false)));
@@ -215,76 +215,76 @@
     }
 
     @Test
-    public void whatDrainedBeforeTheOutageIsNotBelieved() {
-        readFromNowOn();
+    public void aMissingEntryThatWasDrainingGetsNoGracePeriod() {
+        confirmFromNowOn();
         mDirectory.replaceAll(List.of(entry("a", true)));
-        unreadFor(5000);
+        interruptFor(5000);
         mDirectory.update(new UpstreamId("a"), Optional.empty());
         assertEquals(usable(), 0);
     }
 
     @Test
-    public void withoutAnOutageAMissingEntryIsGoneAtOnce() {
+    public void withoutAnOutageAMissingEntryIsRemovedAtOnce() {
         mDirectory.replaceAll(List.of(entry("a", false)));
         assertTrue(mDirectory.isLoaded());
         mDirectory.update(new UpstreamId("a"), Optional.empty());
         assertEquals(usable(), 0);
     }
 
-    private void tell(String incarnation, boolean draining) {
+    private void report(String incarnation, boolean draining) {
         UpstreamEntry told = entry(incarnation, draining);
         mDirectory.update(told.id(), Optional.of(told));
     }
 
-    private static UpstreamIncarnation start(String text) {
+    private static UpstreamIncarnation incarnation(String text) {
         return UpstreamIncarnation.of(text);
     }
 
     @Test
-    public void aLaterStartTakesThePlaceOfAnEarlierOne() {
-        tell("a~1", false);
-        tell("a~2", false);
+    public void aLaterIncarnationReplacesAnEarlierOne() {
+        report("a~1", false);
+        report("a~2", false);
         assertEquals(mDirectory.usable("web"), List.of(entry("a~2", false)));
-        assertTrue(mDirectory.hasRestarted(start("a~1")));
-        assertFalse(mDirectory.hasRestarted(start("a~2")));
+        assertTrue(mDirectory.hasRestarted(incarnation("a~1")));
+        assertFalse(mDirectory.hasRestarted(incarnation("a~2")));
     }
 
     @Test
-    public void whatComesLateOfAnEarlierStartIsDropped() {
-        tell("a~2", false);
-        tell("a~1", true);
+    public void aLateReportOfAnEarlierIncarnationIsIgnored() {
+        report("a~2", false);
+        report("a~1", true);
         assertEquals(mDirectory.usable("web"), List.of(entry("a~2", false)));
     }
 
     @Test
-    public void aStartThatIsNotToldIsNoNewsOfARestart() {
-        tell("a~2", false);
-        tell("a", false);
+    public void anUnknownStartTimeDoesNotIndicateARestart() {
+        report("a~2", false);
+        report("a", false);
         assertEquals(mDirectory.usable("web"), List.of(entry("a~2", false)));
-        assertFalse(mDirectory.hasRestarted(start("a~2")));
+        assertFalse(mDirectory.hasRestarted(incarnation("a~2")));
     }
 
     @Test
-    public void whatLeavesIsReadyAgainOnlyByItsLaterStart() {
-        tell("a~1", true);
-        tell("a~1", false);
-        tell("a", false);
+    public void aDrainingUpstreamIsUsableAgainOnlyWithALaterIncarnation() {
+        report("a~1", true);
+        report("a~1", false);
+        report("a", false);
         assertEquals(usable(), 0);
-        tell("a~2", false);
+        report("a~2", false);
         assertEquals(usable(), 1);
     }
 
     @Test
-    public void theStartsThatAreListedAreTold() {
+    public void theListenerReceivesTheListedIncarnations() {
         Set<UpstreamIncarnation> told = new HashSet<>();
         mDirectory.setListener(
                 listed -> {
                     told.clear();
                     told.addAll(listed);
                 });
-        tell("a~1", false);
-        tell("b", false);
-        tell("a~2", false);
-        assertEquals(told, Set.of(start("a~2"), start("b")));
+        report("a~1", false);
+        report("b", false);
+        report("a~2", false);
+        assertEquals(told, Set.of(incarnation("a~2"), incarnation("b")));
     }
 }
