--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/decision/RoleLevelling.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/decision/PrefillSurplus.java
@@ -12,13 +12,13 @@
  * full helps in no burst, and taking it away costs nothing, however many are taken at once. Engines
  * that decode are never spared by this: their runs would have to end first.
  */
-final class RoleLevelling {
+final class PrefillSurplus {
 
     /** By which part decode engines must become more, so that a change is worth its orders. */
     private static final double LEAST_GAIN = 0.05;
 
     /** Not to be instantiated. */
-    private RoleLevelling() {}
+    private PrefillSurplus() {}
 
     /**
      * Returns how many engines that read prompts had better decode.
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/decision/RoleChangePolicy.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/decision/RoleChangePolicy.java
@@ -15,7 +15,7 @@
  * through two more bursts (quiet-day worth 0.59; without any change 0.75).
  *
  * <p>Readers that would be full in no burst are spare, and change without that ({@link
- * RoleLevelling}): nothing is lost while they are missing.
+ * PrefillSurplus}): nothing is lost while they are missing.
  *
  * <p>Confined to the control thread. Invariants: no side is left without an engine; a change always
  * makes room for more of the mix that is measured; before anything was asked changes cost nothing.
@@ -123,7 +123,7 @@
         mAsked = idle ? 0 : mAsked + passed;
         boolean measured = demand.hasEnoughRuns() && demand.reading().hasEnoughSamples();
         if (!idle && measured && mAsked >= LEVELLED_MILLIS) {
-            mSpare = RoleLevelling.spare(staffing, demand, mAsked);
+            mSpare = PrefillSurplus.spare(staffing, demand, mAsked);
             if (mSpare > 0) {
                 return Step.MORE_DECODE;
             }
