--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/decision/FailureRate.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/decision/FailureRate.java
@@ -1,33 +1,30 @@
 package org.troutpier.daemon.decision;
 
 /**
- * Whether an upstream fails its calls, by what all routers saw of it lately. Immutable; a pure
- * decision.
+ * Decides whether an upstream is to be ejected because of its recent failures, which are counted
+ * over all routers. Immutable.
  *
- * <p>It answers fleets in which each router sends an upstream a call in some seconds. Judged by
- * each alone, an engine that fails all runs at once, and so looks the least used, took a third of
- * all requests for as long as 60 routers needed to see it fail four times each.
+ * <p>In a large fleet each router calls an upstream only once every few seconds, so failures are
+ * not judged by each router alone. An engine that fails all runs at once appears least loaded: in a
+ * fleet of 60 routers that each had to see four failures, such an engine drew a third of all
+ * requests until they had.
  *
- * @param failed calls that failed lately
- * @param succeeded calls that went well in the same time
+ * @param failed recent calls that failed
+ * @param succeeded calls that succeeded in the same period
  */
 public record FailureRate(int failed, int succeeded) {
 
-    /** How many failures pass an upstream over at least; fewer happen by chance. */
-    private static final int LEAST_FAILURES = 3;
+    /** Minimum number of failures for an ejection; fewer occur by chance. */
+    private static final int MIN_FAILURES = 3;
 
     /**
-     * Which part of the calls fails at an upstream that is passed over: one that fails fewer serves
-     * more than it loses, and the others may have no room for what it serves.
+     * Fraction of failed calls from which an upstream is ejected. An upstream that fails a smaller
+     * fraction serves more calls than it loses, and the others may have no capacity for these.
      */
-    private static final double FAILING_PART = 0.6;
+    private static final double MIN_FAILED_FRACTION = 0.6;
 
-    /**
-     * Returns whether the upstream is to be passed over.
-     *
-     * @return whether most of its calls fail
-     */
+    /** Returns whether the upstream is to be ejected. */
     public boolean failing() {
-        return failed >= LEAST_FAILURES && failed >= FAILING_PART * (failed + succeeded);
+        return failed >= MIN_FAILURES && failed >= MIN_FAILED_FRACTION * (failed + succeeded);
     }
 }
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/decision/GrowthMargin.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/decision/GrowthMargin.java
@@ -1,90 +1,91 @@
 package org.troutpier.daemon.decision;
 
 /**
- * Decides how much of an engine's memory stays free for the growth of what runs there. Between two
- * runs' ends the others grow by the mean output of one run on average, whatever their number, and
- * the growth is spread about exponentially; so the room is counted in mean outputs, and each more
- * of them makes preemption e times rarer. How rare it should be depends on what it costs: on
- * engines whose events carry many tokens it makes all neighbours pause, on others it costs one
- * prompt read again. That shows in the pauses of streams, so the margin grows with each pause
- * beyond what a route allows and shrinks with each refusal for want of memory.
+ * Decides how much memory of an engine stays free for the output of its active runs. Between the
+ * completions of two runs, the others grow in total by the mean output of one run on average,
+ * whatever their number, and this growth is about exponentially distributed. The margin is
+ * therefore measured in mean outputs; each additional one makes preemption e times rarer.
  *
- * <p>It answers loads near what the engines' memory holds. A margin that fits one kind of engine
- * halved the worth of a heavy day on another (0.30 to 0.13) or cost 0.05 of it.
+ * <p>How rare preemption should be depends on its cost. On engines whose events carry many tokens
+ * it makes all concurrent runs pause, on others it costs one repeated prefill. The difference shows
+ * in the pauses of streams, so the margin grows with each pause beyond what the route allows and
+ * shrinks with each refusal for lack of memory.
  *
- * <p>Confined to the traffic loop. Invariant: the margin stays between its two bounds.
+ * <p>The margin matters at loads close to the memory capacity of the engines. A fixed margin that
+ * suits one kind of engine reduced the {@code worth} score of a heavily loaded day on another from
+ * 0.30 to 0.13 in one case, and by 0.05 in another.
+ *
+ * <p>Not thread safe; confined to the traffic loop. Invariant: the margin stays between its minimum
+ * and maximum.
  */
 public final class GrowthMargin {
 
-    /** How many mean outputs stay free at first: preemption is expected once in forty ends. */
-    private static final double FIRST_OUTPUTS = 3.8;
+    /** Initial margin in mean outputs: one preemption expected in forty completions. */
+    private static final double INITIAL_OUTPUTS = 3.8;
 
-    /** The fewest mean outputs that stay free: preemption once in six ends. */
-    private static final double LEAST_OUTPUTS = 1.9;
+    /** Minimum margin in mean outputs: one preemption expected in six completions. */
+    private static final double MIN_OUTPUTS = 1.9;
 
-    /** The most mean outputs that stay free: preemption once in four hundred ends. */
-    private static final double MOST_OUTPUTS = 6;
+    /** Maximum margin in mean outputs: one preemption expected in four hundred completions. */
+    private static final double MAX_OUTPUTS = 6;
 
-    /** By how many mean outputs a pause raises the margin. */
-    private static final double RAISE = 0.7;
+    /** Number of mean outputs by which a pause raises the margin. */
+    private static final double PAUSE_INCREMENT = 0.7;
 
-    /** By how many mean outputs a refusal lowers it: seventy refusals outweigh a pause. */
-    private static final double LOWER = 0.01;
+    /** Number of mean outputs by which a refusal lowers the margin; 70 refusals offset a pause. */
+    private static final double REFUSAL_DECREMENT = 0.01;
 
-    /** The pause after which another one counts again: one preemption makes many streams pause. */
-    private static final long PAUSE_MILLIS = 500;
+    /**
+     * Minimum interval between two pauses that count, milliseconds, since one preemption pauses
+     * many streams.
+     */
+    private static final long PAUSE_INTERVAL_MILLIS = 500;
 
     /**
-     * Which part of the most output the mean is taken for at least. Short runs end first, so in a
-     * burst the measured mean is too low, which is when the margin matters.
+     * Lower bound of the mean output as a fraction of the maximum output. Short runs complete
+     * first, so the measured mean is too low during a burst, which is when the margin matters.
      */
-    private static final double LEAST_MEAN_PART = 0.42;
+    private static final double MIN_MEAN_FRACTION = 0.42;
 
-    /** Which part of an engine's memory is kept free for growth at most. */
-    private static final double MOST_PART = 0.5;
+    /** Maximum margin as a fraction of an engine's memory. */
+    private static final double MAX_MEMORY_FRACTION = 0.5;
 
-    /** How many mean outputs stay free. */
-    private double mOutputs = FIRST_OUTPUTS;
+    private double mMeanOutputs = INITIAL_OUTPUTS;
 
-    /** When a pause counted last, milliseconds. */
-    private long mPaused = -PAUSE_MILLIS;
+    /** Time of the last pause that counted, milliseconds. */
+    private long mLastPause = -PAUSE_INTERVAL_MILLIS;
 
     /**
-     * Returns the margin.
+     * Returns the margin in tokens.
      *
-     * @param meanOutput the mean output of runs, tokens; 0 for unknown
-     * @param mostOutput the most that the request may make, tokens
-     * @param memoryTokens how much memory the engine has
-     * @return tokens that stay free
+     * @param meanOutput the mean output of runs, tokens; 0 if unknown
+     * @param maxOutput the maximum output of the request, tokens
+     * @param memoryTokens the memory of the engine, tokens
      */
-    public double tokens(double meanOutput, long mostOutput, long memoryTokens) {
-        double mean = Math.max(meanOutput, mostOutput * LEAST_MEAN_PART);
-        return Math.min(mOutputs * mean, memoryTokens * MOST_PART);
+    public double tokens(double meanOutput, long maxOutput, long memoryTokens) {
+        double mean = Math.max(meanOutput, maxOutput * MIN_MEAN_FRACTION);
+        return Math.min(mMeanOutputs * mean, memoryTokens * MAX_MEMORY_FRACTION);
     }
 
     /**
-     * Takes note of a pause in a stream beyond what its route allows.
+     * Records a pause in a stream beyond what its route allows.
      *
      * @param now the monotonic clock, milliseconds
      */
     public void recordPause(long now) {
-        if (now - mPaused >= PAUSE_MILLIS) {
-            mPaused = now;
-            mOutputs = Math.min(MOST_OUTPUTS, mOutputs + RAISE);
+        if (now - mLastPause >= PAUSE_INTERVAL_MILLIS) {
+            mLastPause = now;
+            mMeanOutputs = Math.min(MAX_OUTPUTS, mMeanOutputs + PAUSE_INCREMENT);
         }
     }
 
-    /** Takes note of a refusal for want of memory. */
+    /** Records a refusal for lack of memory. */
     public void recordRefusal() {
-        mOutputs = Math.max(LEAST_OUTPUTS, mOutputs - LOWER);
+        mMeanOutputs = Math.max(MIN_OUTPUTS, mMeanOutputs - REFUSAL_DECREMENT);
     }
 
-    /**
-     * Returns how many mean outputs stay free.
-     *
-     * @return the count
-     */
+    /** Returns the margin in mean outputs. */
     public double meanOutputs() {
-        return mOutputs;
+        return mMeanOutputs;
     }
 }
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/decision/LatencyEstimator.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/decision/LatencyEstimator.java
@@ -1,73 +1,63 @@
 package org.troutpier.daemon.decision;
 
 /**
- * Predicts a delay from those that were seen, as a decaying mean and the mean distance from it.
- * Confined to the traffic loop.
+ * Predicts a latency from past measurements by an exponentially weighted mean and mean deviation.
+ * Not thread safe; confined to the traffic loop.
  */
 public final class LatencyEstimator {
 
-    /** How much a new measurement counts. */
-    private static final double NEW = 0.1;
+    /** Weight of a new measurement. */
+    private static final double SMOOTHING_FACTOR = 0.1;
 
-    /** How many mean distances above the mean are predicted: about one in twenty takes longer. */
-    private static final double DISTANCES = 2;
+    /**
+     * Number of mean deviations above the mean that are predicted; about one measurement in twenty
+     * is longer.
+     */
+    private static final double DEVIATIONS = 2;
 
     /**
-     * How long a run is taken to need to its first event before any was seen, milliseconds: twice
-     * what engines with little to do took (25 to 35, from the lines of a day).
+     * Time to a run's first event that is assumed before any measurement, milliseconds. Lightly
+     * loaded engines take 25 to 35 ms; twice that is assumed.
      */
-    private static final double FIRST_EVENT_MILLIS = 60;
+    private static final double INITIAL_FIRST_EVENT_MILLIS = 60;
 
-    /** The mean, milliseconds. */
-    private double mMean;
+    private double mMeanMillis;
 
-    /** The mean distance from the mean, milliseconds. */
-    private double mDistance;
+    private double mDeviationMillis;
 
     /**
-     * Creates an estimate.
+     * Creates an estimator.
      *
-     * @param assumedMillis what is predicted before anything was measured, milliseconds
+     * @param assumedMillis the prediction before the first measurement, milliseconds
      */
     LatencyEstimator(double assumedMillis) {
-        mMean = assumedMillis / 2;
-        mDistance = assumedMillis / 2 / DISTANCES;
+        mMeanMillis = assumedMillis / 2;
+        mDeviationMillis = assumedMillis / 2 / DEVIATIONS;
     }
 
-    /**
-     * Makes the estimate of the time from a run's call to its first event.
-     *
-     * @return a new estimate
-     */
+    /** Creates an estimator of the time from the start of a run's call to its first event. */
     public static LatencyEstimator forFirstEvent() {
-        return new LatencyEstimator(FIRST_EVENT_MILLIS);
+        return new LatencyEstimator(INITIAL_FIRST_EVENT_MILLIS);
     }
 
-    /**
-     * Makes the estimate of how much longer than predicted readings take.
-     *
-     * @return a new estimate
-     */
+    /** Creates an estimator of the time by which prefills exceed their predicted duration. */
     public static LatencyEstimator forPrefillExcess() {
         return new LatencyEstimator(0);
     }
 
     /**
-     * Takes a measurement.
+     * Records a measurement.
      *
-     * @param millis the delay; may be negative for one that is counted from a prediction
+     * @param millis the latency; negative where it is measured relative to a prediction and the
+     *     prediction was too long
      */
     public void record(double millis) {
-        mDistance += NEW * (Math.abs(millis - mMean) - mDistance);
-        mMean += NEW * (millis - mMean);
+        mDeviationMillis += SMOOTHING_FACTOR * (Math.abs(millis - mMeanMillis) - mDeviationMillis);
+        mMeanMillis += SMOOTHING_FACTOR * (millis - mMeanMillis);
     }
 
-    /**
-     * Predicts.
-     *
-     * @return milliseconds, at least 0
-     */
+    /** Returns the predicted latency in milliseconds, at least 0. */
     public double predictedMillis() {
-        return Math.max(0, mMean + DISTANCES * mDistance);
+        return Math.max(0, mMeanMillis + DEVIATIONS * mDeviationMillis);
     }
 }
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/decision/LimitShare.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/decision/LimitShare.java
@@ -1,19 +1,19 @@
 package org.troutpier.daemon.decision;
 
 /**
- * How much of an organisation's limit the routers that hear each other may use together. Immutable;
- * a pure decision.
+ * The part of an organisation's limit that a group of connected routers may use together.
+ * Immutable.
  *
- * <p>It answers routers that are cut off or have just started. Those that hear all others use the
- * whole limit. A group that hears a part of them uses that part of the limit and of what may be
- * used beyond it, so the groups together keep to the bound without a word between them. What was
- * used before routers started, and nobody remembers, counts as used.
+ * <p>Routers that reach all others use the whole limit. In a network partition, a group uses the
+ * fraction of the limit and of its tolerance that corresponds to its size, so the groups together
+ * stay within the bound without communicating. Usage before the start of routers that no other
+ * router has a record of counts as used.
  *
- * @param limit what may be used in a window, over all routers
- * @param tolerance what may be used beyond it while routers do not hear each other
- * @param reachableRouters how many routers hear each other, this one included
- * @param knownRouters how many routers there may be
- * @param assumedUsage what may have been used in the window that nobody remembers
+ * @param limit the limit per window, over all routers
+ * @param tolerance the amount by which the limit may be exceeded while routers are disconnected
+ * @param reachableRouters the number of routers in the group, this one included
+ * @param knownRouters the number of routers that may exist
+ * @param assumedUsage the usage in the window that is assumed because no router has a record of it
  */
 public record LimitShare(
         double limit,
@@ -23,20 +23,16 @@
         double assumedUsage) {
 
     /**
-     * Which part of the tolerance is used: the rest is for what is under way between routers that
-     * do hear each other, and for use before a start that was less even than it is taken to be.
+     * Fraction of the tolerance that is used. The rest covers usage that connected routers have not
+     * reported to each other yet, and usage before a start that was less even than assumed.
      */
     private static final double USED_TOLERANCE = 0.25;
 
-    /**
-     * Returns how much may be used in a window.
-     *
-     * @return use in the limit's unit, at most the limit
-     */
+    /** Returns the usage allowed per window in the unit of the limit, at most the limit. */
     public double allowed() {
-        double part =
+        double fraction =
                 reachableRouters / (double) Math.max(1, Math.max(reachableRouters, knownRouters));
-        double reached = part * (limit + USED_TOLERANCE * tolerance);
-        return Math.max(0, Math.min(limit, reached - assumedUsage));
+        double share = fraction * (limit + USED_TOLERANCE * tolerance);
+        return Math.max(0, Math.min(limit, share - assumedUsage));
     }
 }
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/decision/MaxMinFairness.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/decision/MaxMinFairness.java
@@ -3,16 +3,17 @@
 import java.util.Map;
 
 /**
- * With what chance each of several askers is admitted, where all together are admitted with a given
- * one. Immutable; a pure decision. Invariant: what is admitted in the mean is the same as with one
- * chance for all; nobody is admitted more than another that asks more.
+ * Max-min fair admission probabilities of several requesters that compete for a limited rate.
+ * Requesters whose demand is below the fair share are admitted in full; the others get equal
+ * shares. Immutable. Invariants: the expected amount admitted is the same as with one probability
+ * for all; a requester is never admitted more than another that requests more.
  *
- * <p>It answers an asker that floods: with one chance for all it would take what is admitted in
- * proportion to what it asks.
+ * <p>With one probability for all, a requester that floods the router would get a share in
+ * proportion to its demand.
  *
- * @param demand what each asker asked lately
- * @param probability the chance with which all together are admitted, 0 to 1
- * @param <K> what names an asker
+ * @param demand the recent demand of each requester
+ * @param probability the probability with which all of the demand together is admitted, 0 to 1
+ * @param <K> the type that identifies a requester
  */
 public record MaxMinFairness<K>(Map<K, Double> demand, double probability) {
 
@@ -22,31 +23,29 @@
     }
 
     /**
-     * Returns an asker's chance.
-     *
-     * @param asker the asker
-     * @return the chance, 0 to 1
+     * Returns the admission probability of a requester, 0 to 1. A requester without recorded demand
+     * gets the overall probability.
      */
-    public double probabilityFor(K asker) {
-        double own = demand.getOrDefault(asker, 0.0);
-        return own <= 0 ? probability : Math.min(1, level() / own);
+    public double probabilityFor(K requester) {
+        double own = demand.getOrDefault(requester, 0.0);
+        return own <= 0 ? probability : Math.min(1, fairShare() / own);
     }
 
     /**
-     * Returns what each asker is admitted at most, so that the sum is what all are admitted.
-     *
-     * @return the level
+     * Returns the largest amount that is admitted of any requester, such that the amounts add up to
+     * the total that is admitted.
      */
-    private double level() {
-        double left = probability * demand.values().stream().mapToDouble(Double::doubleValue).sum();
-        int askers = demand.size();
+    private double fairShare() {
+        double remaining =
+                probability * demand.values().stream().mapToDouble(Double::doubleValue).sum();
+        int requesters = demand.size();
         for (double each : demand.values().stream().sorted().toList()) {
-            if (each * askers >= left) {
+            if (each * requesters >= remaining) {
                 break;
             }
-            left -= each;
-            askers--;
+            remaining -= each;
+            requesters--;
         }
-        return askers == 0 ? Double.MAX_VALUE : left / askers;
+        return requesters == 0 ? Double.MAX_VALUE : remaining / requesters;
     }
 }
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/decision/MemoryWaitForecast.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/decision/MemoryWaitForecast.java
@@ -1,32 +1,31 @@
 package org.troutpier.daemon.decision;
 
 /**
- * Predicts how long it takes until there is room for a request at a service's decode engines, from
- * what runs there, how long runs take and what waits before it. What has grown into the room that
- * stays free for growth is not waited for. Pure. Immutable and thread safe.
+ * Predicts how long a request waits for memory at the decode engines of a service, from the active
+ * runs, their mean duration and the requests queued ahead. Memory that runs have taken of the
+ * growth margin does not have to be freed first. Immutable and thread safe.
  *
- * @param engines how many engines decode
- * @param usedTokens what runs there, in tokens
- * @param usableTokens how much of each engine's memory may be given out
- * @param waitingTokens the prompts that wait before this one, at all routers
- * @param runMillis how long a run takes; 0 for unknown
+ * @param engines the number of decode engines
+ * @param usedTokens the memory used by active runs, tokens
+ * @param usableTokens the memory of each engine that may be allocated, tokens
+ * @param waitingTokens the prompts queued ahead of the request at all routers, tokens
+ * @param runMillis the mean duration of a run, milliseconds; 0 if unknown
  */
 public record MemoryWaitForecast(
         int engines, long usedTokens, double usableTokens, long waitingTokens, double runMillis) {
 
     /**
-     * Predicts.
+     * Returns the predicted wait in milliseconds; 0 if nothing is known.
      *
-     * @param promptTokens what the request needs
-     * @return milliseconds; 0 where nothing is known
+     * @param promptTokens the memory that the request needs, tokens
      */
     public double waitMillis(long promptTokens) {
         if (runMillis <= 0 || usedTokens <= 0) {
             return 0;
         }
-        double room = Math.max(0, engines * usableTokens - usedTokens);
-        double needed = waitingTokens + promptTokens - room;
-        double freedInMilli = usedTokens / runMillis;
-        return Math.max(0, needed / freedInMilli);
+        double free = Math.max(0, engines * usableTokens - usedTokens);
+        double needed = waitingTokens + promptTokens - free;
+        double freedPerMilli = usedTokens / runMillis;
+        return Math.max(0, needed / freedPerMilli);
     }
 }
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/decision/PrefillSurplus.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/decision/PrefillSurplus.java
@@ -3,59 +3,52 @@
 import org.troutpier.daemon.cluster.Demand;
 
 /**
- * Finds engines that read prompts and could be spared for good: a split in which decode engines
- * have room for more requests, and those that still read keep up with all of them. Pure, stateless
- * and thread safe.
+ * Finds prefill engines that can permanently become decode engines: the split after the change has
+ * more decode capacity, and its remaining prefill engines still keep up with it. Stateless and
+ * thread safe.
  *
- * <p>It answers bursts of a load whose mix lasts. A burst asks more of both sides at once, so what
- * counts is not what is lost now but which side would be full first; a reader that would never be
- * full helps in no burst, and taking it away costs nothing, however many are taken at once. Engines
- * that decode are never spared by this: their runs would have to end first.
+ * <p>In bursts of a load with a constant mix, demand rises on both sides at once. What matters is
+ * therefore which side saturates first rather than the current loss. A prefill engine that would
+ * never saturate helps in no burst, so changing its role costs nothing, and any number of such
+ * engines may change at once. The opposite change is never made for this reason, since the runs of
+ * a decode engine would have to end first.
  */
 final class PrefillSurplus {
 
-    /** By which part decode engines must become more, so that a change is worth its orders. */
-    private static final double LEAST_GAIN = 0.05;
+    /** Minimum relative gain of decode engines that justifies the role changes. */
+    private static final double MIN_GAIN = 0.05;
 
-    /** Not to be instantiated. */
     private PrefillSurplus() {}
 
     /**
-     * Returns how many engines that read prompts had better decode.
+     * Returns how many prefill engines should become decode engines; 0 if none is surplus.
      *
-     * @param staffing how the engines stand
-     * @param demand what callers ask for; measured
-     * @param askedMillis for how long there have been requests, milliseconds
-     * @return the count; 0 where none is to spare
+     * @param demandMillis how long there has been demand, milliseconds
      */
-    static int spare(RoleChangePolicy.EnginePool staffing, Demand demand, double askedMillis) {
-        double memoryTime = memoryTime(staffing, demand, askedMillis);
-        int readers = staffing.prefill();
-        int decode = staffing.decode();
-        while (readers > 1
-                && SplitCapacity.read(readers - 1, demand)
-                        >= SplitCapacity.made(decode + 1, staffing.memoryTokens(), memoryTime)) {
-            readers--;
+    static int count(RoleChangePolicy.EnginePool pool, Demand demand, double demandMillis) {
+        double memoryTime = memoryTime(pool, demand, demandMillis);
+        int prefill = pool.prefill();
+        int decode = pool.decode();
+        while (prefill > 1
+                && SplitCapacity.prefillThroughput(prefill - 1, demand)
+                        >= SplitCapacity.decodeThroughput(
+                                decode + 1, pool.memoryTokens(), memoryTime)) {
+            prefill--;
             decode++;
         }
-        int spare = staffing.prefill() - readers;
-        return spare >= staffing.decode() * LEAST_GAIN ? spare : 0;
+        int surplus = pool.prefill() - prefill;
+        return surplus >= pool.decode() * MIN_GAIN ? surplus : 0;
     }
 
     /**
-     * Returns what a run takes of a decode engine. Short runs end first, so soon after a start
-     * those that have ended take a quarter of what runs take; what all take that are under way, for
-     * each that came in a time, does not err that way.
-     *
-     * @param staffing how the engines stand
-     * @param demand what callers ask for; measured
-     * @param askedMillis for how long there have been requests, milliseconds
-     * @return memory times time, tokens times milliseconds
+     * Returns the memory that a run occupies times its duration, in tokens times milliseconds.
+     * Short runs complete first, so soon after a start the completed runs show only a quarter of
+     * the actual value. The memory of all active runs per arrival rate is not biased in this way.
      */
     private static double memoryTime(
-            RoleChangePolicy.EnginePool staffing, Demand demand, double askedMillis) {
-        double seen = 1 - Math.exp(-askedMillis / Demand.DECAY_MILLIS);
-        double perMilli = demand.requestsPerMilli() / seen;
-        return Math.max(demand.meanMemoryTime(), staffing.usedTokens() / perMilli);
+            RoleChangePolicy.EnginePool pool, Demand demand, double demandMillis) {
+        double observed = 1 - Math.exp(-demandMillis / Demand.DECAY_MILLIS);
+        double perMilli = demand.requestsPerMilli() / observed;
+        return Math.max(demand.meanMemoryTime(), pool.usedTokens() / perMilli);
     }
 }
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/decision/QueueTier.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/decision/QueueTier.java
@@ -1,11 +1,14 @@
 package org.troutpier.daemon.decision;
 
-/** Who goes first among requests that wait for memory at a decode engine, in this order. */
+/**
+ * Priority of requests that wait for memory at a decode engine. Tiers are served in declaration
+ * order.
+ */
 public enum QueueTier {
-    /** It can still be in time. */
+    /** The request can still meet its latency target. */
     IN_TIME,
-    /** Its caller has a part of its answer already, and waits for the rest. */
+    /** The request continues a stream of which the caller has already received a part. */
     CONTINUED,
-    /** It was refused before or has waited too long, so it is late whatever is done. */
+    /** The request was refused before or has waited too long, so it misses its target anyway. */
     LATE
 }
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/decision/RetryPacer.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/decision/RetryPacer.java
@@ -3,92 +3,81 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Tells refused callers when to come back, so that they come one after the other once there is room
- * rather than into the load that they were refused in. Confined to the traffic loop. Invariant: the
- * times given out are at least {@link #FIRST_MILLIS} and at most the limit away.
+ * Assigns retry delays to refused callers so that they return one after another once capacity is
+ * free, rather than during the burst in which they were refused. Not thread safe; confined to the
+ * traffic loop. Invariant: delays are at least {@link #MIN_DELAY_MILLIS} and at most the given
+ * limit.
  *
- * <p>It answers bursts of a few seconds. Whoever was refused is late whenever it comes back, so the
- * later of two times costs it little, and a second refusal is the worst that can happen to it.
+ * <p>Bursts last a few seconds. A refused request misses its target whenever it is retried, so a
+ * longer delay costs it little, while a second refusal is the worst outcome.
  */
 public final class RetryPacer {
 
-    /**
-     * How soon a caller comes back at the earliest, milliseconds: a few runs have ended by then.
-     */
-    private static final double FIRST_MILLIS = 400;
+    /** Minimum delay, milliseconds; some runs complete in this time. */
+    private static final double MIN_DELAY_MILLIS = 400;
 
-    /**
-     * Which part of the time for which callers stay away passes at least: bursts that refuse are
-     * over by then more often than not.
-     */
-    private static final double LEAST_PART = 0.7;
+    /** Minimum delay as a fraction of the limit; most bursts that cause refusals end sooner. */
+    private static final double MIN_LIMIT_FRACTION = 0.7;
 
-    /** Which part of the places that become free is meant for callers that come back. */
-    private static final double RETURN_PART = 0.5;
+    /** Fraction of the capacity that becomes free that is intended for retries. */
+    private static final double RETRY_FRACTION = 0.5;
 
-    /** After which time a grant's weight has decayed to 1/e, milliseconds. */
+    /** Time in which the weight of a grant decays to 1/e, milliseconds. */
     private static final double DECAY_MILLIS = 5000;
 
-    /** The fewest grants a second that are assumed. */
-    private static final double LEAST_RATE = 0.5;
+    /** Minimum rate of grants that is assumed, per second. */
+    private static final double MIN_RATE = 0.5;
 
-    /** How much each time is spread to both sides. */
-    private static final double SPREAD = 0.08;
+    /** Maximum relative jitter of a delay in either direction. */
+    private static final double JITTER = 0.08;
 
-    /** Spreads the times. */
     private final RandomGenerator mRandom;
 
-    /** The decaying number of grants. */
+    /** The exponentially decaying number of grants as of {@link #mUpdated}. */
     private double mGrants;
 
-    /** When the number of grants last changed, milliseconds. */
-    private long mChanged;
+    /** Time of the last grant, milliseconds. */
+    private long mUpdated;
 
-    /** The last time that was given out, milliseconds. */
+    /** The latest retry time assigned, milliseconds. */
     private double mLast;
 
     /**
      * Creates a pacer.
      *
-     * @param random spreads the times
+     * @param random the source of jitter
      */
     public RetryPacer(RandomGenerator random) {
         mRandom = random;
     }
 
     /**
-     * Records that a place was granted.
+     * Records that engine capacity was granted to a request.
      *
      * @param now the monotonic clock, milliseconds
      */
     public void recordGrant(long now) {
         mGrants = grants(now) + 1;
-        mChanged = now;
+        mUpdated = now;
     }
 
     /**
-     * Gives out the next time to come back.
+     * Assigns the next retry delay.
      *
      * @param now the monotonic clock, milliseconds
-     * @param limitMillis how far away it may be
-     * @return milliseconds from now
+     * @param limitMillis the maximum delay, milliseconds
+     * @return the delay in milliseconds
      */
     public long nextDelayMillis(long now, long limitMillis) {
-        double rate = Math.max(LEAST_RATE, grants(now) / DECAY_MILLIS * 1000) * RETURN_PART;
-        double first = Math.max(FIRST_MILLIS, limitMillis * LEAST_PART);
-        double at = Math.max(now + first, mLast + 1000 / rate);
+        double rate = Math.max(MIN_RATE, grants(now) / DECAY_MILLIS * 1000) * RETRY_FRACTION;
+        double earliest = Math.max(MIN_DELAY_MILLIS, limitMillis * MIN_LIMIT_FRACTION);
+        double at = Math.max(now + earliest, mLast + 1000 / rate);
         mLast = Math.min(at, now + limitMillis);
-        double spread = 1 + SPREAD * (2 * mRandom.nextDouble() - 1);
-        return (long) Math.max(FIRST_MILLIS, Math.min(limitMillis, (mLast - now) * spread));
+        double jitter = 1 + JITTER * (2 * mRandom.nextDouble() - 1);
+        return (long) Math.max(MIN_DELAY_MILLIS, Math.min(limitMillis, (mLast - now) * jitter));
     }
 
-    /**
-     * Returns the decayed number of grants.
-     *
-     * @param now the monotonic clock, milliseconds
-     * @return the number
-     */
     private double grants(long now) {
-        return mGrants * Math.exp(-(now - mChanged) / DECAY_MILLIS);
+        return mGrants * Math.exp(-(now - mUpdated) / DECAY_MILLIS);
     }
 }
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/decision/RoleChangePolicy.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/decision/RoleChangePolicy.java
@@ -3,241 +3,220 @@
 import org.troutpier.daemon.cluster.Demand;
 
 /**
- * Decides when one of a service's engines should change its role. A change is an investment: the
- * engine is missing until its runs have ended and it is back, and what is gained depends on how
- * long the load lasts, which nobody knows. So the loss of staying is added up, request by request,
- * and a change is made once it has reached the price of the change, as one who rents buys once the
- * rent has come to the price: a burst that ends before it pays changes nothing, and a mix that has
- * really shifted is followed.
+ * Decides when an engine of a service should change its role. A role change has a cost: the engine
+ * is unavailable until its runs have ended and it has switched. The gain depends on how long the
+ * load lasts, which is unknown. The policy therefore follows the break-even rule of the ski-rental
+ * problem: it accumulates the loss from keeping the current split and changes a role once the loss
+ * reaches the cost of the change. A burst that ends earlier changes nothing, while a lasting shift
+ * of the mix is followed.
  *
- * <p>It answers loads that come in bursts of some seconds. With a rule that went by the busier side
- * alone, an engine was taken from decoding in a burst of five seconds and was missing for eighteen,
- * through two more bursts (quiet-day worth 0.59; without any change 0.75).
+ * <p>Loads come in bursts of a few seconds. A rule that follows the busier side alone took an
+ * engine from decoding in a burst of five seconds; the engine was unavailable for 18 seconds and
+ * missed two more bursts ({@code worth} 0.59 on a quiet day, compared with 0.75 without any
+ * change).
  *
- * <p>Readers that would be full in no burst are spare, and change without that ({@link
- * PrefillSurplus}): nothing is lost while they are missing.
+ * <p>Prefill engines that would saturate in no burst change role without an accumulated loss, since
+ * nothing is lost while they are unavailable; see {@link PrefillSurplus}.
  *
- * <p>Confined to the control thread. Invariants: no side is left without an engine; a change always
- * makes room for more of the mix that is measured; before anything was asked changes cost nothing.
+ * <p>Not thread safe; confined to the control thread. Invariants: each side keeps at least one
+ * engine; a change increases the throughput of the measured mix; changes are free before the first
+ * request.
  */
 public final class RoleChangePolicy {
 
-    /** Which part of the engines reads prompts before anything was asked. */
-    private static final double FIRST_PART = 1 / 3.0;
+    /** Fraction of prefill engines before the first request. */
+    private static final double INITIAL_PREFILL_FRACTION = 1 / 3.0;
 
     /**
-     * How much must have been lost at least before a change, requests: fewer are within what the
-     * measured demand is off by.
+     * Minimum accumulated loss before a change, requests. Smaller losses are within the error of
+     * the measured demand.
      */
-    private static final double LEAST_LOSS = 3;
+    private static final double MIN_LOSS = 3;
 
-    /** The longest time that one look accounts for, milliseconds: two of its usual pauses. */
-    private static final long LONGEST_LOOK_MILLIS = 1000;
+    /**
+     * Maximum time that one evaluation accounts for, milliseconds: two of the usual intervals
+     * between evaluations.
+     */
+    private static final long MAX_EVALUATION_MILLIS = 1000;
 
-    /** How much a new change counts in the mean time of changes. */
-    private static final double NEW_CHANGE = 0.5;
+    /** Weight of a new sample in the mean duration of changes. */
+    private static final double SMOOTHING_FACTOR = 0.5;
 
     /**
-     * For how long there must have been requests before the demand is trusted, milliseconds. Short
-     * runs end first, so soon after a start a run seems to take half of the memory that it takes,
-     * and decode engines seem idle: one of two was taken away after a loss of power of all routers,
-     * and was back after 14 s.
+     * Time of continuous demand before the measured demand is trusted, milliseconds. Short runs
+     * complete first, so soon after a start a run appears to occupy half of its actual memory and
+     * decode engines appear idle. After a power loss of all routers, one of two decode engines was
+     * taken away for this reason and returned after 14 s.
      */
-    private static final double TRUSTED_MILLIS = Demand.DECAY_MILLIS;
+    private static final double MEASUREMENT_MILLIS = Demand.DECAY_MILLIS;
 
     /**
-     * For how long there must have been requests before spare readers are taken away, milliseconds.
-     * As long as the longer runs take, so that as many end as begin.
+     * Time of continuous demand before surplus prefill engines change role, milliseconds. It is as
+     * long as the longer runs take, so that runs end at the rate at which they start.
      */
-    private static final double LEVELLED_MILLIS = 5000;
+    private static final double SURPLUS_MILLIS = 5000;
 
-    /** For how long there have been requests, milliseconds. */
-    private double mAsked;
+    /** Time of continuous demand, milliseconds. */
+    private double mDemandMillis;
 
-    /** When the demand was last looked at, milliseconds; 0 for never. */
-    private long mLooked;
+    /** Time of the last evaluation, milliseconds; 0 before the first. */
+    private long mLastEvaluation;
 
-    /** How many engines that read prompts are spare, as of the last look. */
-    private int mSpare;
+    /** Number of surplus prefill engines at the last evaluation. */
+    private int mSurplus;
 
-    /** What was lost for want of one more engine that reads, requests. */
-    private double mLostReading;
+    /** Accumulated loss for lack of one more prefill engine, requests. */
+    private double mPrefillLoss;
 
-    /** What was lost for want of one more engine that decodes, requests. */
-    private double mLostDecoding;
+    /** Accumulated loss for lack of one more decode engine, requests. */
+    private double mDecodeLoss;
 
-    /** How long changes took, milliseconds; 0 before the first. */
-    private double mChangeMillis;
+    /** Mean duration of changes, milliseconds; 0 before the first. */
+    private double mMeanChangeMillis;
 
-    /** What to do. */
+    /** The outcome of an evaluation. */
     public enum Step {
-        /** Leave the roles as they are. */
+        /** Keep the roles. */
         STAY,
-        /** Have one more engine read prompts. */
+        /** Turn decode engines into prefill engines. */
         MORE_PREFILL,
-        /** Have one more engine decode. */
+        /** Turn prefill engines into decode engines. */
         MORE_DECODE
     }
 
     /**
-     * How a service's engines stand. Immutable and thread safe.
+     * The engines of a service by role. Immutable and thread safe.
      *
-     * @param prefill how many read prompts
-     * @param decode how many decode
-     * @param memoryTokens how much memory each has
-     * @param switchMillis how long a change takes once an engine is empty, milliseconds
-     * @param usedTokens what runs at those that decode, tokens
+     * @param prefill the number of prefill engines
+     * @param decode the number of decode engines
+     * @param memoryTokens the memory of each engine, tokens
+     * @param switchMillis the duration of a role change once an engine is idle, milliseconds
+     * @param usedTokens the memory used by runs on decode engines, tokens
      */
     public record EnginePool(
             int prefill, int decode, long memoryTokens, long switchMillis, long usedTokens) {
 
-        /**
-         * Returns how many engines there are.
-         *
-         * @return the count
-         */
         int engines() {
             return prefill + decode;
         }
     }
 
     /**
-     * Looks whether a change is due.
+     * Evaluates whether roles should change.
      *
      * @param now the monotonic clock, milliseconds
-     * @param staffing how the engines stand
-     * @param demand what callers ask for
-     * @return what to do
      */
-    public Step evaluate(long now, EnginePool staffing, Demand demand) {
-        mSpare = 0;
-        double passed = mLooked == 0 ? 0 : Math.min(LONGEST_LOOK_MILLIS, now - mLooked);
-        mLooked = now;
-        if (staffing.decode() == 0) {
-            return staffing.engines() > 0 ? Step.MORE_DECODE : Step.STAY;
+    public Step evaluate(long now, EnginePool pool, Demand demand) {
+        mSurplus = 0;
+        double passed =
+                mLastEvaluation == 0 ? 0 : Math.min(MAX_EVALUATION_MILLIS, now - mLastEvaluation);
+        mLastEvaluation = now;
+        if (pool.decode() == 0) {
+            return pool.engines() > 0 ? Step.MORE_DECODE : Step.STAY;
         }
-        if (staffing.engines() < 2) {
+        if (pool.engines() < 2) {
             return Step.STAY;
         }
         boolean idle = demand.requests() < 1;
-        mAsked = idle ? 0 : mAsked + passed;
+        mDemandMillis = idle ? 0 : mDemandMillis + passed;
         boolean measured = demand.hasEnoughRuns() && demand.reading().hasEnoughSamples();
-        if (!idle && measured && mAsked >= LEVELLED_MILLIS) {
-            mSpare = PrefillSurplus.spare(staffing, demand, mAsked);
-            if (mSpare > 0) {
+        if (!idle && measured && mDemandMillis >= SURPLUS_MILLIS) {
+            mSurplus = PrefillSurplus.count(pool, demand, mDemandMillis);
+            if (mSurplus > 0) {
                 return Step.MORE_DECODE;
             }
         }
-        if (!idle && measured && mAsked >= TRUSTED_MILLIS) {
-            return weigh(passed, staffing, demand);
+        if (!idle && measured && mDemandMillis >= MEASUREMENT_MILLIS) {
+            return compareLossWithCost(passed, pool, demand);
         }
-        return idle || staffing.prefill() == 0 ? first(staffing) : Step.STAY;
+        return idle || pool.prefill() == 0 ? initialStep(pool) : Step.STAY;
     }
 
     /**
-     * Returns how many engines are to change at once.
-     *
-     * @return as many as are spare; otherwise one, since each change is paid for
+     * Returns how many engines are to change at once: all surplus engines, otherwise one, since
+     * each further change has its own cost.
      */
     public int engineCount() {
-        return Math.max(1, mSpare);
+        return Math.max(1, mSurplus);
     }
 
     /**
-     * Records how long a change took, from its order until the engine was back.
+     * Records the duration of a change.
      *
-     * @param millis the time
+     * @param millis the time from the request until the engine was available in its new role
      */
     public void recordChange(long millis) {
-        mChangeMillis += (millis - mChangeMillis) * (mChangeMillis == 0 ? 1 : NEW_CHANGE);
+        mMeanChangeMillis +=
+                (millis - mMeanChangeMillis) * (mMeanChangeMillis == 0 ? 1 : SMOOTHING_FACTOR);
     }
 
-    /** Begins anew after a change or an attempt at one. */
+    /** Resets the accumulated losses after a change or a failed attempt at one. */
     public void reset() {
-        mLostReading = 0;
-        mLostDecoding = 0;
+        mPrefillLoss = 0;
+        mDecodeLoss = 0;
     }
 
-    /**
-     * Tells what the last looks came to, for the log.
-     *
-     * @return the losses so far, requests
-     */
+    /** Returns the accumulated losses for the log, requests. */
     public String lossSummary() {
         return "lostReading="
-                + Math.round(mLostReading)
+                + Math.round(mPrefillLoss)
                 + " lostDecoding="
-                + Math.round(mLostDecoding);
+                + Math.round(mDecodeLoss);
     }
 
     /**
-     * Returns the step towards the split with which a service begins. Nobody is served yet, so it
-     * costs nothing.
-     *
-     * @param staffing how the engines stand
-     * @return what to do
+     * Returns the step towards the initial split of a service. There are no requests yet, so the
+     * change costs nothing.
      */
-    private static Step first(EnginePool staffing) {
-        long wanted = Math.max(1, Math.round(staffing.engines() * FIRST_PART));
-        if (wanted == staffing.prefill()) {
+    private static Step initialStep(EnginePool pool) {
+        long wanted = Math.max(1, Math.round(pool.engines() * INITIAL_PREFILL_FRACTION));
+        if (wanted == pool.prefill()) {
             return Step.STAY;
         }
-        return wanted > staffing.prefill() ? Step.MORE_PREFILL : Step.MORE_DECODE;
+        return wanted > pool.prefill() ? Step.MORE_PREFILL : Step.MORE_DECODE;
     }
 
-    /**
-     * Adds up what is lost and compares it with the price of a change.
-     *
-     * @param passed how much time to account for, milliseconds
-     * @param staffing how the engines stand
-     * @param demand what callers ask for
-     * @return what to do
-     */
-    private Step weigh(double passed, EnginePool staffing, Demand demand) {
-        int prefill = staffing.prefill();
-        int decode = staffing.decode();
-        double now = served(prefill, decode, staffing, demand);
-        double reading = decode > 1 ? served(prefill + 1, decode - 1, staffing, demand) : 0;
-        double decoding = prefill > 1 ? served(prefill - 1, decode + 1, staffing, demand) : 0;
-        mLostReading = Math.max(0, mLostReading + (reading - now) * passed);
-        mLostDecoding = Math.max(0, mLostDecoding + (decoding - now) * passed);
-        double missing = Math.max(mChangeMillis, staffing.switchMillis() + demand.meanRunMillis());
-        double madeLeft = SplitCapacity.made(decode - 1, staffing.memoryTokens(), demand);
-        if (reading > now && mLostReading >= price(now, decode, madeLeft, missing)) {
+    /** Accumulates the losses over the passed milliseconds and compares them with the costs. */
+    private Step compareLossWithCost(double passed, EnginePool pool, Demand demand) {
+        int prefill = pool.prefill();
+        int decode = pool.decode();
+        double current = throughput(prefill, decode, pool, demand);
+        double morePrefill = decode > 1 ? throughput(prefill + 1, decode - 1, pool, demand) : 0;
+        double moreDecode = prefill > 1 ? throughput(prefill - 1, decode + 1, pool, demand) : 0;
+        mPrefillLoss = Math.max(0, mPrefillLoss + (morePrefill - current) * passed);
+        mDecodeLoss = Math.max(0, mDecodeLoss + (moreDecode - current) * passed);
+        double changeMillis =
+                Math.max(mMeanChangeMillis, pool.switchMillis() + demand.meanRunMillis());
+        double remainingDecode =
+                SplitCapacity.decodeThroughput(decode - 1, pool.memoryTokens(), demand);
+        if (morePrefill > current
+                && mPrefillLoss >= changeCost(current, decode, remainingDecode, changeMillis)) {
             return Step.MORE_PREFILL;
         }
-        double readLeft = SplitCapacity.read(prefill - 1, demand);
-        if (decoding > now && mLostDecoding >= price(now, prefill, readLeft, missing)) {
+        double remainingPrefill = SplitCapacity.prefillThroughput(prefill - 1, demand);
+        if (moreDecode > current
+                && mDecodeLoss >= changeCost(current, prefill, remainingPrefill, changeMillis)) {
             return Step.MORE_DECODE;
         }
         return Step.STAY;
     }
 
     /**
-     * Returns what a change costs: the requests that the engine would have served while it is
-     * missing, as far as the others of its side are too busy to take them.
+     * Returns the cost of a change in requests: those that the engine would have served while it is
+     * unavailable, as far as the other engines of its side are too busy to take them.
      *
-     * @param now what is served now, requests a millisecond
-     * @param engines how many engines its side has
-     * @param left what the others of its side serve at most, requests a millisecond
-     * @param missing how long the engine is missing, milliseconds
-     * @return requests
+     * @param current the current throughput, requests per millisecond
+     * @param engines the number of engines on the side that gives an engine away
+     * @param remaining the throughput of the others on that side, requests per millisecond
+     * @param changeMillis how long the engine is unavailable, milliseconds
      */
-    private static double price(double now, int engines, double left, double missing) {
-        double busy = left > 0 ? Math.min(1, now / left) : 1;
-        return Math.max(LEAST_LOSS, now / engines * busy * missing);
+    private static double changeCost(
+            double current, int engines, double remaining, double changeMillis) {
+        double utilization = remaining > 0 ? Math.min(1, current / remaining) : 1;
+        return Math.max(MIN_LOSS, current / engines * utilization * changeMillis);
     }
 
-    /**
-     * Returns how many requests a split serves.
-     *
-     * @param prefill how many engines read prompts
-     * @param decode how many decode
-     * @param staffing what each can hold
-     * @param demand what callers ask for
-     * @return requests a millisecond
-     */
-    private static double served(int prefill, int decode, EnginePool staffing, Demand demand) {
-        return SplitCapacity.served(prefill, decode, staffing.memoryTokens(), demand);
+    private static double throughput(int prefill, int decode, EnginePool pool, Demand demand) {
+        return SplitCapacity.throughput(prefill, decode, pool.memoryTokens(), demand);
     }
 }
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/decision/SplitCapacity.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/decision/SplitCapacity.java
@@ -3,89 +3,73 @@
 import org.troutpier.daemon.cluster.Demand;
 
 /**
- * Works out how many requests a service's engines serve for each split into those that read prompts
- * and those that decode. Pure, stateless and thread safe. Prefill engines are used by tokens read
- * in a time, decode engines by memory taken for a time; the side that serves less decides.
+ * Computes the throughput of a service for a given split of its engines into prefill and decode
+ * engines. Prefill engines are limited by tokens processed per time, decode engines by memory
+ * occupied over time; the slower side determines the throughput. Stateless and thread safe.
  */
 final class SplitCapacity {
 
-    /** How much of its pace a prefill engine keeps up with waiting requests that vary in length. */
-    private static final double USABLE_PACE = 0.8;
+    /**
+     * Fraction of its prefill speed that an engine sustains under queued prompts of varying length.
+     */
+    private static final double PREFILL_UTILIZATION = 0.8;
 
-    /** Which part of its memory a decode engine uses while runs that grow are not preempted. */
-    private static final double USABLE_MEMORY = 0.8;
+    /** Fraction of its memory that a decode engine can use without preempting growing runs. */
+    private static final double MEMORY_UTILIZATION = 0.8;
 
-    /** Which part of the pace a decode engine reads a prompt at itself, as the users publish it. */
-    private static final double READ_BY_DECODE = 0.5;
+    /**
+     * Prefill speed of a decode engine relative to that of a prefill engine, as published by the
+     * platform.
+     */
+    private static final double DECODE_PREFILL_SPEED = 0.5;
 
-    /** Not to be instantiated. */
     private SplitCapacity() {}
 
     /**
-     * Returns how many requests are served.
+     * Returns the throughput of a split in requests per millisecond, at most the request rate.
      *
-     * @param prefill how many engines read prompts
-     * @param decode how many engines decode
-     * @param memoryTokens how much memory an engine has
-     * @param demand what callers ask for; measured
-     * @return requests a millisecond, at most as many as come
+     * @param memoryTokens the memory of an engine, tokens
      */
-    static double served(int prefill, int decode, long memoryTokens, Demand demand) {
-        double made = made(decode, memoryTokens, demand);
-        double read =
-                prefill > 0 ? read(prefill, demand) : readByDecode(decode, memoryTokens, demand);
-        return Math.min(demand.requestsPerMilli(), Math.min(read, made));
+    static double throughput(int prefill, int decode, long memoryTokens, Demand demand) {
+        double decodes = decodeThroughput(decode, memoryTokens, demand);
+        double prefills =
+                prefill > 0
+                        ? prefillThroughput(prefill, demand)
+                        : unsplitThroughput(decode, memoryTokens, demand);
+        return Math.min(demand.requestsPerMilli(), Math.min(prefills, decodes));
     }
 
-    /**
-     * Returns how many prompts prefill engines read.
-     *
-     * @param prefill how many engines read prompts
-     * @param demand what callers ask for; measured
-     * @return requests a millisecond
-     */
-    static double read(int prefill, Demand demand) {
-        double pace = demand.reading().tokensPerMilli() * USABLE_PACE;
-        return prefill * pace / demand.meanPromptTokens();
+    /** Returns the throughput of prefill engines in requests per millisecond. */
+    static double prefillThroughput(int prefill, Demand demand) {
+        double speed = demand.reading().tokensPerMilli() * PREFILL_UTILIZATION;
+        return prefill * speed / demand.meanPromptTokens();
     }
 
-    /**
-     * Returns how many runs decode engines have room for.
-     *
-     * @param decode how many engines decode
-     * @param memoryTokens how much memory an engine has
-     * @param demand what callers ask for; measured
-     * @return requests a millisecond
-     */
-    static double made(int decode, long memoryTokens, Demand demand) {
-        return made(decode, memoryTokens, demand.meanMemoryTime());
+    /** Returns the throughput of decode engines in requests per millisecond. */
+    static double decodeThroughput(int decode, long memoryTokens, Demand demand) {
+        return decodeThroughput(decode, memoryTokens, demand.meanMemoryTime());
     }
 
     /**
-     * Returns how many runs decode engines have room for.
+     * Returns the throughput of decode engines in requests per millisecond.
      *
-     * @param decode how many engines decode
-     * @param memoryTokens how much memory an engine has
-     * @param memoryTime what a run takes, tokens times milliseconds
-     * @return requests a millisecond
+     * @param memoryTokens the memory of an engine, tokens
+     * @param memoryTime the memory that a run occupies times its duration, tokens times
+     *     milliseconds
      */
-    static double made(int decode, long memoryTokens, double memoryTime) {
-        return decode * memoryTokens * USABLE_MEMORY / memoryTime;
+    static double decodeThroughput(int decode, long memoryTokens, double memoryTime) {
+        return decode * memoryTokens * MEMORY_UTILIZATION / memoryTime;
     }
 
     /**
-     * Returns how many requests decode engines serve that also read the prompts: while an engine
-     * reads, its runs stand still and keep their memory for longer.
-     *
-     * @param decode how many engines decode
-     * @param memoryTokens how much memory an engine has
-     * @param demand what callers ask for; measured
-     * @return requests a millisecond
+     * Returns the throughput of decode engines that also run the prefills, in requests per
+     * millisecond. During a prefill the engine's runs stall and occupy their memory for longer.
      */
-    private static double readByDecode(int decode, long memoryTokens, Demand demand) {
-        double each = made(1, memoryTokens, demand);
-        double readMillis =
-                demand.meanPromptTokens() / (demand.reading().tokensPerMilli() * READ_BY_DECODE);
-        return decode * each / (1 + each * readMillis);
+    private static double unsplitThroughput(int decode, long memoryTokens, Demand demand) {
+        double each = decodeThroughput(1, memoryTokens, demand);
+        double prefillMillis =
+                demand.meanPromptTokens()
+                        / (demand.reading().tokensPerMilli() * DECODE_PREFILL_SPEED);
+        return decode * each / (1 + each * prefillMillis);
     }
 }
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/decision/WaitBudget.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/decision/WaitBudget.java
@@ -1,41 +1,36 @@
 package org.troutpier.daemon.decision;
 
 /**
- * Decides how long one request may wait for memory at a decode engine. One that can still be in
- * time waits exactly as long as its first event is predicted to come within its target; one that is
- * late anyway waits while its caller is likely to be there, since sending it away a second time is
- * the worst that can happen to it. Pure. Immutable and thread safe.
+ * Decides how long a request may wait for memory at a decode engine. A request that can still meet
+ * its target waits as long as its first event is predicted to arrive in time. One that is late
+ * anyway waits as long as its caller is likely to stay connected, since a second refusal is the
+ * worst outcome for it. Immutable and thread safe.
  *
- * <p>It answers bursts of a few seconds a little above what the engines can take: waiting smooths
- * them as long as the target allows.
+ * <p>Waiting smooths bursts of a few seconds that slightly exceed the capacity of the engines, as
+ * far as the target allows.
  *
- * @param targetMillis within which time the first event is due
- * @param elapsedMillis how long ago the request came
- * @param remainingMillis how long its caller and its route still allow
- * @param tier whether it can still be in time
+ * @param targetMillis the target for the first event, milliseconds
+ * @param elapsedMillis the time since the request arrived, milliseconds
+ * @param remainingMillis the time that the caller and the route still allow, milliseconds
+ * @param tier the queue tier of the request
  */
 public record WaitBudget(
         long targetMillis, long elapsedMillis, long remainingMillis, QueueTier tier) {
 
     /**
-     * How many targets a late request waits: callers give a stream up after four without an event,
-     * and one is left for its prompt.
+     * Wait of a late request in multiples of the target. Callers abandon a stream after four
+     * targets without an event; the fourth is left for the prefill.
      */
     private static final double LATE_TARGETS = 3;
 
     /**
-     * How many targets a stream waits that is to be continued. An engine that crashes leaves many
-     * at once, which need more memory than new ones; what is not continued its caller asks for
-     * again.
+     * Wait of a continued stream in multiples of the target. A crashed engine leaves many streams
+     * to continue at once, which need more memory than new requests; callers retry those that are
+     * not continued.
      */
     private static final double CONTINUED_TARGETS = 1;
 
-    /**
-     * Returns how long the request may wait.
-     *
-     * @param prediction what follows the wait
-     * @return milliseconds, at least 0
-     */
+    /** Returns how long the request may wait, in milliseconds, at least 0. */
     public long waitMillis(Prediction prediction) {
         double wait =
                 switch (tier) {
@@ -47,11 +42,9 @@
     }
 
     /**
-     * Returns whether a prompt may be read at all now: within the target, or, where the request is
-     * late anyway, without holding up those that are not.
-     *
-     * @param prediction what follows the wait
-     * @return whether it may
+     * Returns whether the prefill may start now. It must meet the target, counted from the arrival
+     * of the request or, if the request is late anyway, from now, so that late requests with long
+     * prefills do not delay requests that are in time.
      */
     public boolean allowsPrefill(Prediction prediction) {
         double elapsed = late() ? 0 : elapsedMillis;
@@ -59,38 +52,28 @@
     }
 
     /**
-     * Returns whether it is known already that the wait will be too long.
+     * Returns whether the request is to be refused at once because its predicted wait is too long.
      *
-     * @param predictedMillis how long it is predicted to be
-     * @param prediction what follows the wait
-     * @return whether the request is to be refused at once
+     * @param predictedMillis the predicted wait, milliseconds
      */
     public boolean isExceededBy(double predictedMillis, Prediction prediction) {
         return predictedMillis > waitMillis(prediction);
     }
 
-    /**
-     * Returns whether the request is late whatever is done.
-     *
-     * @return whether it is
-     */
+    /** Returns whether the request is not expected to meet its target. */
     private boolean late() {
         return tier != QueueTier.IN_TIME;
     }
 
     /**
-     * What follows once memory was found. Immutable and thread safe.
+     * The predicted latency between the allocation of memory and the first event. Immutable and
+     * thread safe.
      *
-     * @param prefillMillis until the prompt is read, what waits before it included
-     * @param firstEventMillis from then to the first event
+     * @param prefillMillis the time until the prefill is complete, including prefills queued ahead
+     * @param firstEventMillis the time from the end of the prefill to the first event
      */
     public record Prediction(double prefillMillis, double firstEventMillis) {
 
-        /**
-         * Returns the sum.
-         *
-         * @return milliseconds
-         */
         double millis() {
             return prefillMillis + firstEventMillis;
         }
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/decision/package-info.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/decision/package-info.java
@@ -1,6 +1,7 @@
 /**
- * What decides about requests under load: how long one may wait, when a refused one comes back, how
- * much memory stays free, which engines do what. Pure: no network, and no clock but the one handed
- * in.
+ * Admission, queueing and role decisions under load: how long a request may wait for engine memory,
+ * when a refused caller should retry, how much memory stays free for growing runs, and which
+ * engines run prefill or decode. Classes here use neither the network nor any clock other than the
+ * time passed in.
  */
 package org.troutpier.daemon.decision;
--- a/troutpier-daemon/src/test/java/org/troutpier/daemon/decision/GrowthMarginTest.java
+++ b/troutpier-daemon/src/test/java/org/troutpier/daemon/decision/GrowthMarginTest.java
@@ -5,7 +5,7 @@
 
 import org.testng.annotations.Test;
 
-/** How much memory stays free for what grows. */
+/** Tests the memory margin for growing runs. */
 public final class GrowthMarginTest {
 
     private static final long MEMORY = 41_000;
@@ -19,13 +19,13 @@
     }
 
     @Test
-    public void shortRunsThatEndFirstDoNotShrinkIt() {
+    public void shortRunsThatEndFirstDoNotReduceIt() {
         GrowthMargin margin = new GrowthMargin();
         assertEquals(margin.tokens(100, 1000, MEMORY), margin.tokens(0, 1000, MEMORY));
     }
 
     @Test
-    public void refusalsWithoutPausesShrinkIt() {
+    public void refusalsWithoutPausesReduceIt() {
         GrowthMargin margin = new GrowthMargin();
         for (int refusal = 0; refusal < 1000; refusal++) {
             margin.recordRefusal();
@@ -48,16 +48,16 @@
     }
 
     @Test
-    public void enginesThatPauseKeepMoreFreeThanThoseThatDoNot() {
-        GrowthMargin calm = new GrowthMargin();
+    public void pausingEnginesKeepMoreMemoryFree() {
+        GrowthMargin steady = new GrowthMargin();
         GrowthMargin pausing = new GrowthMargin();
         for (int second = 0; second < 30; second++) {
-            calm.recordRefusal();
+            steady.recordRefusal();
             pausing.recordRefusal();
             if (second % 5 == 0) {
                 pausing.recordPause(second * 1000L);
             }
         }
-        assertTrue(calm.meanOutputs() < pausing.meanOutputs());
+        assertTrue(steady.meanOutputs() < pausing.meanOutputs());
     }
 }
--- a/troutpier-daemon/src/test/java/org/troutpier/daemon/decision/RetryPacerTest.java
+++ b/troutpier-daemon/src/test/java/org/troutpier/daemon/decision/RetryPacerTest.java
@@ -5,13 +5,13 @@
 import java.util.Random;
 import org.testng.annotations.Test;
 
-/** When refused callers come back. */
+/** Tests the retry delays of refused callers. */
 public final class RetryPacerTest {
 
     private static final long LIMIT = 4500;
 
     @Test
-    public void refusedCallersAreSpreadOverTheTimeThatTheyHave() {
+    public void delaysAreSpreadUpToTheLimit() {
         RetryPacer pacer = new RetryPacer(new Random(1));
         long first = pacer.nextDelayMillis(10_000, LIMIT);
         long second = pacer.nextDelayMillis(10_000, LIMIT);
@@ -20,7 +20,7 @@
     }
 
     @Test
-    public void theMorePlacesBecomeFreeTheSoonerCallersComeBack() {
+    public void moreGrantsShortenTheDelays() {
         RetryPacer busy = new RetryPacer(new Random(1));
         RetryPacer idle = new RetryPacer(new Random(1));
         for (int grant = 0; grant < 50; grant++) {
@@ -32,14 +32,14 @@
     }
 
     @Test
-    public void nobodyIsSentBackIntoTheBurstThatRefusedIt() {
+    public void delaysLastBeyondTheBurst() {
         RetryPacer pacer = new RetryPacer(new Random(1));
         for (int grant = 0; grant < 50; grant++) {
             pacer.recordGrant(10_000);
         }
         for (int refusal = 0; refusal < 20; refusal++) {
-            long away = pacer.nextDelayMillis(10_000 + refusal * 10, LIMIT);
-            assertTrue(away > LIMIT * 0.6 && away <= LIMIT, "away " + away);
+            long delay = pacer.nextDelayMillis(10_000 + refusal * 10, LIMIT);
+            assertTrue(delay > LIMIT * 0.6 && delay <= LIMIT, "delay " + delay);
         }
     }
 }
--- a/troutpier-daemon/src/test/java/org/troutpier/daemon/decision/SlidingWindowSumTest.java
+++ b/troutpier-daemon/src/test/java/org/troutpier/daemon/decision/SlidingWindowSumTest.java
@@ -5,14 +5,14 @@
 
 import org.testng.annotations.Test;
 
-/** What counts in a sliding window. */
+/** Tests sums over a sliding window. */
 public final class SlidingWindowSumTest {
 
     private static final long WINDOW = 1600;
     private static final long STEP = 100;
 
     @Test
-    public void whatWasUsedCountsForAWindowAndNoLongerThanOneStepMore() {
+    public void anAmountCountsForAWindowAndAtMostOneStepMore() {
         SlidingWindowSum window = new SlidingWindowSum(WINDOW, 16);
         window.add(7, 10_000);
         assertEquals(window.sum(10_000), 7.0);
@@ -21,7 +21,7 @@
     }
 
     @Test
-    public void theOldestStepFadesAsItLeavesTheWindow() {
+    public void theOldestStepCountsInProportion() {
         SlidingWindowSum window = new SlidingWindowSum(WINDOW, 16);
         window.add(8, 10_000);
         assertEquals(window.sum(10_000 + WINDOW + STEP / 4), 6.0);
@@ -29,7 +29,7 @@
     }
 
     @Test
-    public void whatIsGivenBackCountsNoMoreAndNeverBelowNothing() {
+    public void subtractedAmountsDoNotCountAndNoStepBecomesNegative() {
         SlidingWindowSum window = new SlidingWindowSum(WINDOW, 16);
         window.add(5, 10_000);
         window.add(3, 10_500);
@@ -43,7 +43,7 @@
     }
 
     @Test
-    public void theNewestQuarterIsSummedUpForItself() {
+    public void theMostRecentQuarterIsSummedSeparately() {
         SlidingWindowSum window = new SlidingWindowSum(WINDOW, 16);
         window.add(5, 10_000);
         window.add(3, 10_000 + WINDOW / 2);
@@ -53,7 +53,7 @@
     }
 
     @Test
-    public void evenUseSumsUpToTheWindow() {
+    public void evenUsageAddsUpToTheWindow() {
         SlidingWindowSum window = new SlidingWindowSum(WINDOW, 16);
         for (long now = 0; now < 10 * WINDOW; now += 10) {
             window.add(1, now);
--- a/troutpier-daemon/src/test/java/org/troutpier/daemon/decision/WaitBudgetTest.java
+++ b/troutpier-daemon/src/test/java/org/troutpier/daemon/decision/WaitBudgetTest.java
@@ -7,70 +7,74 @@
 import org.testng.annotations.Test;
 import org.troutpier.daemon.decision.WaitBudget.Prediction;
 
-/** How long a request waits for memory, and what is predicted of it. */
+/** Tests how long requests wait for memory and the predictions behind it. */
 public final class WaitBudgetTest {
 
-    private static final Prediction READ_SOON = new Prediction(150, 50);
-    private static final Prediction READ_LATE = new Prediction(880, 50);
+    private static final Prediction SHORT_PREFILL = new Prediction(150, 50);
+    private static final Prediction LONG_PREFILL = new Prediction(880, 50);
 
     @Test
-    public void aRequestWaitsAsLongAsItCanStillBeInTime() {
-        assertEquals(new WaitBudget(900, 0, 14_000, QueueTier.IN_TIME).waitMillis(READ_SOON), 700);
+    public void aRequestWaitsAsLongAsItCanMeetItsTarget() {
         assertEquals(
-                new WaitBudget(900, 600, 13_400, QueueTier.IN_TIME).waitMillis(READ_SOON), 100);
-        assertEquals(new WaitBudget(900, 800, 13_200, QueueTier.IN_TIME).waitMillis(READ_SOON), 0);
+                new WaitBudget(900, 0, 14_000, QueueTier.IN_TIME).waitMillis(SHORT_PREFILL), 700);
+        assertEquals(
+                new WaitBudget(900, 600, 13_400, QueueTier.IN_TIME).waitMillis(SHORT_PREFILL), 100);
+        assertEquals(
+                new WaitBudget(900, 800, 13_200, QueueTier.IN_TIME).waitMillis(SHORT_PREFILL), 0);
     }
 
     @Test
-    public void aLateRequestWaitsWhileItsCallerIsLikelyToBeThere() {
-        assertEquals(new WaitBudget(900, 0, 9000, QueueTier.LATE).waitMillis(READ_SOON), 2700);
-        assertEquals(new WaitBudget(900, 0, 500, QueueTier.LATE).waitMillis(READ_SOON), 500);
-        assertEquals(new WaitBudget(900, 0, 9000, QueueTier.CONTINUED).waitMillis(READ_LATE), 900);
+    public void aLateRequestWaitsWhileItsCallerIsLikelyConnected() {
+        assertEquals(new WaitBudget(900, 0, 9000, QueueTier.LATE).waitMillis(SHORT_PREFILL), 2700);
+        assertEquals(new WaitBudget(900, 0, 500, QueueTier.LATE).waitMillis(SHORT_PREFILL), 500);
+        assertEquals(
+                new WaitBudget(900, 0, 9000, QueueTier.CONTINUED).waitMillis(LONG_PREFILL), 900);
     }
 
     @Test
-    public void noPromptIsReadWhoseReadingAloneTakesTooLong() {
-        assertTrue(new WaitBudget(900, 0, 14_000, QueueTier.IN_TIME).allowsPrefill(READ_SOON));
-        assertFalse(new WaitBudget(900, 0, 14_000, QueueTier.IN_TIME).allowsPrefill(READ_LATE));
-        assertFalse(new WaitBudget(900, 800, 14_000, QueueTier.IN_TIME).allowsPrefill(READ_SOON));
-        assertTrue(new WaitBudget(900, 800, 14_000, QueueTier.LATE).allowsPrefill(READ_SOON));
-        assertFalse(new WaitBudget(900, 0, 14_000, QueueTier.LATE).allowsPrefill(READ_LATE));
+    public void noPrefillStartsThatAloneExceedsTheTarget() {
+        assertTrue(new WaitBudget(900, 0, 14_000, QueueTier.IN_TIME).allowsPrefill(SHORT_PREFILL));
+        assertFalse(new WaitBudget(900, 0, 14_000, QueueTier.IN_TIME).allowsPrefill(LONG_PREFILL));
+        assertFalse(
+                new WaitBudget(900, 800, 14_000, QueueTier.IN_TIME).allowsPrefill(SHORT_PREFILL));
+        assertTrue(new WaitBudget(900, 800, 14_000, QueueTier.LATE).allowsPrefill(SHORT_PREFILL));
+        assertFalse(new WaitBudget(900, 0, 14_000, QueueTier.LATE).allowsPrefill(LONG_PREFILL));
     }
 
     @Test
-    public void whatIsKnownToBeTooLateIsRefusedAtOnce() {
-        WaitBudget window = new WaitBudget(900, 0, 14_000, QueueTier.IN_TIME);
-        assertFalse(window.isExceededBy(0, READ_SOON));
-        assertFalse(window.isExceededBy(650, READ_SOON));
-        assertTrue(window.isExceededBy(750, READ_SOON));
+    public void aRequestWithTooLongAPredictedWaitIsRefusedAtOnce() {
+        WaitBudget budget = new WaitBudget(900, 0, 14_000, QueueTier.IN_TIME);
+        assertFalse(budget.isExceededBy(0, SHORT_PREFILL));
+        assertFalse(budget.isExceededBy(650, SHORT_PREFILL));
+        assertTrue(budget.isExceededBy(750, SHORT_PREFILL));
     }
 
     @Test
-    public void roomIsPredictedFromWhatRunsAndWhatWaits() {
+    public void theMemoryWaitIsPredictedFromActiveAndQueuedRequests() {
         MemoryWaitForecast free = new MemoryWaitForecast(4, 100_000, 38_000, 0, 3600);
         assertEquals(free.waitMillis(3200), 0.0);
         MemoryWaitForecast full = new MemoryWaitForecast(4, 152_000, 38_000, 0, 3600);
         assertEquals(full.waitMillis(3200), 3200 * 3600 / 152_000.0, 0.1);
-        MemoryWaitForecast grown = new MemoryWaitForecast(4, 160_000, 38_000, 0, 3600);
-        assertEquals(grown.waitMillis(3200), 3200 * 3600 / 160_000.0, 0.1);
-        MemoryWaitForecast queue = new MemoryWaitForecast(4, 152_000, 38_000, 32_000, 3600);
-        assertEquals(queue.waitMillis(3200), 35_200 * 3600 / 152_000.0, 0.1);
+        MemoryWaitForecast exceeded = new MemoryWaitForecast(4, 160_000, 38_000, 0, 3600);
+        assertEquals(exceeded.waitMillis(3200), 3200 * 3600 / 160_000.0, 0.1);
+        MemoryWaitForecast queued = new MemoryWaitForecast(4, 152_000, 38_000, 32_000, 3600);
+        assertEquals(queued.waitMillis(3200), 35_200 * 3600 / 152_000.0, 0.1);
         assertEquals(new MemoryWaitForecast(4, 152_000, 38_000, 32_000, 0).waitMillis(3200), 0.0);
     }
 
     @Test
-    public void delaysAreLearnt() {
-        LatencyEstimator delay = new LatencyEstimator(60);
-        assertEquals(delay.predictedMillis(), 60.0);
+    public void latenciesAreEstimatedFromMeasurements() {
+        LatencyEstimator latency = new LatencyEstimator(60);
+        assertEquals(latency.predictedMillis(), 60.0);
         for (int run = 0; run < 100; run++) {
-            delay.record(200 + run % 2 * 20);
+            latency.record(200 + run % 2 * 20);
         }
         assertTrue(
-                delay.predictedMillis() > 205 && delay.predictedMillis() < 260,
-                "after " + delay.predictedMillis());
+                latency.predictedMillis() > 205 && latency.predictedMillis() < 260,
+                "after " + latency.predictedMillis());
         for (int run = 0; run < 100; run++) {
-            delay.record(-50);
+            latency.record(-50);
         }
-        assertEquals(delay.predictedMillis(), 0.0);
+        assertEquals(latency.predictedMillis(), 0.0);
     }
 }
