--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/limit/FlowKey.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/limit/FlowKey.java
@@ -3,20 +3,21 @@
 import org.troutpier.common.id.PartnerId;
 
 /**
- * Who asks for a part of what is limited. Immutable and thread safe.
+ * Identifies a flow of requests that compete for a limit: all requests of one rank and one
+ * organisation. Immutable and thread safe.
  *
- * @param rank the rank of the request, 0 is the most urgent; at most {@link #LEAST_URGENT_RANK}
- * @param organisation in whose name it is made, or {@link #NO_ORGANISATION}
+ * @param rank the priority rank; 0 is the most urgent, {@link #LEAST_URGENT_RANK} the least
+ * @param organisation the organisation, or {@link #NO_ORGANISATION}
  */
 public record FlowKey(int rank, PartnerId organisation) {
 
-    /** The least urgent rank that is told apart. */
+    /** The least urgent rank; less urgent requests are treated as of this rank. */
     public static final int LEAST_URGENT_RANK = 9;
 
-    /** Whose requests are that are made in no organisation's name. */
+    /** The organisation of requests that belong to none. */
     public static final PartnerId NO_ORGANISATION = new PartnerId("none");
 
-    /** Keeps the rank within those that are told apart. */
+    /** Clamps the rank to the supported range. */
     public FlowKey {
         rank = Math.max(0, Math.min(LEAST_URGENT_RANK, rank));
     }
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/limit/GradualLimit.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/limit/GradualLimit.java
@@ -1,40 +1,39 @@
 package org.troutpier.daemon.limit;
 
 /**
- * A limit whose difference to a higher one before it is taken away over one window: use that the
- * one before allowed would otherwise refuse all that the new one allows. Confined to one thread.
- * Invariant: it is never below the limit in force.
+ * A limit that is lowered gradually over one window. Otherwise, usage that was allowed under the
+ * previous limit would cause the refusal of everything that the new one allows. Not thread safe.
+ * Invariant: the current limit is never below the target.
  */
 public final class GradualLimit {
 
-    /** How long the window is, milliseconds. */
     private final long mWindowMillis;
 
-    /** The limit in force, per window. */
-    private double mLimit;
+    /** The limit per window once a reduction is complete. */
+    private double mTarget;
 
-    /** What was allowed when the limit in force was set, per window. */
-    private double mBefore;
+    /** The limit per window at the time when the target was set. */
+    private double mInitial;
 
-    /** When the limit in force was set, milliseconds. */
+    /** When the target was set, milliseconds. */
     private long mSetAt;
 
     /**
-     * Creates a limit that was never lowered.
+     * Creates a limit that is in effect at once.
      *
-     * @param limit what may be used in a window
-     * @param windowMillis how long the window is, milliseconds
+     * @param limit the limit per window
+     * @param windowMillis the length of the window, milliseconds
      */
     public GradualLimit(double limit, long windowMillis) {
         mWindowMillis = windowMillis;
-        mLimit = limit;
-        mBefore = limit;
+        mTarget = limit;
+        mInitial = limit;
     }
 
     /**
-     * Sets the limit in force, and goes on from what is allowed now.
+     * Sets a new target and starts from the current limit.
      *
-     * @param limit what may be used in a window
+     * @param limit the target per window
      * @param now the monotonic clock, milliseconds
      */
     public void set(double limit, long now) {
@@ -42,35 +41,30 @@
     }
 
     /**
-     * Sets the limit in force.
+     * Sets a new target and the limit to start from.
      *
-     * @param limit what may be used in a window
-     * @param before what is allowed at this moment
+     * @param limit the target per window
+     * @param initial the limit per window at this time
      * @param now the monotonic clock, milliseconds
      */
-    public void set(double limit, double before, long now) {
-        mBefore = Math.max(limit, before);
-        mLimit = limit;
+    public void set(double limit, double initial, long now) {
+        mInitial = Math.max(limit, initial);
+        mTarget = limit;
         mSetAt = now;
     }
 
-    /**
-     * Returns the limit in force.
-     *
-     * @return what may be used in a window
-     */
+    /** Returns the limit per window once a reduction is complete. */
     public double target() {
-        return mLimit;
+        return mTarget;
     }
 
     /**
-     * Returns what is allowed now.
+     * Returns the limit per window at a time.
      *
      * @param now the monotonic clock, milliseconds
-     * @return what may be used in a window
      */
     public double current(long now) {
-        double left = Math.max(0, 1 - (now - mSetAt) / (double) mWindowMillis);
-        return left == 0 ? mLimit : mLimit + (mBefore - mLimit) * left;
+        double remaining = Math.max(0, 1 - (now - mSetAt) / (double) mWindowMillis);
+        return remaining == 0 ? mTarget : mTarget + (mInitial - mTarget) * remaining;
     }
 }
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/limit/LastAnnouncedRate.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/limit/LastAnnouncedRate.java
@@ -3,46 +3,41 @@
 import com.fasterxml.jackson.annotation.JsonFormat;
 
 /**
- * The rate that an upstream named last, as routers report it to each other. Immutable and thread
- * safe. Its age takes the place of a time, since routers' clocks are not compared.
+ * The rate that an upstream announced last, as routers report it to each other. It carries an age
+ * instead of a timestamp, since the clocks of routers are not compared. Immutable and thread safe.
  *
- * @param perSecond requests a second over all routers; {@link #UNLIMITED} where the upstream names
- *     a rate no more
- * @param ageMillis how long ago the upstream said so, milliseconds; {@link Long#MAX_VALUE} where it
- *     never did
+ * @param perSecond the requests per second over all routers; {@link #UNLIMITED} if the upstream
+ *     does not announce a rate any more
+ * @param ageMillis the time since the announcement, milliseconds; {@link Long#MAX_VALUE} if there
+ *     was none
  */
 @JsonFormat(shape = JsonFormat.Shape.ARRAY)
 public record LastAnnouncedRate(double perSecond, long ageMillis) {
 
-    /** The rate of an upstream that names none. */
+    /** The rate of an upstream that announces none. */
     public static final double UNLIMITED = Double.POSITIVE_INFINITY;
 
-    /** The rate of an upstream that never named one. */
+    /** The value for an upstream that never announced a rate. */
     public static final LastAnnouncedRate NEVER = new LastAnnouncedRate(UNLIMITED, Long.MAX_VALUE);
 
-    /** Within which time the order of two answers that different routers got is not known. */
+    /** Maximum age difference for which the order of announcements to two routers is unknown. */
     private static final long UNORDERED_MILLIS = 100;
 
     /**
-     * Returns which of two statements holds: the later one, or the lower one where their order is
-     * not known.
-     *
-     * @param other the other
-     * @return one of them
+     * Returns the more recent of two announcements, or the lower rate if their order is unknown.
      */
     public LastAnnouncedRate mostRecent(LastAnnouncedRate other) {
-        long older = ageMillis - other.ageMillis;
-        if (Math.abs(older) <= UNORDERED_MILLIS) {
+        long difference = ageMillis - other.ageMillis;
+        if (Math.abs(difference) <= UNORDERED_MILLIS) {
             return other.perSecond < perSecond ? other : this;
         }
-        return older > 0 ? other : this;
+        return difference > 0 ? other : this;
     }
 
     /**
-     * Returns the statement as it is some time later.
+     * Returns this announcement with a greater age.
      *
-     * @param millis how much later, milliseconds
-     * @return a new statement
+     * @param millis the time that has passed, milliseconds
      */
     public LastAnnouncedRate aged(long millis) {
         return ageMillis == Long.MAX_VALUE
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/limit/LimitHeadroom.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/limit/LimitHeadroom.java
@@ -3,17 +3,19 @@
 import java.util.random.RandomGenerator;
 
 /**
- * How much more of a limit may be used, by what this router used and what the others reported.
- * Immutable; a pure decision but for the draw.
+ * The remaining headroom of a limit, given the usage at this router and the usage that the other
+ * routers report. Immutable.
  *
- * <p>All routers see the same room until they hear of each other's use, so where more is asked in
- * that time than there is room for, each admits by chance as much as makes that room in the sum.
+ * <p>All routers see the same headroom until they learn of each other's usage. If the demand in
+ * that time exceeds the headroom, each router admits requests with a probability such that the sum
+ * fits.
  *
- * @param local what was used here
- * @param remote what was used at the others
- * @param allowed what may be used in the window
- * @param allowedPaced what may be used in the window's newest {@link UsageSettings#PACE_FRACTION}
- * @param paceMillis how long that part is, milliseconds
+ * @param local the usage at this router
+ * @param remote the usage at the other routers
+ * @param allowed the usage allowed in the window
+ * @param allowedPaced the usage allowed in the most recent {@link UsageSettings#PACE_FRACTION} of
+ *     the window
+ * @param paceMillis the length of that part of the window, milliseconds
  */
 public record LimitHeadroom(
         RecentUsage local,
@@ -23,22 +25,18 @@
         double paceMillis) {
 
     /**
-     * How stale a view of the others is, milliseconds: their report, two relays and the question,
-     * of which each takes up to a pause between two reports.
+     * Maximum age of the view of other routers, milliseconds: one report, two relays and one query,
+     * each of which takes up to one interval between reports.
      */
     private static final double STALE_MILLIS = 200;
 
     /**
-     * For how long room is left to what is more urgent, milliseconds: more than views are stale, as
-     * it comes in whole requests.
+     * Time for which headroom is reserved for more urgent requests, milliseconds. It exceeds the
+     * age of the view, since demand arrives in whole requests.
      */
     private static final double RESERVED_MILLIS = 400;
 
-    /**
-     * Returns what may still be used.
-     *
-     * @return use in the limit's unit; not above 0 where nothing may
-     */
+    /** Returns the remaining usage in the unit of the limit; 0 or less if there is none. */
     public double remaining() {
         return Math.min(
                 allowed - local.window() - remote.window(),
@@ -46,33 +44,33 @@
     }
 
     /**
-     * Returns whether a request fits. One that fits only in part is admitted by chance, since a
-     * router that is alone may use less than one request in a window; of many that ask, one.
+     * Decides whether a request is admitted. A request that fits only partly is admitted at random
+     * such that one in all that compete is expected to be admitted; otherwise an isolated router
+     * whose share is less than one request per window would admit none.
      *
-     * @param cost what the request uses
-     * @param random draws
-     * @return whether it is admitted
+     * @param cost the usage of the request
+     * @param random the source of randomness
      */
     public boolean admits(double cost, RandomGenerator random) {
-        double chance = admissionProbability(cost, 0, local.asked() + (double) remote.asked());
-        return chance >= 1 || random.nextDouble() < chance;
+        double probability = admissionProbability(cost, 0, local.asked() + (double) remote.asked());
+        return probability >= 1 || random.nextDouble() < probability;
     }
 
     /**
-     * Returns with what chance a request is admitted, after what is more urgent.
+     * Returns the probability with which a request is admitted after more urgent ones.
      *
-     * @param cost what the request uses
-     * @param ahead what was asked in the newest part of the window that goes before it
-     * @param asked what was asked in that part that goes with it, itself included
-     * @return the chance; 0 or less for none, 1 or more where it fits
+     * @param cost the usage of the request
+     * @param ahead the more urgent demand in the most recent part of the window
+     * @param asked the demand of the same urgency in that part, this request included
+     * @return the probability; 0 or less if the request is not admitted, 1 or more if it fits
      */
     public double admissionProbability(double cost, double ahead, double asked) {
-        double room = remaining() - ahead * RESERVED_MILLIS / paceMillis;
-        double part = cost <= room ? STALE_MILLIS / paceMillis : 1;
-        double wanted = Math.max(cost, asked * part);
-        if (wanted <= 0) {
-            return room < 0 ? 0 : 1;
+        double headroom = remaining() - ahead * RESERVED_MILLIS / paceMillis;
+        double fraction = cost <= headroom ? STALE_MILLIS / paceMillis : 1;
+        double demand = Math.max(cost, asked * fraction);
+        if (demand <= 0) {
+            return headroom < 0 ? 0 : 1;
         }
-        return room / wanted;
+        return headroom / demand;
     }
 }
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/limit/PeerRates.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/limit/PeerRates.java
@@ -2,22 +2,16 @@
 
 import org.troutpier.common.id.UpstreamIncarnation;
 
-/** What the other routers reported of upstreams that name rates. Thread safe. */
+/** The reports of the other routers about upstreams that announce rates. Thread safe. */
 public interface PeerRates {
 
     /**
-     * Returns what the others reported of an upstream.
+     * Returns the combined report of the other routers about an upstream, aged to the given time.
      *
-     * @param upstream the upstream
      * @param now the clock of the control state, milliseconds
-     * @return the sum, as old as it is now
      */
     RateReport rate(UpstreamIncarnation upstream, long now);
 
-    /**
-     * Returns how many others were heard of lately.
-     *
-     * @return the count
-     */
+    /** Returns the number of other routers with a recent report. */
     int peerCount();
 }
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/limit/RateReport.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/limit/RateReport.java
@@ -5,12 +5,13 @@
 import java.util.List;
 
 /**
- * What one or several routers report of an upstream that names a rate. Immutable and thread safe.
+ * The report of one or several routers about an upstream that announces a rate. Immutable and
+ * thread safe.
  *
- * @param named the rate that the upstream named to them last
- * @param use what they sent it lately, requests
- * @param asked what they were asked to send it in the newest {@link UsageSettings#PACE_FRACTION} of
- *     the window, by rank, the most urgent first
+ * @param named the rate that the upstream announced to them last
+ * @param use the requests that they sent it recently
+ * @param asked the requests for it in the most recent {@link UsageSettings#PACE_FRACTION} of the
+ *     window, by rank, the most urgent first
  */
 @JsonFormat(shape = JsonFormat.Shape.ARRAY)
 public record RateReport(LastAnnouncedRate named, RecentUsage use, List<Long> asked) {
@@ -24,34 +25,22 @@
         asked = asked == null ? List.of() : List.copyOf(asked);
     }
 
-    /**
-     * Returns the report of these and other routers together.
-     *
-     * @param other the others' report
-     * @return a new report
-     */
+    /** Combines this report with one of other routers. */
     public RateReport plus(RateReport other) {
         return new RateReport(
                 named.mostRecent(other.named), use.plus(other.use), sum(asked, other.asked));
     }
 
     /**
-     * Returns the report as it is some time later, with the use that it told of.
+     * Returns this report with a greater age of its rate and unchanged usage.
      *
-     * @param millis how much later, milliseconds
-     * @return a new report
+     * @param millis the time that has passed, milliseconds
      */
     public RateReport aged(long millis) {
         return new RateReport(named.aged(millis), use, asked);
     }
 
-    /**
-     * Adds up two lists, entry by entry.
-     *
-     * @param one one list
-     * @param other the other
-     * @return a list as long as the longer one
-     */
+    /** Returns the element-wise sum of two lists, as long as the longer one. */
     private static List<Long> sum(List<Long> one, List<Long> other) {
         List<Long> longer = one.size() < other.size() ? other : one;
         List<Long> shorter = longer == one ? other : one;
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/limit/RecentUsage.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/limit/RecentUsage.java
@@ -3,39 +3,34 @@
 import com.fasterxml.jackson.annotation.JsonFormat;
 
 /**
- * What was used and asked of a limit lately, in its unit. Immutable and thread safe.
+ * The recent usage of and demand for a limit, in the unit of the limit. Immutable and thread safe.
  *
- * @param window in the whole window of limits
- * @param pace in the newest {@link UsageSettings#PACE_FRACTION} of it
- * @param asked what was asked in that part, admitted or not
+ * @param window the usage in the whole window of the limit
+ * @param pace the usage in the most recent {@link UsageSettings#PACE_FRACTION} of the window
+ * @param asked the demand in that part of the window, whether admitted or not
  */
 @JsonFormat(shape = JsonFormat.Shape.ARRAY)
 public record RecentUsage(long window, long pace, long asked) {
 
-    /** No use. */
+    /** No usage. */
     public static final RecentUsage NONE = new RecentUsage(0, 0, 0);
 
-    /**
-     * Returns this use and another together.
-     *
-     * @param other the other
-     * @return the sum
-     */
+    /** Adds another usage. */
     public RecentUsage plus(RecentUsage other) {
         return new RecentUsage(window + other.window, pace + other.pace, asked + other.asked);
     }
 
     /**
-     * Returns what of this use still counts after some time without any more.
+     * Returns the part of this usage that still counts after a time without further usage, assuming
+     * that it was evenly distributed.
      *
-     * @param passed the time, as a part of the window
-     * @return what is left, where it was even
+     * @param passed the time that has passed as a fraction of the window
      */
     public RecentUsage after(double passed) {
-        double leftOfPace = Math.max(0, 1 - passed / UsageSettings.PACE_FRACTION);
+        double remainingPace = Math.max(0, 1 - passed / UsageSettings.PACE_FRACTION);
         return new RecentUsage(
                 Math.round(window * Math.max(0, 1 - passed)),
-                Math.round(pace * leftOfPace),
-                Math.round(asked * leftOfPace));
+                Math.round(pace * remainingPace),
+                Math.round(asked * remainingPace));
     }
 }
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/limit/UsageMeter.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/limit/UsageMeter.java
@@ -3,48 +3,45 @@
 import org.troutpier.daemon.decision.SlidingWindowSum;
 
 /**
- * Measures what was used and asked of one limit at this router. Confined to one thread. Invariant:
- * what is older than the window counts no more.
+ * Measures the recent usage of and demand for one limit at this router. Not thread safe. Invariant:
+ * usage older than the window does not count.
  */
 public final class UsageMeter {
 
-    /** How many steps a window is divided into. */
     private static final int STEPS = 16;
 
-    /** How long the window is, milliseconds. */
     private final long mWindowMillis;
 
-    /** What was used. */
     private final SlidingWindowSum mUsed;
 
-    /** What was asked, admitted or not. */
-    private final SlidingWindowSum mAsked;
+    /** The demand, whether admitted or not. */
+    private final SlidingWindowSum mRequested;
 
     /**
-     * Creates a meter that has measured nothing.
+     * Creates an empty meter.
      *
-     * @param windowMillis how long the window is, milliseconds
+     * @param windowMillis the length of the window, milliseconds
      */
     public UsageMeter(long windowMillis) {
         mWindowMillis = windowMillis;
         mUsed = new SlidingWindowSum(windowMillis, STEPS);
-        mAsked = new SlidingWindowSum(windowMillis, STEPS);
+        mRequested = new SlidingWindowSum(windowMillis, STEPS);
     }
 
     /**
-     * Records that something is asked.
+     * Records demand.
      *
-     * @param cost how much, in the limit's unit
+     * @param cost the amount in the unit of the limit
      * @param now the monotonic clock, milliseconds
      */
     public void recordRequested(double cost, long now) {
-        mAsked.add(cost, now);
+        mRequested.add(cost, now);
     }
 
     /**
-     * Records that something is used.
+     * Records usage.
      *
-     * @param cost how much, in the limit's unit
+     * @param cost the amount in the unit of the limit
      * @param now the monotonic clock, milliseconds
      */
     public void recordUsed(double cost, long now) {
@@ -52,10 +49,10 @@
     }
 
     /**
-     * Takes back what was recorded as used.
+     * Subtracts usage that was recorded earlier.
      *
-     * @param cost how much, in the limit's unit
-     * @param at when it was recorded, milliseconds
+     * @param cost the amount in the unit of the limit
+     * @param at the time at which it was recorded, milliseconds
      * @param now the monotonic clock, milliseconds
      */
     public void subtract(double cost, long at, long now) {
@@ -63,25 +60,24 @@
     }
 
     /**
-     * Forgets what was used before the newest part of the window.
+     * Discards all usage except that of the most recent part of the window.
      *
-     * @param part which part, above 0 and at most 1
+     * @param fraction the part as a fraction of the window, above 0 and at most 1
      * @param now the monotonic clock, milliseconds
      */
-    public void discardOlder(double part, long now) {
-        mUsed.discardBefore(now - Math.round(mWindowMillis * part), now);
+    public void discardOlder(double fraction, long now) {
+        mUsed.discardBefore(now - Math.round(mWindowMillis * fraction), now);
     }
 
     /**
-     * Returns what was used and asked lately.
+     * Returns the recent usage and demand.
      *
      * @param now the monotonic clock, milliseconds
-     * @return the use
      */
     public RecentUsage recent(long now) {
         return new RecentUsage(
                 Math.round(mUsed.sum(now)),
                 Math.round(mUsed.sum(now, UsageSettings.PACE_FRACTION)),
-                Math.round(mAsked.sum(now, UsageSettings.PACE_FRACTION)));
+                Math.round(mRequested.sum(now, UsageSettings.PACE_FRACTION)));
     }
 }
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/limit/package-info.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/limit/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Limits that all routers keep together: what was used and asked lately at one router, and how much
- * more may be used by what the others report.
+ * Limits that all routers enforce together: meters of the recent usage and demand at one router,
+ * and the remaining headroom given the usage that the other routers report.
  */
 package org.troutpier.daemon.limit;
--- a/troutpier-daemon/src/test/java/org/troutpier/daemon/limit/ArrivalMeterTest.java
+++ b/troutpier-daemon/src/test/java/org/troutpier/daemon/limit/ArrivalMeterTest.java
@@ -7,14 +7,14 @@
 import org.testng.annotations.Test;
 import org.troutpier.common.id.PartnerId;
 
-/** Who asked lately. */
+/** Tests the count of recent requests by flow. */
 public final class ArrivalMeterTest {
 
     private static final PartnerId COAST = new PartnerId("coast");
     private static final PartnerId INLAND = new PartnerId("inland");
 
     @Test
-    public void ranksAndOrganisationsAreToldApartAndFade() {
+    public void flowsAreCountedSeparatelyAndExpire() {
         ArrivalMeter meter = new ArrivalMeter(1000);
         long now = 100_000;
         meter.record(new FlowKey(2, COAST), now);
@@ -30,7 +30,7 @@
     }
 
     @Test
-    public void ranksBeyondThoseThatAreToldApartCountAsTheNearest() {
+    public void ranksOutsideTheRangeAreClamped() {
         assertEquals(new FlowKey(-3, COAST).rank(), 0);
         assertEquals(new FlowKey(1000, COAST).rank(), FlowKey.LEAST_URGENT_RANK);
     }
--- a/troutpier-daemon/src/test/java/org/troutpier/daemon/limit/Arrivals.java
+++ b/troutpier-daemon/src/test/java/org/troutpier/daemon/limit/Arrivals.java
@@ -2,12 +2,12 @@
 
 import java.util.Random;
 
-/** How many requests come in a step of virtual time. */
+/** Random numbers of arrivals for simulations in virtual time. */
 public final class Arrivals {
 
     private Arrivals() {}
 
-    /** Draws a Poisson number with a mean. */
+    /** Returns a Poisson-distributed random number. */
     public static int poisson(Random random, double mean) {
         double limit = Math.exp(-mean);
         int count = 0;
--- a/troutpier-daemon/src/test/java/org/troutpier/daemon/limit/GradualLimitTest.java
+++ b/troutpier-daemon/src/test/java/org/troutpier/daemon/limit/GradualLimitTest.java
@@ -5,7 +5,7 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** How a limit comes down. */
+/** Tests the gradual reduction of a limit. */
 public final class GradualLimitTest {
 
     private static final double EXACT = 1e-9;
@@ -18,7 +18,7 @@
     }
 
     @Test
-    public void theDifferenceIsTakenAwayOverAWindow() {
+    public void aReductionTakesOneWindow() {
         mLimit.set(20, 10_000);
         assertEquals(mLimit.target(), 20, EXACT);
         assertEquals(mLimit.current(10_000), 100, EXACT);
@@ -28,7 +28,7 @@
     }
 
     @Test
-    public void oneThatIsLoweredAgainGoesOnFromWhereItIs() {
+    public void aSecondReductionStartsFromTheCurrentLimit() {
         mLimit.set(20, 10_000);
         mLimit.set(0, 12_000);
         assertEquals(mLimit.current(12_000), 60, EXACT);
@@ -36,13 +36,13 @@
     }
 
     @Test
-    public void aRaisedOneIsInForceAtOnce() {
+    public void anIncreaseTakesEffectAtOnce() {
         mLimit.set(300, 10_000);
         assertEquals(mLimit.current(10_000), 300, EXACT);
     }
 
     @Test
-    public void whatIsAllowedBeforeIsNeverBelowTheLimit() {
+    public void theInitialLimitIsAtLeastTheTarget() {
         mLimit.set(50, 10, 10_000);
         assertEquals(mLimit.current(10_000), 50, EXACT);
     }
--- a/troutpier-daemon/src/test/java/org/troutpier/daemon/limit/LastAnnouncedRateTest.java
+++ b/troutpier-daemon/src/test/java/org/troutpier/daemon/limit/LastAnnouncedRateTest.java
@@ -4,13 +4,13 @@
 
 import org.testng.annotations.Test;
 
-/** Which of two statements about a rate holds. */
+/** Tests which of two announcements of a rate takes precedence. */
 public final class LastAnnouncedRateTest {
 
     private static final LastAnnouncedRate LOW = new LastAnnouncedRate(2, 1000);
 
     @Test
-    public void theLaterStatementHoldsWhateverItSays() {
+    public void theMoreRecentAnnouncementTakesPrecedence() {
         LastAnnouncedRate higher = new LastAnnouncedRate(5, 800);
         LastAnnouncedRate ended = new LastAnnouncedRate(LastAnnouncedRate.UNLIMITED, 800);
         assertEquals(LOW.mostRecent(higher), higher);
@@ -20,14 +20,14 @@
     }
 
     @Test
-    public void theLowerOneHoldsWhereTheOrderIsNotKnown() {
+    public void theLowerRateTakesPrecedenceIfTheOrderIsUnknown() {
         LastAnnouncedRate higher = new LastAnnouncedRate(5, 950);
         assertEquals(LOW.mostRecent(higher), LOW);
         assertEquals(higher.mostRecent(LOW), LOW);
     }
 
     @Test
-    public void anyStatementIsLaterThanNone() {
+    public void anyAnnouncementIsMoreRecentThanNone() {
         assertEquals(LastAnnouncedRate.NEVER.mostRecent(LOW), LOW);
         assertEquals(LOW.mostRecent(LastAnnouncedRate.NEVER), LOW);
         assertEquals(LastAnnouncedRate.NEVER.aged(1000), LastAnnouncedRate.NEVER);
--- a/troutpier-daemon/src/test/java/org/troutpier/daemon/limit/RateReportTest.java
+++ b/troutpier-daemon/src/test/java/org/troutpier/daemon/limit/RateReportTest.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import org.testng.annotations.Test;
 
-/** What several routers report together. */
+/** Tests the combination of reports of several routers. */
 public final class RateReportTest {
 
     private static final RateReport ONE =
@@ -15,7 +15,7 @@
             new RateReport(LastAnnouncedRate.NEVER, new RecentUsage(1, 1, 1), List.of(1L));
 
     @Test
-    public void useAndWhatWasAskedAddUpInAnyOrder() {
+    public void usageAndDemandAddUpInAnyOrder() {
         RateReport both =
                 new RateReport(
                         new LastAnnouncedRate(3.6, 100),
@@ -27,13 +27,13 @@
     }
 
     @Test
-    public void itsRateGrowsOlder() {
+    public void agingAReportAgesItsRate() {
         assertEquals(ONE.aged(400).named(), new LastAnnouncedRate(3.6, 500));
         assertEquals(OTHER.aged(400), OTHER);
     }
 
     @Test
-    public void aReportWithoutRanksIsOneOfNobody() {
+    public void aReportWithoutRanksHasNoDemand() {
         assertEquals(
                 new RateReport(LastAnnouncedRate.NEVER, RecentUsage.NONE, null), RateReport.NONE);
     }
--- a/troutpier-daemon/src/test/java/org/troutpier/daemon/limit/UsageMeterTest.java
+++ b/troutpier-daemon/src/test/java/org/troutpier/daemon/limit/UsageMeterTest.java
@@ -5,7 +5,7 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** What was used and asked lately. */
+/** Tests the recent usage and demand at one router. */
 public final class UsageMeterTest {
 
     private static final long NOW = 100_000;
@@ -18,7 +18,7 @@
     }
 
     @Test
-    public void useLeavesThePaceAndThenTheWindow() {
+    public void usageLeavesThePacedPartBeforeTheWindow() {
         mMeter.recordRequested(5, NOW);
         mMeter.recordUsed(3, NOW);
         assertEquals(mMeter.recent(NOW), new RecentUsage(3, 3, 5));
@@ -27,7 +27,7 @@
     }
 
     @Test
-    public void whatIsTakenBackCountsNoMore() {
+    public void subtractedUsageDoesNotCount() {
         mMeter.recordUsed(3, NOW);
         mMeter.subtract(1, NOW, NOW + 500);
         assertEquals(mMeter.recent(NOW + 500).window(), 2);
@@ -36,7 +36,7 @@
     }
 
     @Test
-    public void onlyTheNewestPartIsKept() {
+    public void olderUsageIsDiscarded() {
         mMeter.recordUsed(7, NOW);
         mMeter.recordUsed(2, NOW + 2000);
         mMeter.discardOlder(0.25, NOW + 2500);
