--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/notice/AnnouncedBackOff.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/notice/AnnouncedBackOff.java
@@ -6,54 +6,53 @@
 import java.util.OptionalLong;
 
 /**
- * For how long an upstream that turned a call away wants no other from this router, by the {@code
- * Retry-After} of its answer (RFC 9110, with fractions of seconds). Immutable and thread safe.
+ * The back-off that an upstream requests from this router when it rejects a call, by the {@code
+ * Retry-After} header of its response (RFC 9110, with fractional seconds as an extension).
+ * Immutable and thread safe.
  *
- * @param state whether the answer asks for it
- * @param millis for how long, milliseconds; 0 where it does not ask
+ * @param state whether the response requests a back-off
+ * @param millis the back-off, milliseconds; 0 if none is requested
  */
 public record AnnouncedBackOff(NoticeState state, long millis) {
 
-    /** An answer that asks for none. */
+    /** No back-off. */
     public static final AnnouncedBackOff NONE = new AnnouncedBackOff(NoticeState.NONE, 0);
 
-    /** An answer whose request cannot be read. */
+    /** A back-off with an invalid value. */
     public static final AnnouncedBackOff UNREADABLE =
             new AnnouncedBackOff(NoticeState.UNREADABLE, 0);
 
-    /** How many milliseconds a second has. */
-    private static final int MILLIS = 1000;
+    private static final int MILLIS_PER_SECOND = 1000;
 
-    /** Checks the time. */
+    /** Validates the back-off. */
     public AnnouncedBackOff {
         if (millis < 0) {
-            throw new IllegalArgumentException("back-off is negative: " + millis);
+            throw new IllegalArgumentException("back-off must not be negative: " + millis);
         }
     }
 
     /**
-     * Returns an answer that asks for a time.
+     * Creates a back-off.
      *
-     * @param millis for how long, milliseconds; 0 asks for none
-     * @return the announcement
+     * @param millis the back-off, milliseconds; 0 for none
      */
     public static AnnouncedBackOff of(long millis) {
         return millis == 0 ? NONE : new AnnouncedBackOff(NoticeState.ANNOUNCED, millis);
     }
 
     /**
-     * Reads the values of an answer's header.
+     * Parses the values of a {@code Retry-After} header.
      *
-     * @param values the values, as they came: seconds or dates
-     * @param now when the answer was sent, by the clock that its dates are of
-     * @return the longest time that can be read
+     * @param values the values of the header as received: seconds or HTTP dates
+     * @param now the time at which the response was sent, by the clock of the dates
+     * @return the longest valid back-off
      */
     public static AnnouncedBackOff parse(List<String> values, Instant now) {
         OptionalLong longest = OptionalLong.empty();
         for (String value : values) {
-            OptionalLong millis = seconds(value);
+            OptionalLong millis = parseSeconds(value);
             if (millis.isEmpty()) {
-                millis = date(value, now);
+                millis = parseDate(value, now);
             }
             if (millis.isPresent()) {
                 longest = OptionalLong.of(Math.max(longest.orElse(0), millis.getAsLong()));
@@ -66,29 +65,21 @@
     }
 
     /**
-     * Reads a date of HTTP.
-     *
-     * @param value the value
-     * @param now when the answer was sent
-     * @return how long until then, milliseconds; 0 for one that is past; empty where it is no date
+     * Returns the milliseconds until an HTTP date, 0 if it is past, or empty if the value is not a
+     * date.
      */
-    private static OptionalLong date(String value, Instant now) {
+    private static OptionalLong parseDate(String value, Instant now) {
         return HeaderValues.date(value).stream()
-                .mapToLong(then -> Math.max(0, Duration.between(now, then).toMillis()))
+                .mapToLong(date -> Math.max(0, Duration.between(now, date).toMillis()))
                 .findFirst();
     }
 
-    /**
-     * Reads seconds.
-     *
-     * @param value the value, which may be a list
-     * @return the longest of them, milliseconds; empty where none can be read
-     */
-    private static OptionalLong seconds(String value) {
+    /** Returns the longest of a list of seconds in milliseconds, or empty if none is valid. */
+    private static OptionalLong parseSeconds(String value) {
         return HeaderValues.parts(List.of(value)).stream()
                 .map(HeaderValues::decimal)
                 .filter(decimal -> decimal.isPresent())
-                .mapToLong(decimal -> Math.round(decimal.getAsDouble() * MILLIS))
+                .mapToLong(decimal -> Math.round(decimal.getAsDouble() * MILLIS_PER_SECOND))
                 .max();
     }
 }
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/notice/AnnouncedRate.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/notice/AnnouncedRate.java
@@ -4,42 +4,42 @@
 import java.util.OptionalDouble;
 
 /**
- * What one answer of an upstream announces of the requests a second that it takes from all routers
- * together. Immutable and thread safe.
+ * The rate of requests that an upstream accepts from all routers together, as announced by one of
+ * its responses. Immutable and thread safe.
  *
- * @param state whether the answer names a rate
- * @param perSecond the rate, requests a second; 0 where none is named
+ * @param state whether the response announces a rate
+ * @param perSecond the requests per second; 0 if none are announced
  */
 public record AnnouncedRate(NoticeState state, double perSecond) {
 
-    /** An answer that names no rate. */
+    /** No rate. */
     public static final AnnouncedRate NONE = new AnnouncedRate(NoticeState.NONE, 0);
 
-    /** An answer whose rate cannot be read. */
+    /** A rate with an invalid value. */
     public static final AnnouncedRate UNREADABLE = new AnnouncedRate(NoticeState.UNREADABLE, 0);
 
-    /** Checks the rate. */
+    /** Validates the rate. */
     public AnnouncedRate {
         if (!(perSecond >= 0) || Double.isInfinite(perSecond)) {
-            throw new IllegalArgumentException("rate is not a finite number from 0: " + perSecond);
+            throw new IllegalArgumentException(
+                    "rate must be finite and not negative: " + perSecond);
         }
     }
 
     /**
-     * Returns an answer that names a rate.
+     * Creates an announced rate.
      *
-     * @param perSecond requests a second, finite and not negative
-     * @return the announcement
+     * @param perSecond the requests per second, finite and not negative
      */
     public static AnnouncedRate of(double perSecond) {
         return new AnnouncedRate(NoticeState.ANNOUNCED, perSecond);
     }
 
     /**
-     * Reads the values of an answer's header.
+     * Parses the values of a rate header.
      *
-     * @param values the values, as they came
-     * @return the lowest rate that can be read
+     * @param values the values of the header as received
+     * @return the lowest valid rate
      */
     public static AnnouncedRate parse(List<String> values) {
         AnnouncedRate lowest = values.isEmpty() ? NONE : UNREADABLE;
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/notice/HeaderValues.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/notice/HeaderValues.java
@@ -9,24 +9,17 @@
 import java.util.OptionalDouble;
 import java.util.regex.Pattern;
 
-/** Reads values of HTTP headers. Stateless and thread safe. */
+/** Parses values of HTTP headers. Stateless and thread safe. */
 public final class HeaderValues {
 
-    /** A decimal number that is not negative, of a bounded length. */
+    /** A non-negative decimal number of bounded length. */
     private static final Pattern DECIMAL = Pattern.compile("[0-9]{1,12}(\\.[0-9]{1,12})?");
 
-    /** What separates several values in one header. */
     private static final String SEPARATOR = ",";
 
-    /** Not to be instantiated. */
     private HeaderValues() {}
 
-    /**
-     * Returns the parts of values that are lists.
-     *
-     * @param values the values, as they came
-     * @return their parts, without space around them
-     */
+    /** Splits list-valued headers into their stripped elements. */
     static List<String> parts(List<String> values) {
         return values.stream()
                 .flatMap(value -> Arrays.stream(value.split(SEPARATOR, -1)))
@@ -34,12 +27,7 @@
                 .toList();
     }
 
-    /**
-     * Reads a decimal number.
-     *
-     * @param part a part of a value
-     * @return the number, finite and not negative; empty where the part is none
-     */
+    /** Parses a finite, non-negative decimal number; empty if the value is invalid. */
     static OptionalDouble decimal(String part) {
         return DECIMAL.matcher(part).matches()
                 ? OptionalDouble.of(Double.parseDouble(part))
@@ -47,10 +35,9 @@
     }
 
     /**
-     * Reads a date.
+     * Parses an HTTP date.
      *
-     * @param value the value
-     * @return the time; empty where the value is no date
+     * @return the time; empty if the value is not a valid date
      */
     public static Optional<Instant> date(String value) {
         try {
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/notice/UpstreamNotice.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/notice/UpstreamNotice.java
@@ -1,17 +1,17 @@
 package org.troutpier.daemon.notice;
 
 /**
- * All that one answer announces of its upstream. An adapter makes it of every answer, whatever the
- * call was for and however it ended; an answer that is not the upstream's own announces nothing.
- * Immutable and thread safe.
+ * All notices that one response contains about its upstream. An adapter creates one for every
+ * response, whatever the call and its outcome; a response that does not originate from the upstream
+ * itself contains none. Immutable and thread safe.
  *
- * @param rate the requests a second that it takes from all routers together
- * @param backOff for how long it wants no call from this router
- * @param leaving whether its start is about to end
+ * @param rate the rate of requests that the upstream accepts from all routers together
+ * @param backOff the back-off that the upstream requests from this router
+ * @param leaving whether this incarnation of the upstream is about to end
  */
 public record UpstreamNotice(AnnouncedRate rate, AnnouncedBackOff backOff, NoticeState leaving) {
 
-    /** An answer that announces nothing. */
+    /** No notices. */
     public static final UpstreamNotice NONE =
             new UpstreamNotice(AnnouncedRate.NONE, AnnouncedBackOff.NONE, NoticeState.NONE);
 }
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/notice/package-info.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/notice/package-info.java
@@ -1,2 +1,2 @@
-/** What upstreams announce of themselves in their answers, beside the answers themselves. */
+/** Notices about an upstream's state that its responses carry in their headers. */
 package org.troutpier.daemon.notice;
--- a/troutpier-daemon/src/test/java/org/troutpier/daemon/notice/AnnouncedBackOffTest.java
+++ b/troutpier-daemon/src/test/java/org/troutpier/daemon/notice/AnnouncedBackOffTest.java
@@ -8,7 +8,7 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** How the back-off is read that an answer asks for. */
+/** Tests the parsing of back-offs. */
 public final class AnnouncedBackOffTest {
 
     private static final Instant NOW = Instant.parse("2031-05-06T07:08:09Z");
@@ -46,12 +46,12 @@
     }
 
     @Test(dataProvider = "backOffs")
-    public void secondsAndDatesAreReadAndTheLongestOfSeveralHolds(long millis, String... values) {
+    public void theLongestOfSeveralSecondsAndDatesApplies(long millis, String... values) {
         assertEquals(parse(values), AnnouncedBackOff.of(millis));
     }
 
     @Test(dataProvider = "none")
-    public void noTimeAndATimeThatIsPastAskForNothing(String value) {
+    public void zeroAndPastDatesRequestNoBackOff(String value) {
         assertEquals(parse(value), AnnouncedBackOff.NONE);
     }
 
@@ -61,12 +61,12 @@
     }
 
     @Test
-    public void anAnswerWithoutTheHeaderAsksForNothing() {
+    public void aResponseWithoutTheHeaderRequestsNoBackOff() {
         assertEquals(parse(), AnnouncedBackOff.NONE);
     }
 
     @Test
-    public void aNegativeTimeIsNone() {
+    public void aNegativeBackOffIsRejected() {
         assertThrows(IllegalArgumentException.class, () -> AnnouncedBackOff.of(-1));
     }
 }
--- a/troutpier-daemon/src/test/java/org/troutpier/daemon/notice/AnnouncedRateTest.java
+++ b/troutpier-daemon/src/test/java/org/troutpier/daemon/notice/AnnouncedRateTest.java
@@ -8,7 +8,7 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** How the rate is read that an answer names. */
+/** Tests the parsing of announced rates. */
 public final class AnnouncedRateTest {
 
     @DataProvider
@@ -52,22 +52,22 @@
     }
 
     @Test(dataProvider = "rates")
-    public void aDecimalNumberIsARateAndTheLowestOfSeveralHolds(double rate, String... values) {
+    public void theLowestOfSeveralDecimalNumbersApplies(double rate, String... values) {
         assertEquals(parse(values), AnnouncedRate.of(rate));
     }
 
     @Test(dataProvider = "unreadable")
-    public void anythingElseIsNoRateAndNoAbsenceOfOne(String value) {
+    public void anythingElseIsUnreadable(String value) {
         assertEquals(parse(value), AnnouncedRate.UNREADABLE);
     }
 
     @Test
-    public void anAnswerWithoutTheHeaderNamesNone() {
+    public void aResponseWithoutTheHeaderAnnouncesNoRate() {
         assertEquals(AnnouncedRate.parse(List.of()), AnnouncedRate.NONE);
     }
 
     @Test
-    public void aRateIsAFiniteNumber() {
+    public void negativeAndInfiniteRatesAreRejected() {
         assertThrows(IllegalArgumentException.class, () -> AnnouncedRate.of(-1));
         assertThrows(IllegalArgumentException.class, () -> AnnouncedRate.of(Double.NaN));
         assertThrows(
--- a/troutpier-daemon/src/test/java/org/troutpier/daemon/notice/NoticeStateTest.java
+++ b/troutpier-daemon/src/test/java/org/troutpier/daemon/notice/NoticeStateTest.java
@@ -7,7 +7,7 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** How a header is read that says its word by its presence. */
+/** Tests the parsing of boolean headers. */
 public final class NoticeStateTest {
 
     @DataProvider
@@ -30,12 +30,12 @@
     }
 
     @Test(dataProvider = "values")
-    public void oneValueThatSaysTheWordIsEnough(NoticeState said, String... values) {
-        assertEquals(NoticeState.parseFlag(Arrays.asList(values)), said);
+    public void anyTrueValueIsAnAnnouncement(NoticeState expected, String... values) {
+        assertEquals(NoticeState.parseFlag(Arrays.asList(values)), expected);
     }
 
     @Test
-    public void aMissingHeaderDoesNotSayIt() {
+    public void aMissingHeaderIsNoAnnouncement() {
         assertEquals(NoticeState.parseFlag(List.of()), NoticeState.NONE);
     }
 }
