--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/organisation/KeyTrust.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/organisation/KeyTrust.java
@@ -3,24 +3,24 @@
 import java.util.function.LongSupplier;
 
 /**
- * Whether keys count, by when this router last knew that its configuration is the newest. Thread
- * safe. Invariant: the clock counts a suspension, so a machine that slept does not trust old keys.
+ * Decides whether keys are accepted, by the time at which this router's configuration was last
+ * confirmed to be the latest. Thread safe. Invariant: the clock includes time in suspension, so a
+ * machine that resumes does not accept outdated keys.
  */
 public final class KeyTrust {
 
-    /** What a router does with keys that nothing has confirmed lately. */
     private final KeySettings mSettings;
 
     /** The monotonic clock, milliseconds. */
     private final LongSupplier mMillis;
 
-    /** When the configuration was last known to be the newest, milliseconds. */
+    /** The time of the last confirmation, milliseconds. */
     private volatile long mConfirmedAt;
 
     /**
-     * Creates a trust that begins now.
+     * Creates an instance whose configuration counts as confirmed now.
      *
-     * @param settings what a router does with keys that nothing has confirmed lately
+     * @param settings the settings for unconfirmed keys
      * @param millis the monotonic clock, milliseconds
      */
     public KeyTrust(KeySettings settings, LongSupplier millis) {
@@ -29,16 +29,12 @@
         mConfirmedAt = millis.getAsLong();
     }
 
-    /** Takes note that the configuration is the newest. */
+    /** Records that the configuration was confirmed to be the latest. */
     public void recordConfirmation() {
         mConfirmedAt = mMillis.getAsLong();
     }
 
-    /**
-     * Returns whether requests are admitted by their keys.
-     *
-     * @return whether the keys were confirmed lately, or count without that
-     */
+    /** Returns whether keys are accepted, confirmed or not. */
     public boolean acceptsKeys() {
         return !mSettings.refuseUnconfirmed()
                 || mMillis.getAsLong() - mConfirmedAt <= mSettings.confirmedMillis();
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/organisation/OrganisationLimiter.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/organisation/OrganisationLimiter.java
@@ -25,90 +25,88 @@
 import org.troutpier.daemon.route.UsageLimit;
 
 /**
- * Keeps organisations to their limits over all routers: each counts what it admits and reports it
- * with its load, and admits what the sum leaves room for. Confined to the traffic loop. Invariant:
- * what this router admits stays, with what it heard of the others, under the {@link LimitShare}.
+ * Enforces the usage limits of organisations over all routers. Each router reports the usage that
+ * it admits with its load, and admits what the sum leaves headroom for. Not thread safe; confined
+ * to the traffic loop. Invariant: the usage admitted here stays, together with the reported usage
+ * of the other routers, within the {@link LimitShare}.
  *
- * <p>It answers limits that hold a few requests for each router in a window: a fixed part of such a
- * limit is less than one request, and rejects nearly all that the whole would admit.
+ * <p>A limit may amount to few requests per router and window. If each router had a fixed share of
+ * such a limit, that share would be less than one request, and nearly all requests that the whole
+ * limit allows would be rejected.
  */
 public final class OrganisationLimiter {
 
-    /** Where operators list the organisations. */
+    /** The HTTP path of the list of organisations for operators. */
     public static final String PATH = "/organisations";
 
-    /** How soon a caller beyond a limit is told to come back at the earliest, milliseconds. */
-    private static final long LEAST_RETURN_MILLIS = 250;
+    /** Minimum retry delay after a rejection, milliseconds. */
+    private static final long MIN_RETRY_MILLIS = 250;
 
     /**
-     * How many bursts are not admitted soon after a start: that of the limit, and what may have
-     * been admitted beyond it before while views of the others were stale.
+     * Number of bursts that are withheld soon after a start: the burst of the limit, and the amount
+     * that may have been admitted beyond it before the start while views of the other routers were
+     * stale.
      */
-    private static final double FORGOTTEN_BURSTS = 1.25;
+    private static final double WITHHELD_BURSTS = 1.25;
 
     /**
-     * Which part of the window's end admits the burst again after a start: the last quarter, when
-     * most of what was used before has left the window.
+     * Number of parts of the window, in the last of which the burst becomes available again after a
+     * start. In the last quarter, most of the earlier usage has left the window.
      */
-    private static final double BURST_PARTS = 4;
+    private static final double BURST_WINDOW_PARTS = 4;
 
-    /** How often at most a line tells that an organisation is refused, milliseconds. */
-    private static final long LINE_MILLIS = 10_000;
+    /** Minimum interval between two log lines about rejections of an organisation, milliseconds. */
+    private static final long LOG_INTERVAL_MILLIS = 10_000;
 
-    /** What the names of an organisation's figures begin with. */
-    private static final String FIGURES = "organisation.";
+    /** Prefix of the metric names of organisations. */
+    private static final String METRIC_PREFIX = "organisation.";
 
-    /** Logs refusals and changed limits. */
     private static final Logger LOGGER = LogManager.getLogger(OrganisationLimiter.class);
 
-    /** How strictly limits are kept. */
     private final UsageSettings mSettings;
 
     /** The monotonic clock, milliseconds. */
     private final LongSupplier mMillis;
 
-    /** Draws whether a request is admitted that fits only in part. */
+    /** The source of randomness for requests that fit only partly. */
     private final RandomGenerator mRandom;
 
-    /** What the other routers used. */
-    private final PeerUsage mOthers;
+    private final PeerUsage mPeers;
 
-    /** Tells how many routers there may be. */
-    private final IntSupplier mKnown;
+    /** The number of routers that may exist, this one included. */
+    private final IntSupplier mKnownRouters;
 
-    /** Counts by organisation. */
     private final MetricRegistry mMetrics;
 
-    /** When this router began to count, milliseconds. */
+    /** When this router started to record usage, milliseconds. */
     private final long mStartedAt;
 
-    /** The accounts of the organisations in force. */
     private final Map<PartnerId, Account> mAccounts = new HashMap<>();
 
-    /** The version that the accounts are of. */
+    /** The configuration version that the accounts correspond to. */
     private long mVersion = -1;
 
-    /** Whether fewer than all routers are heard, as it was reported last. */
-    private boolean mPartToldOf;
+    /** Whether some routers were unreachable when this was last logged. */
+    private boolean mLoggedPartial;
 
     /**
-     * Why a request is not admitted. Immutable and thread safe.
+     * The reason why a request is rejected. Immutable and thread safe.
      *
-     * @param detail what it was decided by
-     * @param returnMillis when there will be room, milliseconds from now
+     * @param detail the usage and the limit on which the decision was based
+     * @param returnMillis the time until headroom is expected, milliseconds
      */
     public record Refusal(String detail, long returnMillis) {}
 
     /**
-     * What is known of one organisation, as operators see it. Immutable and thread safe.
+     * The status of an organisation as shown to operators. Immutable and thread safe.
      *
-     * @param organisation its name
-     * @param unit what its use is counted in
-     * @param limit what it may use in a window over all routers; 0 for no limit
-     * @param most what the routers that hear each other admit of that now
-     * @param here what it used here in the window
-     * @param elsewhere what it used at the others
-     * @param refused how many requests were refused here since the start
+     * @param organisation the name of the organisation
+     * @param unit the unit of its usage
+     * @param limit the limit per window over all routers; 0 for no limit
+     * @param most the part of the limit that the connected routers admit now
+     * @param here the usage in the window at this router
+     * @param elsewhere the usage in the window at the other routers
+     * @param refused the number of requests rejected by this router since its start
      * @param keys the fingerprints of its keys
      */
     public record Status(
@@ -121,30 +119,21 @@
             long refused,
             List<String> keys) {}
 
-    /** One organisation's use at this router, and its limit over time. */
+    /** The usage of an organisation at this router and its current limit. */
     private static final class Account {
 
-        /** What it used and asked here. */
         private final UsageMeter mMeter;
 
-        /** What it may use in a window. */
         private final GradualLimit mLimit;
 
-        /** The organisation as the version in force has it. */
+        /** The organisation in the configuration version in force. */
         private Organisation mOrganisation;
 
-        /** How many requests were refused. */
-        private long mRefused;
+        private long mRejected;
 
-        /** Keeps lines of refusals apart. */
-        private final LinePause mLines = new LinePause(LINE_MILLIS);
+        /** Limits the rate of log lines about rejections. */
+        private final LinePause mLogPause = new LinePause(LOG_INTERVAL_MILLIS);
 
-        /**
-         * Creates an account.
-         *
-         * @param limit what the organisation may use in a window
-         * @param windowMillis how long the window is, milliseconds
-         */
         Account(double limit, long windowMillis) {
             mMeter = new UsageMeter(windowMillis);
             mLimit = new GradualLimit(limit, windowMillis);
@@ -152,14 +141,13 @@
     }
 
     /**
-     * Creates a count that begins now.
+     * Creates a limiter without recorded usage.
      *
-     * @param settings how strictly limits are kept
      * @param millis the monotonic clock, milliseconds
-     * @param random draws whether a request is admitted that fits only in part
-     * @param others what the other routers used
-     * @param known tells how many routers there may be, this one included
-     * @param metrics counts by organisation
+     * @param random the source of randomness for requests that fit only partly
+     * @param others the usage reported by the other routers
+     * @param known the number of routers that may exist, this one included
+     * @param metrics the registry of the counters by organisation
      */
     public OrganisationLimiter(
             UsageSettings settings,
@@ -171,17 +159,13 @@
         mSettings = settings;
         mMillis = millis;
         mRandom = random;
-        mOthers = others;
-        mKnown = known;
+        mPeers = others;
+        mKnownRouters = known;
         mMetrics = metrics;
         mStartedAt = millis.getAsLong();
     }
 
-    /**
-     * Takes the organisations of a version, unless it is the one that counts already.
-     *
-     * @param configuration the version in force
-     */
+    /** Applies the organisations of a configuration version unless they are already in effect. */
     public void applyConfiguration(RoutingConfiguration configuration) {
         if (configuration.version() == mVersion) {
             return;
@@ -189,28 +173,23 @@
         mVersion = configuration.version();
         Map<PartnerId, Organisation> organisations = configuration.organisations();
         if (mAccounts.keySet().retainAll(organisations.keySet())) {
-            mMetrics.removeMatching((name, metric) -> name.startsWith(FIGURES) && !counted(name));
+            mMetrics.removeMatching(
+                    (name, metric) -> name.startsWith(METRIC_PREFIX) && !isConfigured(name));
         }
         organisations.values().forEach(this::applyConfiguration);
     }
 
-    /**
-     * Returns whether a figure belongs to an organisation in force.
-     *
-     * @param name the figure's name
-     * @return whether it does
-     */
-    private boolean counted(String name) {
-        String id = name.substring(FIGURES.length(), name.lastIndexOf('.'));
+    /** Returns whether a metric belongs to an organisation of the version in force. */
+    private boolean isConfigured(String name) {
+        String id = name.substring(METRIC_PREFIX.length(), name.lastIndexOf('.'));
         return mAccounts.containsKey(new PartnerId(id));
     }
 
     /**
-     * Takes one organisation of a version. Of a lowered limit the difference is taken away over a
-     * window: use that the limit before allowed would else refuse all that the new one allows. In
-     * that time there is no burst, so that what is used from now on keeps to the new one.
-     *
-     * @param organisation the organisation
+     * Applies one organisation of a version. A lowered limit takes effect gradually over one
+     * window, since usage allowed under the previous limit would otherwise cause the rejection of
+     * everything that the new one allows. There is no burst in that time, so new usage complies
+     * with the new limit.
      */
     private void applyConfiguration(Organisation organisation) {
         long now = mMillis.getAsLong();
@@ -231,12 +210,11 @@
     }
 
     /**
-     * Admits a request and counts it, or rejects it. An organisation without a limit is counted
-     * too, so that operators see what it uses.
+     * Admits and records a request, or rejects it. The usage of an organisation without a limit is
+     * recorded too, so that operators can see it.
      *
-     * @param organisation whose request it is
-     * @param cost what it uses, in the limit's unit
-     * @return why it is rejected, or empty where it is admitted
+     * @param cost the usage of the request, in the unit of the limit
+     * @return the reason for a rejection; empty if the request is admitted
      */
     public Optional<Refusal> admit(Organisation organisation, double cost) {
         Account account = mAccounts.get(organisation.id());
@@ -246,9 +224,9 @@
         long now = mMillis.getAsLong();
         account.mMeter.recordRequested(cost, now);
         if (organisation.limit().isLimited()) {
-            LimitHeadroom room = room(account, now);
-            if (!room.admits(cost, mRandom)) {
-                return Optional.of(refuse(account, cost, room, now));
+            LimitHeadroom headroom = headroom(account, now);
+            if (!headroom.admits(cost, mRandom)) {
+                return Optional.of(reject(account, cost, headroom, now));
             }
         }
         account.mMeter.recordUsed(cost, now);
@@ -256,81 +234,60 @@
         return Optional.empty();
     }
 
-    /**
-     * Looks how much more an organisation may use.
-     *
-     * @param account its account
-     * @param now the monotonic clock, milliseconds
-     * @return the room
-     */
-    private LimitHeadroom room(Account account, long now) {
+    private LimitHeadroom headroom(Account account, long now) {
         double limit = account.mLimit.current(now);
         UsageLimit inForce = account.mOrganisation.limit();
         double burst = limit > account.mLimit.target() ? inForce.burst() : 0;
-        double paced = inForce.allowance(mSettings.paceSeconds()) - burst;
+        double allowedPaced = inForce.allowance(mSettings.paceSeconds()) - burst;
         return new LimitHeadroom(
                 account.mMeter.recent(now),
                 elsewhere(account.mOrganisation.id()),
-                share(limit, forgottenUse(account, limit, now)).allowed(),
-                share(paced, 0).allowed(),
+                share(limit, assumedUsage(account, limit, now)).allowed(),
+                share(allowedPaced, 0).allowed(),
                 mSettings.windowMillis() * UsageSettings.PACE_FRACTION);
     }
 
     /**
-     * Returns what is taken to have been used in the window that nobody remembers: so much that
-     * what is left is the rate since the start, without the burst. A caller that uses less than its
-     * rate is served on, and what a flood used before leaves the window as fast as the rate lets
-     * in.
-     *
-     * @param account the organisation's account
-     * @param limit what it may use in a window
-     * @param now the monotonic clock, milliseconds
-     * @return use in the limit's unit
+     * Returns the usage in the window that is assumed because no router has a record of it, in the
+     * unit of the limit. It is such that the rate since the start is available, without the burst:
+     * callers below their rate continue to be served, and the usage of an earlier flood leaves the
+     * window at the rate at which requests are admitted.
      */
-    private double forgottenUse(Account account, double limit, long now) {
-        double routers = mOthers.organisations().forgotten() + forgotten(now);
-        double part = Math.min(1, routers / known());
+    private double assumedUsage(Account account, double limit, long now) {
+        double routers = mPeers.organisations().forgotten() + forgotten(now);
+        double fraction = Math.min(1, routers / known());
         double burst = account.mOrganisation.limit().burst();
-        double held = burst * FORGOTTEN_BURSTS * Math.min(1, part * BURST_PARTS);
-        return (limit - burst) * part + held;
+        double held = burst * WITHHELD_BURSTS * Math.min(1, fraction * BURST_WINDOW_PARTS);
+        return (limit - burst) * fraction + held;
     }
 
-    /**
-     * Refuses a request.
-     *
-     * @param account its organisation's account
-     * @param cost what it would use
-     * @param room what may be used
-     * @param now the monotonic clock, milliseconds
-     * @return the refusal
-     */
-    private Refusal refuse(Account account, double cost, LimitHeadroom room, long now) {
+    private Refusal reject(Account account, double cost, LimitHeadroom headroom, long now) {
         PartnerId id = account.mOrganisation.id();
-        account.mRefused++;
+        account.mRejected++;
         count(id, "refused", 1);
         String detail =
                 "%s used %d here and %d elsewhere of %d in %d ms"
                         .formatted(
                                 id,
-                                room.local().window(),
-                                room.remote().window(),
-                                (long) room.allowed(),
+                                headroom.local().window(),
+                                headroom.remote().window(),
+                                (long) headroom.allowed(),
                                 mSettings.windowMillis());
-        if (account.mLines.over(now)) {
+        if (account.mLogPause.over(now)) {
             LOGGER.info("organisation beyond its limit: {}", detail);
         }
-        double beyond = cost - room.remaining();
+        double excess = cost - headroom.remaining();
         double freedPerMilli = Math.max(1, account.mLimit.target()) / mSettings.windowMillis();
-        long wait = Math.round(beyond / freedPerMilli);
-        long returnMillis = Math.max(LEAST_RETURN_MILLIS, Math.min(mSettings.windowMillis(), wait));
+        long waitMillis = Math.round(excess / freedPerMilli);
+        long returnMillis =
+                Math.max(MIN_RETRY_MILLIS, Math.min(mSettings.windowMillis(), waitMillis));
         return new Refusal(detail, returnMillis);
     }
 
     /**
-     * Gives back what a request used that certainly did not run.
+     * Refunds the usage of a request that certainly did not run.
      *
-     * @param organisation whose request it was
-     * @param cost what it used
+     * @param cost the usage recorded for the request, in the unit of the limit
      * @param at when it was admitted, milliseconds
      */
     public void refund(Organisation organisation, double cost, long at) {
@@ -341,68 +298,42 @@
         }
     }
 
-    /**
-     * Counts for an organisation.
-     *
-     * @param organisation the organisation
-     * @param what what is counted
-     * @param more how much
-     */
     private void count(PartnerId organisation, String what, long more) {
-        mMetrics.counter(FIGURES + organisation + "." + what).inc(more);
+        mMetrics.counter(METRIC_PREFIX + organisation + "." + what).inc(more);
     }
 
     /**
-     * Returns how much of a limit the routers that hear each other may use.
-     *
-     * @param limit the limit
-     * @param assumed what is taken to have been used that nobody remembers
-     * @return the share
+     * Returns the part of a limit that the connected routers may use, and logs when routers become
+     * unreachable or all are reachable again.
      */
     private LimitShare share(double limit, double assumed) {
-        int heard = mOthers.peerCount() + 1;
+        int reachable = mPeers.peerCount() + 1;
         int known = known();
-        boolean part = heard < known;
-        if (part != mPartToldOf) {
-            mPartToldOf = part;
-            LOGGER.info("limits are kept with part={} heard={} known={}", part, heard, known);
+        boolean partial = reachable < known;
+        if (partial != mLoggedPartial) {
+            mLoggedPartial = partial;
+            LOGGER.info(
+                    "limits are kept with part={} heard={} known={}", partial, reachable, known);
         }
-        return new LimitShare(limit, mSettings.tolerance(limit), heard, known, assumed);
+        return new LimitShare(limit, mSettings.tolerance(limit), reachable, known, assumed);
     }
 
-    /**
-     * Returns how many routers there may be.
-     *
-     * @return the count, this one included
-     */
+    /** Returns the number of routers that may exist, at least those that are reachable. */
     private int known() {
-        return Math.max(mOthers.peerCount() + 1, mKnown.getAsInt());
+        return Math.max(mPeers.peerCount() + 1, mKnownRouters.getAsInt());
     }
 
-    /**
-     * Returns what an organisation used at the others.
-     *
-     * @param organisation the organisation
-     * @return its use
-     */
     private RecentUsage elsewhere(PartnerId organisation) {
-        return mOthers.organisations().used().getOrDefault(organisation, RecentUsage.NONE);
+        return mPeers.organisations().used().getOrDefault(organisation, RecentUsage.NONE);
     }
 
-    /**
-     * Returns which part of the window lies before this router's start.
-     *
-     * @param now the monotonic clock, milliseconds
-     * @return the part, 0 to 1
-     */
+    /** Returns the fraction of the window that lies before the start of this router, 0 to 1. */
     private double forgotten(long now) {
         return Math.max(0, 1 - (now - mStartedAt) / (double) mSettings.windowMillis());
     }
 
     /**
-     * Returns what is to be reported to the others.
-     *
-     * @return what each organisation with a limit used here
+     * Returns the usage here of organisations with a limit, to be reported to the other routers.
      */
     public UsageReport report() {
         long now = mMillis.getAsLong();
@@ -421,38 +352,27 @@
         return new UsageReport(forgotten(now), used);
     }
 
-    /**
-     * Returns what is known of each organisation.
-     *
-     * @return the organisations by name
-     */
+    /** Returns the status of each organisation, sorted by name. */
     public List<Status> statuses() {
         long now = mMillis.getAsLong();
         return mAccounts.values().stream()
-                .map(account -> standing(account, now))
+                .map(account -> status(account, now))
                 .sorted((one, other) -> one.organisation().compareTo(other.organisation()))
                 .toList();
     }
 
-    /**
-     * Returns what is known of one organisation.
-     *
-     * @param account its account
-     * @param now the monotonic clock, milliseconds
-     * @return what operators see
-     */
-    private Status standing(Account account, long now) {
+    private Status status(Account account, long now) {
         UsageLimit limit = account.mOrganisation.limit();
         boolean bounded = limit.isLimited();
-        LimitHeadroom room = room(account, now);
+        LimitHeadroom headroom = headroom(account, now);
         return new Status(
                 account.mOrganisation.id().value(),
                 limit.unit().name().toLowerCase(Locale.ROOT),
                 bounded ? Math.round(account.mLimit.target()) : 0,
-                bounded ? Math.round(room.allowed()) : 0,
-                room.local().window(),
-                room.remote().window(),
-                account.mRefused,
+                bounded ? Math.round(headroom.allowed()) : 0,
+                headroom.local().window(),
+                headroom.remote().window(),
+                account.mRejected,
                 account.mOrganisation.keys().stream().map(KeyHash::fingerprint).sorted().toList());
     }
 }
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/organisation/PeerUsage.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/organisation/PeerUsage.java
@@ -1,19 +1,14 @@
 package org.troutpier.daemon.organisation;
 
-/** What the other routers reported of organisations' usage. Thread safe. */
+/** The usage of organisations as reported by the other routers. Thread safe. */
 public interface PeerUsage {
 
     /**
-     * Returns what the others used, and those that have fallen silent since.
-     *
-     * @return the sum, as it was known last
+     * Returns the combined usage last reported by the other routers, including routers that have
+     * stopped reporting since.
      */
     UsageReport organisations();
 
-    /**
-     * Returns how many others were heard of lately.
-     *
-     * @return the count
-     */
+    /** Returns the number of other routers with a recent report. */
     int peerCount();
 }
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/organisation/Requester.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/organisation/Requester.java
@@ -6,31 +6,25 @@
 import org.troutpier.daemon.route.Route;
 import org.troutpier.daemon.route.RoutingConfiguration;
 
-/** A caller as the configuration knows it. Immutable and thread safe. */
+/** The identity of a caller under the configuration in force. Immutable and thread safe. */
 public sealed interface Requester {
 
     /**
-     * Returns whether what a caller says of itself was looked at. Then neither its key nor any name
-     * that it gave itself goes on to an upstream.
+     * Returns whether the identity that a caller presents was checked. If so, neither its key nor a
+     * name that it claims is forwarded to an upstream.
      *
-     * @return whether the configuration has organisations
+     * @return whether the configuration contains organisations
      */
     boolean checked();
 
-    /**
-     * Returns in whose name the request is made.
-     *
-     * @return the organisation, if the request has one
-     */
+    /** Returns the organisation in whose name the request is made, if any. */
     Optional<Organisation> organisation();
 
     /**
-     * Authenticates the caller against the active configuration.
+     * Authenticates a caller against the configuration in force.
      *
-     * @param configuration the version
-     * @param route the request's route
-     * @param key the caller's key, if it sent one that can be read
-     * @return who asks, or empty where the key is missing or not known
+     * @param key the hash of the caller's key, if the request contains a valid one
+     * @return the identity, or empty if the key is missing or unknown
      */
     static Optional<Requester> authenticate(
             RoutingConfiguration configuration, Route route, Optional<KeyHash> key) {
@@ -43,7 +37,7 @@
         return key.flatMap(configuration::findOrganisation).map(Member::new);
     }
 
-    /** A caller of a configuration without organisations. */
+    /** A caller under a configuration without organisations. */
     record Unchecked() implements Requester {
 
         /** {@inheritDoc} */
@@ -59,7 +53,7 @@
         }
     }
 
-    /** A caller of a route that asks for no key. */
+    /** A caller of a route that requires no key. */
     record PublicCaller() implements Requester {
 
         /** {@inheritDoc} */
@@ -76,7 +70,7 @@
     }
 
     /**
-     * A caller with an organisation's key.
+     * A caller with the key of an organisation.
      *
      * @param member the organisation
      */
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/organisation/UsageReport.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/organisation/UsageReport.java
@@ -7,12 +7,12 @@
 import org.troutpier.daemon.limit.RecentUsage;
 
 /**
- * What organisations with a limit used lately at one or several routers. Immutable and thread safe.
- * It travels with each report of load, so its fields go without their names.
+ * The recent usage of limited organisations at one or several routers. Serialized as an array
+ * without field names, since every load report contains it. Immutable and thread safe.
  *
- * @param forgotten of how many routers nobody remembers what they used in the window, in routers
- *     times the part of the window
- * @param used what each organisation used lately
+ * @param forgotten the sum, over routers without a record of their usage before they started, of
+ *     the fraction of the window that lies before their start
+ * @param used the recent usage by organisation
  */
 @JsonFormat(shape = JsonFormat.Shape.ARRAY)
 public record UsageReport(double forgotten, Map<PartnerId, RecentUsage> used) {
@@ -25,40 +25,30 @@
         used = Map.copyOf(used);
     }
 
-    /**
-     * Returns the use of these and other routers together.
-     *
-     * @param others the others' reports
-     * @return a new report
-     */
+    /** Combines this report with those of other routers. */
     public UsageReport plus(Iterable<UsageReport> others) {
         double routers = forgotten;
         Map<PartnerId, RecentUsage> sum = new HashMap<>(used);
         for (UsageReport other : others) {
             routers += other.forgotten;
-            other.used.forEach((id, more) -> sum.merge(id, more, RecentUsage::plus));
+            other.used.forEach((id, usage) -> sum.merge(id, usage, RecentUsage::plus));
         }
         return new UsageReport(routers, sum);
     }
 
-    /**
-     * Returns the report of routers whose earlier use somebody remembers.
-     *
-     * @return the same use, with nothing forgotten
-     */
+    /** Returns this usage for routers whose earlier usage another router has a record of. */
     public UsageReport withFullHistory() {
         return new UsageReport(0, used);
     }
 
     /**
-     * Returns what still counts of the use of routers that use no more.
+     * Returns the part of this usage that still counts for routers without further usage.
      *
-     * @param passed how long ago that was, as a part of the window
-     * @return a new report
+     * @param passed the time that has passed as a fraction of the window
      */
     public UsageReport after(double passed) {
-        Map<PartnerId, RecentUsage> left = new HashMap<>();
-        used.forEach((organisation, use) -> left.put(organisation, use.after(passed)));
-        return new UsageReport(0, left);
+        Map<PartnerId, RecentUsage> remaining = new HashMap<>();
+        used.forEach((organisation, usage) -> remaining.put(organisation, usage.after(passed)));
+        return new UsageReport(0, remaining);
     }
 }
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/organisation/package-info.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/organisation/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Who asks, and how much each organisation may use over all routers: the check of keys, the count
- * of use, and the decision whether one more request is within a limit.
+ * Authentication of callers by their organisation's keys, and enforcement of each organisation's
+ * usage limit over all routers.
  */
 package org.troutpier.daemon.organisation;
