--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/AttemptEnds.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/AttemptEnds.java
@@ -3,18 +3,12 @@
 import org.troutpier.common.result.ResultCode;
 import org.troutpier.daemon.upstream.AttemptEnd;
 
-/** Tells what the head of an answer says of its attempt. Stateless and thread safe. */
+/** Maps the head of an answer to the end of its attempt. Stateless and thread safe. */
 final class AttemptEnds {
 
-    /** Not to be instantiated. */
     private AttemptEnds() {}
 
-    /**
-     * Tells how an attempt ended whose head is no success.
-     *
-     * @param head the head
-     * @return the end
-     */
+    /** Returns the end of an attempt whose head is not a success. */
     static AttemptEnd end(UpstreamPort.Head head) {
         String detail = "status " + head.status() + " " + head.verdict();
         return switch (head.verdict()) {
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/BackOffAwarePort.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/BackOffAwarePort.java
@@ -5,12 +5,12 @@
 import org.troutpier.daemon.directory.UpstreamEntry;
 
 /**
- * Speaks to upstreams through another port, and gives nothing back to those that have asked for a
- * back-off: places and prompts lapse by themselves. Other calls are admitted before they come here.
- * Confined to the traffic loop.
+ * Port that does not release reservations or discard prompts at upstreams in a back-off, where they
+ * expire by themselves. All other calls are delegated: they pass the admission before they come
+ * here. Confined to the traffic loop.
  *
- * @param port carries the calls out
- * @param backOffMillis returns for how long an upstream wants no call, milliseconds
+ * @param port the delegate
+ * @param backOffMillis returns the remaining back-off of an upstream, milliseconds
  */
 public record BackOffAwarePort(UpstreamPort port, ToLongFunction<UpstreamEntry> backOffMillis)
         implements UpstreamPort {
@@ -41,9 +41,9 @@
 
     /** {@inheritDoc} */
     @Override
-    public void release(UpstreamEntry upstream, Reservation place) {
+    public void release(UpstreamEntry upstream, Reservation reservation) {
         if (backOffMillis.applyAsLong(upstream) == 0) {
-            port.release(upstream, place);
+            port.release(upstream, reservation);
         }
     }
 
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/BackOffAwareRoleClient.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/BackOffAwareRoleClient.java
@@ -8,11 +8,10 @@
 import org.troutpier.daemon.role.EngineRoleClient;
 
 /**
- * Orders engines and asks for their reports, except those that have asked for a back-off. Thread
- * safe if both parts are.
+ * Client that sends no request to engines in a back-off. Thread safe if both components are.
  *
- * @param client forwards calls to the engines
- * @param backOffMillis returns for how long an engine wants no call, milliseconds
+ * @param client the delegate
+ * @param backOffMillis returns the remaining back-off of an engine, milliseconds
  */
 public record BackOffAwareRoleClient(
         EngineRoleClient client, ToLongFunction<UpstreamEntry> backOffMillis)
@@ -21,12 +20,12 @@
     /** {@inheritDoc} */
     @Override
     public CompletableFuture<EngineReport> report(UpstreamEntry engine) {
-        long left = backOffMillis.applyAsLong(engine);
-        if (left > 0) {
+        long remaining = backOffMillis.applyAsLong(engine);
+        if (remaining > 0) {
             return CompletableFuture.failedFuture(
                     new TroutpierException(
                             ResultCode.UPSTREAM_RATE,
-                            engine.id() + " asked for a back-off of " + left + " ms"));
+                            engine.id() + " asked for a back-off of " + remaining + " ms"));
         }
         return client.report(engine);
     }
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/CrashGuard.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/CrashGuard.java
@@ -17,77 +17,68 @@
 import org.troutpier.daemon.quarantine.RequestFingerprint;
 
 /**
- * Finds out which lost calls were lost because their upstream ended, holds those ends against what
- * was asked for, and keeps from upstreams what has ended several. Confined to the traffic loop.
- * Invariant: an end counts only where the upstream takes no connections any more and was not
- * leaving: a lost answer, a silence, a cut path and a planned end are nobody's guilt.
+ * Determines which lost calls were lost because their upstream crashed, records these crashes
+ * against the requests that the upstream was working on, and keeps requests from upstreams after
+ * several crashes. Confined to the traffic loop. Invariant: a crash counts only if the upstream no
+ * longer accepts connections and was not leaving; a lost answer, a silent upstream, a broken
+ * network path and a planned shutdown are not attributed to any request.
  */
 public final class CrashGuard {
 
     /**
-     * How long a request whose call was lost waits at most to hear whether its upstream ended,
-     * milliseconds. A machine that closed a connection answers in a few; on one with three times
-     * the work it can do, requests that waited 50 went on before the answer and ended a fourth
-     * upstream.
+     * Longest time for which a request whose call was lost waits for the result of the probe,
+     * milliseconds. A machine that closed a connection answers within a few; on one with three
+     * times the load that it can handle, requests that waited only 50 ms were retried before the
+     * answer and crashed a fourth upstream.
      */
-    static final long JUDGED_MILLIS = 300;
+    static final long ATTRIBUTION_TIMEOUT_MILLIS = 300;
 
     /**
-     * How long a request waits after its upstream is known to have ended, milliseconds: what other
-     * routers found in the same moment is heard by then, and a stream that goes on elsewhere has
-     * hundreds between two events.
+     * How long a request waits after the crash of its upstream is known, milliseconds. By then the
+     * crashes that other routers found at the same moment are known too. A stream has hundreds of
+     * milliseconds between two events, so one that is resumed elsewhere is not delayed noticeably.
      */
-    static final long SETTLED_MILLIS = 50;
+    static final long SETTLE_MILLIS = 50;
 
     /**
-     * How long an end is remembered, milliseconds: calls that were lost with it are told within
-     * some milliseconds, those into a slow link within seconds.
+     * How long a crash is remembered, milliseconds: calls lost with it are reported within
+     * milliseconds, those over a slow link within seconds.
      */
-    private static final long ENDED_MILLIS = 10_000;
+    private static final long CRASH_TTL_MILLIS = 10_000;
 
-    /** How many ends are remembered: many times what ends in that time. */
-    private static final int MOST_ENDED = 1000;
+    /** Maximum number of crashes remembered: many times what occurs in that time. */
+    private static final int MAX_RECENT_CRASHES = 1000;
 
-    /** Logs each end. */
     private static final Logger LOGGER = LogManager.getLogger(CrashGuard.class);
 
-    /** The clock. */
     private final TrafficLoop mLoop;
 
-    /** Asks upstreams whether they listen. */
+    /** Probes upstreams. */
     private final UpstreamPort mPort;
 
-    /** Tells which upstreams are leaving. */
+    /** Lists which upstreams are leaving or have restarted. */
     private final UpstreamDirectory mDirectory;
 
-    /** What is held against requests. */
+    /** The crashes recorded against requests. */
     private final Quarantine mQuarantine;
 
-    /** Counts upstreams that ended. */
-    private final Counter mEnds;
+    /** Counts crashed upstreams. */
+    private final Counter mCrashCount;
 
-    /** Counts lost calls whose upstream had not ended. */
-    private final Counter mAlive;
+    /** Counts lost calls whose upstream had not crashed. */
+    private final Counter mAliveCount;
 
-    /** Counts requests that were not run. */
-    private final Counter mWithheld;
+    /** Counts requests that were not run because they are quarantined. */
+    private final Counter mWithheldCount;
 
-    /** The upstreams that are being asked. */
-    private final Map<UpstreamIncarnation, Check> mChecks = new HashMap<>();
+    /** Upstreams with a probe in flight. */
+    private final Map<UpstreamIncarnation, Probe> mProbes = new HashMap<>();
 
-    /** The upstreams that have ended. */
-    private final AgingMap<UpstreamIncarnation, Boolean> mEndedStarts =
-            new AgingMap<>(MOST_ENDED, ENDED_MILLIS);
+    /** Upstreams that crashed recently. */
+    private final AgingMap<UpstreamIncarnation, Boolean> mRecentCrashes =
+            new AgingMap<>(MAX_RECENT_CRASHES, CRASH_TTL_MILLIS);
 
-    /**
-     * Creates a guard.
-     *
-     * @param loop the clock
-     * @param port asks upstreams whether they listen
-     * @param directory tells which upstreams are leaving
-     * @param quarantine what is held against requests
-     * @param metrics counts
-     */
+    /** Creates a guard. */
     public CrashGuard(
             TrafficLoop loop,
             UpstreamPort port,
@@ -98,195 +89,165 @@
         mPort = port;
         mDirectory = directory;
         mQuarantine = quarantine;
-        mEnds = metrics.counter("upstreams.ended");
-        mAlive = metrics.counter("upstreams.lost-calls-alive");
-        mWithheld = metrics.counter("quarantine.withheld");
+        mCrashCount = metrics.counter("upstreams.ended");
+        mAliveCount = metrics.counter("upstreams.lost-calls-alive");
+        mWithheldCount = metrics.counter("quarantine.withheld");
     }
 
-    /**
-     * Returns what is held against requests.
-     *
-     * @return the quarantine
-     */
+    /** Returns the quarantine in which crashes are recorded. */
     public Quarantine quarantine() {
         return mQuarantine;
     }
 
     /**
-     * Returns whether a request must not be run. Asked before each call, since others may have told
-     * of it while the request waited.
-     *
-     * @param content what the request asks for
-     * @return whether it is in quarantine
+     * Returns whether a request must not be run. Checked before each call, since another router may
+     * have reported the request while it waited.
      */
-    boolean isQuarantined(LazyFingerprint content) {
-        boolean withheld = known(content) && mQuarantine.isQuarantined(content.get());
-        if (withheld) {
-            mWithheld.inc();
+    boolean isQuarantined(LazyFingerprint fingerprint) {
+        boolean quarantined =
+                mightBeKnown(fingerprint) && mQuarantine.isQuarantined(fingerprint.get());
+        if (quarantined) {
+            mWithheldCount.inc();
         }
-        return withheld;
+        return quarantined;
     }
 
     /**
-     * Returns whether something may be known of a request. Most are told apart without a hash of
-     * their bodies, and while nothing is known at all without any.
-     *
-     * @param content what the request asks for
-     * @return whether it may be
+     * Returns whether a crash may be recorded against a request. The body is hashed only for
+     * requests with a known coarse hash, and nothing is hashed while the quarantine is empty.
      */
-    private boolean known(LazyFingerprint content) {
-        return !mQuarantine.isEmpty() && mQuarantine.mightContain(content.coarseHash());
+    private boolean mightBeKnown(LazyFingerprint fingerprint) {
+        return !mQuarantine.isEmpty() && mQuarantine.mightContain(fingerprint.coarseHash());
     }
 
-    /**
-     * Records that a request ran whole.
-     *
-     * @param content what the request asks for
-     */
-    void recordCompletion(LazyFingerprint content) {
-        if (known(content)) {
-            mQuarantine.recordCompletion(content.get());
+    /** Records that a request was completed. */
+    void recordCompletion(LazyFingerprint fingerprint) {
+        if (mightBeKnown(fingerprint)) {
+            mQuarantine.recordCompletion(fingerprint.get());
         }
     }
 
     /**
-     * Records that an upstream worked on a request and the call was lost.
+     * Determines why a call to an upstream was lost.
      *
-     * @param upstream where it was
-     * @param request the request
-     * @param judged told once whether the upstream is known to have ended: as soon as it is known
-     *     to go on, {@link #SETTLED_MILLIS} after it is known to have ended, and after {@link
-     *     #JUDGED_MILLIS} at the latest where nothing is known
+     * @param listener called once with whether the upstream is known to have crashed: as soon as it
+     *     is known to be alive, {@link #SETTLE_MILLIS} after it is known to have crashed, or after
+     *     {@link #ATTRIBUTION_TIMEOUT_MILLIS} if nothing is known
      */
     void attributeLoss(
-            UpstreamEntry upstream, RequestFingerprint request, Consumer<Boolean> judged) {
-        UpstreamIncarnation start = upstream.incarnation();
-        if (mEndedStarts.contains(start, mLoop.millis())) {
-            mQuarantine.recordCrash(request, start);
-            new Loss(request, judged).ended();
-        } else if (mChecks.containsKey(start)) {
-            mChecks.get(start).mLate.add(new Loss(request, judged));
+            UpstreamEntry upstream, RequestFingerprint request, Consumer<Boolean> listener) {
+        UpstreamIncarnation incarnation = upstream.incarnation();
+        if (mRecentCrashes.contains(incarnation, mLoop.millis())) {
+            mQuarantine.recordCrash(request, incarnation);
+            new LostCall(request, listener).markCrashed();
+        } else if (mProbes.containsKey(incarnation)) {
+            mProbes.get(incarnation).mLostSinceSent.add(new LostCall(request, listener));
         } else if (mDirectory.usable(upstream).isPresent()) {
-            Check check = new Check(upstream);
-            check.mLost.add(new Loss(request, judged));
-            mChecks.put(start, check);
-            check.ask();
+            Probe probe = new Probe(upstream);
+            probe.mLost.add(new LostCall(request, listener));
+            mProbes.put(incarnation, probe);
+            probe.send();
         } else {
-            judged.accept(false);
+            listener.accept(false);
         }
     }
 
-    /** One call that was lost. Confined to the traffic loop. */
-    private final class Loss {
+    /** A call that was lost. Confined to the traffic loop. */
+    private final class LostCall {
 
-        /** The request. */
         private final RequestFingerprint mRequest;
 
-        /** Told whether the upstream ended. */
-        private final Consumer<Boolean> mJudged;
+        /** Called with whether the upstream crashed. */
+        private final Consumer<Boolean> mListener;
 
         /** Ends the wait. */
         private TrafficLoop.Timer mTimer;
 
-        /** Whether the upstream is known to have ended. */
-        private boolean mEnded;
+        /** Whether the upstream is known to have crashed. */
+        private boolean mUpstreamCrashed;
 
-        /** Whether it was told. */
-        private boolean mTold;
+        /** Whether the listener was called. */
+        private boolean mNotified;
 
-        /**
-         * Creates a loss.
-         *
-         * @param request the request
-         * @param judged told whether the upstream ended
-         */
-        Loss(RequestFingerprint request, Consumer<Boolean> judged) {
+        LostCall(RequestFingerprint request, Consumer<Boolean> listener) {
             mRequest = request;
-            mJudged = judged;
-            mTimer = mLoop.schedule(this::tell, JUDGED_MILLIS);
+            mListener = listener;
+            mTimer = mLoop.schedule(this::notifyListener, ATTRIBUTION_TIMEOUT_MILLIS);
         }
 
-        /** Takes note that the upstream has ended, which is told a little later. */
-        void ended() {
-            mEnded = true;
+        /**
+         * Records that the upstream crashed, and notifies the listener after {@link
+         * #SETTLE_MILLIS}.
+         */
+        void markCrashed() {
+            mUpstreamCrashed = true;
             mTimer.cancel();
-            mTimer = mLoop.schedule(this::tell, SETTLED_MILLIS);
+            mTimer = mLoop.schedule(this::notifyListener, SETTLE_MILLIS);
         }
 
-        /** Tells what is known, the first time. */
-        void tell() {
+        /** Notifies the listener, unless it was notified before. */
+        void notifyListener() {
             mTimer.cancel();
-            if (!mTold) {
-                mTold = true;
-                mJudged.accept(mEnded);
+            if (!mNotified) {
+                mNotified = true;
+                mListener.accept(mUpstreamCrashed);
             }
         }
     }
 
-    /** One upstream that is asked whether it listens. Confined to the traffic loop. */
-    private final class Check {
+    /** A probe of one upstream. Confined to the traffic loop. */
+    private final class Probe {
 
-        /** The upstream. */
         private final UpstreamEntry mUpstream;
 
-        /** The calls that were lost before it was asked. */
-        private List<Loss> mLost = new ArrayList<>();
+        /** Calls that were lost before the probe was sent. */
+        private List<LostCall> mLost = new ArrayList<>();
 
-        /** The calls that were lost since, of which the answer may say nothing. */
-        private List<Loss> mLate = new ArrayList<>();
+        /** Calls that were lost since, about which the result of the probe may say nothing. */
+        private List<LostCall> mLostSinceSent = new ArrayList<>();
 
-        /**
-         * Creates a check.
-         *
-         * @param upstream the upstream
-         */
-        Check(UpstreamEntry upstream) {
+        Probe(UpstreamEntry upstream) {
             mUpstream = upstream;
         }
 
-        /** Asks the upstream. */
-        void ask() {
-            mPort.probe(mUpstream, this::answered);
+        /** Sends the probe. */
+        void send() {
+            mPort.probe(mUpstream, this::onResult);
         }
 
-        /**
-         * Goes on with an answer.
-         *
-         * @param listening whether it listens
-         */
-        private void answered(UpstreamPort.ProbeResult listening) {
+        private void onResult(UpstreamPort.ProbeResult result) {
             boolean restarted = mDirectory.hasRestarted(mUpstream.incarnation());
-            if (restarted || listening == UpstreamPort.ProbeResult.NOT_LISTENING) {
-                ended();
+            if (restarted || result == UpstreamPort.ProbeResult.NOT_LISTENING) {
+                onCrashed();
             } else {
-                alive();
+                onAlive();
             }
         }
 
-        /** Ends the check, or asks again for what was lost since. */
-        private void alive() {
-            mAlive.inc(mLost.size());
-            List<Loss> judged = mLost;
-            mLost = mLate;
-            mLate = new ArrayList<>();
+        /** Ends the probe, or sends another one for calls that were lost since. */
+        private void onAlive() {
+            mAliveCount.inc(mLost.size());
+            List<LostCall> attributed = mLost;
+            mLost = mLostSinceSent;
+            mLostSinceSent = new ArrayList<>();
             if (mLost.isEmpty()) {
-                mChecks.remove(mUpstream.incarnation());
+                mProbes.remove(mUpstream.incarnation());
             } else {
-                ask();
+                send();
             }
-            judged.forEach(Loss::tell);
+            attributed.forEach(LostCall::notifyListener);
         }
 
-        /** Holds the upstream's end against all that it worked on. */
-        private void ended() {
-            UpstreamIncarnation start = mUpstream.incarnation();
-            mChecks.remove(start);
-            mEndedStarts.put(start, Boolean.TRUE, mLoop.millis());
-            mLost.addAll(mLate);
-            mEnds.inc();
-            LOGGER.warn("upstream ended id={} requests={}", start, mLost.size());
-            mLost.forEach(Loss::ended);
-            mLost.forEach(loss -> mQuarantine.recordCrash(loss.mRequest, start));
+        /** Records the crash against all requests that the upstream was working on. */
+        private void onCrashed() {
+            UpstreamIncarnation incarnation = mUpstream.incarnation();
+            mProbes.remove(incarnation);
+            mRecentCrashes.put(incarnation, Boolean.TRUE, mLoop.millis());
+            mLost.addAll(mLostSinceSent);
+            mCrashCount.inc();
+            LOGGER.warn("upstream ended id={} requests={}", incarnation, mLost.size());
+            mLost.forEach(LostCall::markCrashed);
+            mLost.forEach(call -> mQuarantine.recordCrash(call.mRequest, incarnation));
         }
     }
 }
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/EngineUsageReconciler.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/EngineUsageReconciler.java
@@ -15,197 +15,185 @@
 import org.troutpier.daemon.role.EngineRoleClient;
 
 /**
- * Learns from the engines themselves what runs there that no router tells of: runs of routers that
- * are cut off, and runs that go on for routers that lost power. Engines report late, so a report is
- * held against the most that was known to run there lately, and what is beyond it counts as taken.
- * Engines are asked only while something may be unknown: after this router's own start and after a
- * router is heard no more. Of few routers each asks all engines; of many the relay of each hall
- * asks those of its hall and tells the others with its own use, so that calls grow with engines and
- * not with routers times engines. Confined to the traffic loop.
+ * Polls engines for their usage, to account for runs that no router reports: runs of routers that
+ * are partitioned off, and runs that continue for routers that lost power. Reports of engines are
+ * delayed, so a report is compared with the largest usage that was recently attributed to routers,
+ * and only the excess counts as unattributed. Engines are polled only while there may be
+ * unattributed runs: after this router's own start, and after another router is no longer heard
+ * from. In a small fleet each router polls all engines; in a large one the relay of each hall polls
+ * the engines of its hall and shares the results with its own usage, so that the number of calls
+ * grows with the engines and not with routers times engines. Confined to the traffic loop.
  *
- * <p>It answers the seconds after a loss of power of all routers, and routers that are cut from
- * each other. Without it engines were filled beyond their memory and preempted what they ran.
+ * <p>It covers the seconds after all routers lost power, and routers that are partitioned from each
+ * other. Without it, engines were filled beyond their memory and preempted their runs.
  */
 public final class EngineUsageReconciler {
 
-    /** How often engines are asked, milliseconds. */
-    private static final long LOOK_MILLIS = 400;
+    private static final long POLL_INTERVAL_MILLIS = 400;
 
-    /** How many looks back a report may lie: engines report up to a second late. */
-    private static final int LATE_LOOKS = 4;
+    /**
+     * Number of polling intervals that a report may lag behind: engines report up to one second
+     * late.
+     */
+    private static final int HISTORY_LENGTH = 4;
 
     /**
-     * How long engines are asked after a start and after a router is heard no more, milliseconds:
-     * the longest runs end within it.
+     * How long engines are polled after a start and after another router is no longer heard from,
+     * milliseconds. The longest runs end within it.
      */
-    private static final long WATCH_MILLIS = 12_000;
+    private static final long POLLING_PERIOD_MILLIS = 12_000;
 
-    /** Logs when engines begin to be asked. */
     private static final Logger LOGGER = LogManager.getLogger(EngineUsageReconciler.class);
 
-    /** The traffic loop. */
     private final TrafficLoop mLoop;
 
-    /** The engines. */
     private final UpstreamDirectory mDirectory;
 
-    /** What is known to run there. */
+    /** Usage attributed to routers. */
     private final UpstreamLoads mLoads;
 
-    /** Who is heard. */
+    /** The other routers. */
     private final PeerLoads mPeers;
 
-    /** Asks engines. */
-    private final EngineRoleClient mEngines;
+    private final EngineRoleClient mClient;
 
-    /** Which engines this router asks. */
     private final Scope mScope;
 
-    /** What was known to run at each engine at the last looks, the newest last. */
-    private final Map<UpstreamIncarnation, Deque<Long>> mKnown = new HashMap<>();
+    /** Usage attributed to routers at the last polling intervals, the most recent last. */
+    private final Map<UpstreamIncarnation, Deque<Long>> mHistory = new HashMap<>();
 
-    /** How many other routers were heard at the last look. */
-    private int mHeard;
+    /** Number of other routers heard from at the last interval. */
+    private int mPeerCount;
 
-    /** Until when engines are asked, milliseconds. */
-    private long mUntil;
+    /** When polling ends, milliseconds. */
+    private long mPollUntil;
 
-    /** Which engines a router asks. Implementations are thread safe. */
+    /** Which engines a router polls. Implementations are thread safe. */
     public interface Scope {
 
-        /**
-         * Returns whether this router asks an engine.
-         *
-         * @param engine the engine
-         * @return whether it does now
-         */
+        /** Returns whether this router currently polls an engine. */
         boolean polls(UpstreamEntry engine);
 
         /**
-         * Returns whether this router tells the others what it learns.
+         * Returns whether this router shares its results with the other routers.
          *
-         * @return whether it does now; false where each asks for itself
+         * @return whether it currently does; false if each router polls for itself
          */
         default boolean sharesResults() {
             return false;
         }
     }
 
-    /**
-     * Creates it.
-     *
-     * @param loop the traffic loop
-     * @param directory the engines
-     * @param loads what is known to run there
-     * @param peers who is heard
-     * @param engines asks engines
-     * @param scope which engines this router asks
-     */
+    /** Creates a reconciler. */
     public EngineUsageReconciler(
             TrafficLoop loop,
             UpstreamDirectory directory,
             UpstreamLoads loads,
             PeerLoads peers,
-            EngineRoleClient engines,
+            EngineRoleClient client,
             Scope scope) {
         mScope = scope;
         mLoop = loop;
         mDirectory = directory;
         mLoads = loads;
         mPeers = peers;
-        mEngines = engines;
+        mClient = client;
     }
 
-    /** Starts to look; this router has just started, so it knows of nothing that runs. */
+    /** Starts polling, since a router that has just started knows of no runs. */
     public void start() {
         mLoop.execute(
                 () -> {
-                    mUntil = mLoop.millis() + WATCH_MILLIS;
-                    look();
+                    mPollUntil = mLoop.millis() + POLLING_PERIOD_MILLIS;
+                    tick();
                 });
     }
 
     /**
-     * Takes note that this instance never ran before, so that no engine works for an earlier start
-     * of it. In a fleet whose 58 routers all start for the first time, each asked 42 engines some
-     * ten times: 22,000 questions about nothing. Any thread may call it.
+     * Stops the initial polling, because this instance never ran before and no engine can be
+     * working for an earlier incarnation of it. In a fleet whose 58 routers all started for the
+     * first time, each router polled 42 engines about ten times, 22,000 calls without any result.
+     * Thread safe.
      */
     public void skipInitialPolling() {
-        mLoop.execute(() -> mUntil = Math.min(mUntil, mLoop.millis()));
+        mLoop.execute(() -> mPollUntil = Math.min(mPollUntil, mLoop.millis()));
     }
 
-    /** Notes what is known, and asks the engines where something may be unknown. */
-    private void look() {
+    /** Starts polling if a router is no longer heard from, and schedules the next interval. */
+    private void tick() {
         long now = mLoop.millis();
-        int heard = mPeers.peerCount();
-        if (heard < mHeard) {
+        int peerCount = mPeers.peerCount();
+        if (peerCount < mPeerCount) {
             LOGGER.info(
-                    "engines asked for their use: routers heard before={} now={}", mHeard, heard);
-            mUntil = now + WATCH_MILLIS;
+                    "polling engines for their usage: peers before={} now={}",
+                    mPeerCount,
+                    peerCount);
+            mPollUntil = now + POLLING_PERIOD_MILLIS;
         }
-        mHeard = heard;
-        look(now < mUntil);
-        mLoop.schedule(this::look, LOOK_MILLIS);
+        mPeerCount = peerCount;
+        recordAndPoll(now < mPollUntil);
+        mLoop.schedule(this::tick, POLL_INTERVAL_MILLIS);
     }
 
     /**
-     * Notes what is known of each engine.
+     * Records the usage attributed to routers at each engine.
      *
-     * @param ask whether to ask the engines too
+     * @param poll whether to poll the engines as well
      */
-    private void look(boolean ask) {
+    private void recordAndPoll(boolean poll) {
         List<UpstreamEntry> engines =
                 mDirectory.usable(UpstreamEntry.Role.DECODE).stream()
                         .filter(mScope::polls)
                         .toList();
-        mKnown.keySet()
+        mHistory.keySet()
                 .retainAll(
                         engines.stream()
                                 .map(UpstreamEntry::incarnation)
                                 .collect(Collectors.toSet()));
         for (UpstreamEntry engine : engines) {
-            Deque<Long> known =
-                    mKnown.computeIfAbsent(engine.incarnation(), any -> new ArrayDeque<>());
-            known.addLast(mLoads.toldTokens(engine));
-            if (known.size() > LATE_LOOKS) {
-                known.removeFirst();
+            Deque<Long> history =
+                    mHistory.computeIfAbsent(engine.incarnation(), any -> new ArrayDeque<>());
+            history.addLast(mLoads.routerTokens(engine));
+            if (history.size() > HISTORY_LENGTH) {
+                history.removeFirst();
             }
-            if (ask) {
-                ask(engine);
+            if (poll) {
+                poll(engine);
             }
         }
     }
 
     /**
-     * Asks an engine. One that does not answer is passed over by what becomes of its runs.
-     *
-     * @param engine the engine
+     * Polls an engine. One that does not answer is ejected as a consequence of its failing runs.
      */
-    private void ask(UpstreamEntry engine) {
-        mEngines.report(engine)
+    private void poll(UpstreamEntry engine) {
+        mClient.report(engine)
                 .whenComplete(
                         (report, failure) -> {
                             if (failure != null) {
-                                LOGGER.debug("engine silent id={}", engine.id(), failure);
+                                LOGGER.debug(
+                                        "engine did not report its usage id={}",
+                                        engine.id(),
+                                        failure);
                                 return;
                             }
                             if (report.incarnation().mayBe(engine.incarnation())) {
-                                mLoop.execute(() -> reported(engine, report.usedTokens()));
+                                mLoop.execute(() -> reconcile(engine, report.usedTokens()));
                             }
                         });
     }
 
     /**
-     * Takes a report.
+     * Records the excess of a report over the usage recently attributed to routers.
      *
-     * @param engine the engine
-     * @param used how much of its memory runs took a while ago
+     * @param used the memory used by its runs a short time ago, tokens
      */
-    private void reported(UpstreamEntry engine, long used) {
-        Deque<Long> known = mKnown.get(engine.incarnation());
-        if (known != null) {
-            long most = known.stream().mapToLong(Long::longValue).max().orElse(0);
-            mLoads.unknown(engine, Math.max(0, used - most), mScope.sharesResults());
+    private void reconcile(UpstreamEntry engine, long used) {
+        Deque<Long> history = mHistory.get(engine.incarnation());
+        if (history != null) {
+            long max = history.stream().mapToLong(Long::longValue).max().orElse(0);
+            mLoads.recordUnattributedTokens(
+                    engine, Math.max(0, used - max), mScope.sharesResults());
         }
     }
 }
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/ExtraCallBudget.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/ExtraCallBudget.java
@@ -4,146 +4,133 @@
 import java.util.Map;
 
 /**
- * Bounds the calls that a service gets beyond the first of each request, over a sliding window.
- * Confined to the traffic loop. Invariant: within any window, extra calls of a service are at most
- * the ratio of the requests seen in that window, plus the fixed allowance. Each router keeps to its
- * own part, so the sum over all routers keeps to the whole without any word between them.
+ * Limits the calls to a service beyond the first call of each request, over a sliding window.
+ * Confined to the traffic loop. Invariant: within any window, the extra calls of a service are at
+ * most the ratio of the requests in that window, plus a fixed allowance. Each router keeps to its
+ * own share, so the sum over all routers stays within the limit without any communication.
  */
 public final class ExtraCallBudget {
 
-    /** How many steps a window is divided into. */
-    private static final int STEPS = 20;
+    private static final int WINDOW_BUCKETS = 20;
 
     /**
-     * How many steps are kept: the newest is not over yet, so that only one more than the window's
-     * number covers the whole window.
+     * Number of buckets kept. The most recent one is incomplete, so one more than the window's
+     * number is needed to cover the whole window.
      */
-    private static final int SLOTS = STEPS + 1;
+    private static final int RING_SIZE = WINDOW_BUCKETS + 1;
 
     /**
-     * Which part of the ratio is used: a step's worth of requests drops out of the window at once,
-     * and requests that other routers count in another step may not be there.
+     * Fraction of the ratio that is used: a whole bucket of requests leaves the window at once, and
+     * requests that other routers count in another bucket may be missing.
      */
-    private static final double USED_PART = 0.8;
+    private static final double USED_FRACTION = 0.8;
 
-    /** How many routers are assumed at least: a new one may not be known yet. */
-    private static final int LEAST_ROUTERS = 4;
+    /** Lowest number of routers assumed, since a new router may not be known yet. */
+    private static final int MIN_ROUTERS = 4;
 
-    /** How many routers more than are known are assumed. */
-    private static final double MORE_ROUTERS = 1.5;
+    /** Factor between the known and the assumed number of routers. */
+    private static final double ROUTER_MARGIN = 1.5;
 
-    /** Extra calls for each request. */
+    /** Extra calls per request. */
     private double mRatio;
 
     /** Extra calls in a window without any requests. */
     private double mAllowance;
 
-    /** How long a step is, milliseconds. */
-    private final long mStepMillis;
+    private final long mBucketMillis;
 
-    /** The counts of each service. */
     private final Map<String, Counts> mCounts = new HashMap<>();
 
-    /** One service's counts by step. */
+    /** Counts of one service by bucket. */
     private static final class Counts {
 
-        /** Requests in each step. */
-        private final int[] mRequests = new int[SLOTS];
+        private final int[] mRequests = new int[RING_SIZE];
 
-        /** Extra calls in each step. */
-        private final int[] mExtra = new int[SLOTS];
+        private final int[] mExtra = new int[RING_SIZE];
 
-        /** The newest step. */
-        private long mStep;
+        /** The most recent bucket. */
+        private long mBucket;
     }
 
     /**
      * Creates a budget.
      *
-     * @param ratio extra calls for each request
+     * @param ratio extra calls per request
      * @param allowance extra calls in a window without any requests
-     * @param windowMillis how long the window is, milliseconds
+     * @param windowMillis the length of the window, milliseconds
      */
     public ExtraCallBudget(double ratio, double allowance, long windowMillis) {
-        mRatio = ratio * USED_PART;
+        mRatio = ratio * USED_FRACTION;
         mAllowance = allowance;
-        mStepMillis = Math.max(1, windowMillis / STEPS);
+        mBucketMillis = Math.max(1, windowMillis / WINDOW_BUCKETS);
     }
 
     /**
-     * Returns which part of the whole allowance one router may use.
+     * Returns the share of the total allowance that one router may use.
      *
-     * @param routers how many routers are known to have been there; those that are gone may count
-     *     too
-     * @return the part, small enough that routers that are not known yet break nothing
+     * @param routers the number of routers known to have existed, which may include routers that
+     *     are gone
      */
     public static double routerShare(int routers) {
-        return 1 / (MORE_ROUTERS * Math.max(LEAST_ROUTERS, routers));
+        return 1 / (ROUTER_MARGIN * Math.max(MIN_ROUTERS, routers));
     }
 
     /**
-     * Takes other limits; what was counted stays counted.
+     * Changes the limits. Counts are kept.
      *
-     * @param ratio extra calls for each request
+     * @param ratio extra calls per request
      * @param allowance extra calls in a window without any requests
      */
     public void setLimits(double ratio, double allowance) {
-        mRatio = ratio * USED_PART;
+        mRatio = ratio * USED_FRACTION;
         mAllowance = allowance;
     }
 
     /**
      * Records a request.
      *
-     * @param service the service it goes to
      * @param nowMillis the monotonic clock, milliseconds
      */
     public void recordRequest(String service, long nowMillis) {
-        Counts counts = at(service, nowMillis);
-        counts.mRequests[(int) (counts.mStep % SLOTS)]++;
+        Counts counts = advance(service, nowMillis);
+        counts.mRequests[(int) (counts.mBucket % RING_SIZE)]++;
     }
 
     /**
-     * Asks for an extra call. Extra calls are counted over a little more than the window, requests
-     * over a little less.
+     * Acquires a permit for an extra call. Extra calls are counted over slightly more than the
+     * window, requests over slightly less.
      *
-     * @param service the service it goes to
      * @param nowMillis the monotonic clock, milliseconds
-     * @return whether it may be made
      */
     public boolean tryAcquire(String service, long nowMillis) {
-        Counts counts = at(service, nowMillis);
-        int oldest = (int) ((counts.mStep + 1) % SLOTS);
+        Counts counts = advance(service, nowMillis);
+        int oldest = (int) ((counts.mBucket + 1) % RING_SIZE);
         int requests = -counts.mRequests[oldest];
         int extra = 0;
-        for (int slot = 0; slot < SLOTS; slot++) {
+        for (int slot = 0; slot < RING_SIZE; slot++) {
             requests += counts.mRequests[slot];
             extra += counts.mExtra[slot];
         }
         if (extra + 1 > requests * mRatio + mAllowance) {
             return false;
         }
-        counts.mExtra[(int) (counts.mStep % SLOTS)]++;
+        counts.mExtra[(int) (counts.mBucket % RING_SIZE)]++;
         return true;
     }
 
     /**
-     * Returns a service's counts with all steps before the window cleared.
-     *
-     * @param service the service
-     * @param nowMillis the monotonic clock, milliseconds
-     * @return the counts
+     * Returns the counts of a service after clearing the buckets that are no longer in the window.
      */
-    private Counts at(String service, long nowMillis) {
+    private Counts advance(String service, long nowMillis) {
         Counts counts = mCounts.computeIfAbsent(service, name -> new Counts());
-        long step = nowMillis / mStepMillis;
-        long clear = Math.min(SLOTS, step - counts.mStep);
+        long bucket = nowMillis / mBucketMillis;
+        long clear = Math.min(RING_SIZE, bucket - counts.mBucket);
         for (long each = 0; each < clear; each++) {
-            int index = (int) ((step - each) % SLOTS);
+            int index = (int) ((bucket - each) % RING_SIZE);
             counts.mRequests[index] = 0;
             counts.mExtra[index] = 0;
         }
-        counts.mStep = Math.max(counts.mStep, step);
+        counts.mBucket = Math.max(counts.mBucket, bucket);
         return counts;
     }
 }
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/RestartAwarePort.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/RestartAwarePort.java
@@ -16,45 +16,35 @@
 import org.troutpier.daemon.upstream.AttemptEnd;
 
 /**
- * Speaks to upstreams through another port, and ends calls whose upstream is known to have started
- * again since they were sent: they are lost as in a crash, whose connection says nothing where the
- * machine lost power. Waited for, a plain call of a once-only request lasts to its deadline, and a
- * stream to the limit of silence. Confined to the traffic loop. Invariant: a call ends once; after
- * it was ended here nothing more of it is heard.
+ * Port that fails calls whose upstream is known to have restarted since they were sent. Such calls
+ * are lost as in a crash, but if the machine lost power the connection never reports it: a plain
+ * call of a non-repeatable request would wait until its deadline, and a stream until the silence
+ * limit. Confined to the traffic loop. Invariant: a call ends once; a call that was ended here
+ * passes on nothing more.
  */
 public final class RestartAwarePort implements UpstreamPort {
 
-    /** Logs calls that are ended. */
     private static final Logger LOGGER = LogManager.getLogger(RestartAwarePort.class);
 
-    /** Carries the calls out. */
+    /** The delegate. */
     private final UpstreamPort mPort;
 
-    /** The calls under way. */
-    private final Set<Watched> mUnderWay = Collections.newSetFromMap(new IdentityHashMap<>());
+    private final Set<TrackedCall> mActive = Collections.newSetFromMap(new IdentityHashMap<>());
 
-    /**
-     * Creates a port.
-     *
-     * @param port carries the calls out
-     */
+    /** Creates a port. */
     public RestartAwarePort(UpstreamPort port) {
         mPort = port;
     }
 
-    /**
-     * Ends the calls to earlier starts of the upstreams that are listed.
-     *
-     * @param listed the starts that are listed
-     */
+    /** Fails the calls to earlier incarnations of the listed upstreams. */
     public void retain(Set<UpstreamIncarnation> listed) {
-        Map<UpstreamId, UpstreamIncarnation> starts = new HashMap<>();
-        listed.forEach(start -> starts.put(start.id(), start));
-        for (Watched call : List.copyOf(mUnderWay)) {
-            UpstreamIncarnation now = starts.get(call.mUpstream.id());
-            if (now != null && now.follows(call.mUpstream)) {
-                LOGGER.info("call lost by a restart upstream={} now={}", call.mUpstream, now);
-                call.lose();
+        Map<UpstreamId, UpstreamIncarnation> incarnations = new HashMap<>();
+        listed.forEach(incarnation -> incarnations.put(incarnation.id(), incarnation));
+        for (TrackedCall call : List.copyOf(mActive)) {
+            UpstreamIncarnation current = incarnations.get(call.mUpstream.id());
+            if (current != null && current.follows(call.mUpstream)) {
+                LOGGER.info("call lost by a restart upstream={} now={}", call.mUpstream, current);
+                call.failAsLost();
             }
         }
     }
@@ -63,8 +53,8 @@
     @Override
     public Call run(
             UpstreamEntry upstream, ServingRequest request, RunPlan plan, RunListener listener) {
-        WatchedRun run = new WatchedRun(upstream.incarnation(), listener);
-        return run.begun(mPort.run(upstream, request, plan, run));
+        TrackedRun run = new TrackedRun(upstream.incarnation(), listener);
+        return run.delegateTo(mPort.run(upstream, request, plan, run));
     }
 
     /** {@inheritDoc} */
@@ -74,22 +64,22 @@
             ServingRequest request,
             RunPlan plan,
             ResultListener<StoredPrompt> listener) {
-        WatchedResult<StoredPrompt> call = new WatchedResult<>(upstream.incarnation(), listener);
-        return call.begun(mPort.prefill(upstream, request, plan, call));
+        TrackedResult<StoredPrompt> call = new TrackedResult<>(upstream.incarnation(), listener);
+        return call.delegateTo(mPort.prefill(upstream, request, plan, call));
     }
 
     /** {@inheritDoc} */
     @Override
     public Call reserve(
             UpstreamEntry upstream, long tokens, int millis, ResultListener<Reservation> listener) {
-        WatchedResult<Reservation> call = new WatchedResult<>(upstream.incarnation(), listener);
-        return call.begun(mPort.reserve(upstream, tokens, millis, call));
+        TrackedResult<Reservation> call = new TrackedResult<>(upstream.incarnation(), listener);
+        return call.delegateTo(mPort.reserve(upstream, tokens, millis, call));
     }
 
     /** {@inheritDoc} */
     @Override
-    public void release(UpstreamEntry upstream, Reservation place) {
-        mPort.release(upstream, place);
+    public void release(UpstreamEntry upstream, Reservation reservation) {
+        mPort.release(upstream, reservation);
     }
 
     /** {@inheritDoc} */
@@ -104,78 +94,52 @@
         mPort.probe(upstream, listener);
     }
 
-    /** A call under way. */
-    private abstract class Watched implements Call {
+    /** A call in flight. */
+    private abstract class TrackedCall implements Call {
 
-        /** Where it was sent. */
         private final UpstreamIncarnation mUpstream;
 
-        /** Takes an end that is a failure. */
+        /** Receives a failure of the call. */
         private final Consumer<AttemptEnd> mFailure;
 
-        /** The call as it is carried out, or null before it is. */
-        private Call mCall;
+        /** The delegate's call; null until it was sent. */
+        private Call mDelegate;
 
-        /** Whether it is over. */
-        private boolean mOver;
+        private boolean mEnded;
 
-        /**
-         * Creates a call.
-         *
-         * @param upstream where it is sent
-         * @param failure takes an end that is a failure
-         */
-        Watched(UpstreamIncarnation upstream, Consumer<AttemptEnd> failure) {
+        TrackedCall(UpstreamIncarnation upstream, Consumer<AttemptEnd> failure) {
             mUpstream = upstream;
             mFailure = failure;
-            mUnderWay.add(this);
+            mActive.add(this);
         }
 
-        /**
-         * Takes the call as it is carried out.
-         *
-         * @param call the call
-         * @return this call
-         */
-        Call begun(Call call) {
-            mCall = call;
+        /** Sets the delegate's call. */
+        Call delegateTo(Call call) {
+            mDelegate = call;
             return this;
         }
 
-        /** Ends the call as lost. */
-        private void lose() {
-            if (!mOver) {
+        private void failAsLost() {
+            if (!mEnded) {
                 abort();
                 mFailure.accept(AttemptEnd.lost("upstream started again"));
             }
         }
 
-        /**
-         * Takes the call's end.
-         *
-         * @return whether it had not ended before
-         */
+        /** Marks the call as ended, and returns whether it was still active. */
         protected boolean end() {
-            boolean first = !mOver;
-            mOver = true;
-            mUnderWay.remove(this);
+            boolean first = !mEnded;
+            mEnded = true;
+            mActive.remove(this);
             return first;
         }
 
-        /**
-         * Returns whether more may be heard of the call.
-         *
-         * @return whether it has not ended
-         */
-        protected boolean open() {
-            return !mOver;
+        /** Returns whether the call has not ended. */
+        protected boolean isActive() {
+            return !mEnded;
         }
 
-        /**
-         * Takes the call's failure.
-         *
-         * @param end how it ended
-         */
+        /** Ends the call with a failure. */
         public void onFailure(AttemptEnd end) {
             if (end()) {
                 mFailure.accept(end);
@@ -186,31 +150,24 @@
         @Override
         public void abort() {
             end();
-            if (mCall != null) {
-                mCall.abort();
+            if (mDelegate != null) {
+                mDelegate.abort();
             }
         }
 
         /** {@inheritDoc} */
         @Override
         public void setAutoRead(boolean on) {
-            mCall.setAutoRead(on);
+            mDelegate.setAutoRead(on);
         }
     }
 
-    /** A run under way. */
-    private final class WatchedRun extends Watched implements RunListener {
+    /** A run in flight. */
+    private final class TrackedRun extends TrackedCall implements RunListener {
 
-        /** Receives the answer. */
         private final RunListener mListener;
 
-        /**
-         * Creates a run.
-         *
-         * @param upstream where it is sent
-         * @param listener receives the answer
-         */
-        WatchedRun(UpstreamIncarnation upstream, RunListener listener) {
+        TrackedRun(UpstreamIncarnation upstream, RunListener listener) {
             super(upstream, listener::onFailure);
             mListener = listener;
         }
@@ -218,7 +175,7 @@
         /** {@inheritDoc} */
         @Override
         public void onNotice(UpstreamNotice notice, Verdict verdict) {
-            if (open()) {
+            if (isActive()) {
                 mListener.onNotice(notice, verdict);
             }
         }
@@ -226,7 +183,7 @@
         /** {@inheritDoc} */
         @Override
         public void onHead(Head head) {
-            if (open()) {
+            if (isActive()) {
                 mListener.onHead(head);
             }
         }
@@ -234,7 +191,7 @@
         /** {@inheritDoc} */
         @Override
         public void onPart(byte[] part) {
-            if (open()) {
+            if (isActive()) {
                 mListener.onPart(part);
             }
         }
@@ -248,23 +205,12 @@
         }
     }
 
-    /**
-     * A call under way that runs nothing.
-     *
-     * @param <T> the result's type
-     */
-    private final class WatchedResult<T> extends Watched implements ResultListener<T> {
+    /** A call in flight that does not run a request. */
+    private final class TrackedResult<T> extends TrackedCall implements ResultListener<T> {
 
-        /** Receives the result. */
         private final ResultListener<T> mListener;
 
-        /**
-         * Creates a call.
-         *
-         * @param upstream where it is sent
-         * @param listener receives the result
-         */
-        WatchedResult(UpstreamIncarnation upstream, ResultListener<T> listener) {
+        TrackedResult(UpstreamIncarnation upstream, ResultListener<T> listener) {
             super(upstream, listener::onFailure);
             mListener = listener;
         }
@@ -272,7 +218,7 @@
         /** {@inheritDoc} */
         @Override
         public void onNotice(UpstreamNotice notice, Verdict verdict) {
-            if (open()) {
+            if (isActive()) {
                 mListener.onNotice(notice, verdict);
             }
         }
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/UpstreamBackOff.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/UpstreamBackOff.java
@@ -3,65 +3,58 @@
 import java.util.random.RandomGenerator;
 
 /**
- * The back-off that one upstream has asked this router for, and the return to it. Confined to the
- * traffic loop, except that {@link #endsAt()} may be read by any thread. Invariants: no call is
- * admitted before the latest end that was asked for; after it, calls are admitted one at a time,
- * and twice as many with each success, until {@link #RETURN_MILLIS} have passed.
+ * The back-off that an upstream requested from this router, and the ramp-up after it. Confined to
+ * the traffic loop, except that {@link #endsAt()} may be read by any thread. Invariants: no call is
+ * admitted before the latest requested end; after it, one call is admitted at a time, and each
+ * success doubles that number, until {@link #RAMP_UP_MILLIS} have passed.
  */
 final class UpstreamBackOff {
 
-    /** For how long after a back-off only some calls are admitted at most, milliseconds. */
-    static final long RETURN_MILLIS = 2000;
+    /** Duration of the ramp-up after a back-off, milliseconds. */
+    static final long RAMP_UP_MILLIS = 2000;
 
     /**
-     * By which part of a back-off its end is put off at most, so that routers that were asked at
-     * the same time do not return together.
+     * Largest fraction by which a back-off is extended, so that routers that were asked at the same
+     * time do not return together.
      */
-    private static final double SPREAD = 0.1;
+    private static final double JITTER = 0.1;
 
-    /** By how much an end is put off at most, milliseconds. */
-    private static final long MOST_SPREAD_MILLIS = 500;
+    /** Largest extension of a back-off, milliseconds. */
+    private static final long MAX_JITTER_MILLIS = 500;
 
-    /** When calls are admitted again, milliseconds; 0 where no back-off was asked for. */
+    /** When calls are admitted again, milliseconds; 0 if no back-off was requested. */
     private volatile long mEndsAt;
 
-    /** How many calls may be under way while the upstream is returned to. */
-    private int mAdmitted = 1;
+    /** Calls that may be in flight during the ramp-up. */
+    private int mConcurrencyLimit = 1;
 
-    /** How many calls were not sent to the upstream. */
+    /** Calls that were withheld. */
     private long mWithheld;
 
     /**
-     * Takes a back-off.
+     * Starts a back-off, or extends the current one.
      *
-     * @param millis for how long, milliseconds
-     * @param now the clock, milliseconds
-     * @param random draws by how much its end is put off
+     * @param millis its duration, milliseconds
+     * @param now the current time, milliseconds
      */
-    void asked(long millis, long now, RandomGenerator random) {
-        long spread = (long) Math.min(MOST_SPREAD_MILLIS, millis * SPREAD);
-        mEndsAt = Math.max(mEndsAt, now + millis + random.nextLong(spread + 1));
-        mAdmitted = 1;
+    void extend(long millis, long now, RandomGenerator random) {
+        long jitter = (long) Math.min(MAX_JITTER_MILLIS, millis * JITTER);
+        mEndsAt = Math.max(mEndsAt, now + millis + random.nextLong(jitter + 1));
+        mConcurrencyLimit = 1;
     }
 
-    /**
-     * Returns when calls are admitted again.
-     *
-     * @return milliseconds; 0 where no back-off was asked for
-     */
+    /** Returns when calls are admitted again, milliseconds; 0 if no back-off was requested. */
     long endsAt() {
         return mEndsAt;
     }
 
     /**
-     * Returns whether a call is admitted.
+     * Returns whether a call is admitted, and counts it as withheld if not.
      *
-     * @param underWay how many calls of this router are under way at the upstream
-     * @param now the clock, milliseconds
-     * @return whether it is
+     * @param now the current time, milliseconds
      */
-    boolean admits(int underWay, long now) {
-        boolean admitted = now >= mEndsAt && (returned(now) || underWay < mAdmitted);
+    boolean admits(int activeCalls, long now) {
+        boolean admitted = now >= mEndsAt && (isOver(now) || activeCalls < mConcurrencyLimit);
         if (!admitted) {
             mWithheld++;
         }
@@ -69,31 +62,25 @@
     }
 
     /**
-     * Returns whether the back-off and the return after it are over.
-     *
-     * @param now the clock, milliseconds
-     * @return whether any number of calls is admitted
+     * Returns whether the back-off and the ramp-up are over, so that the number of calls is not
+     * limited.
      */
-    boolean returned(long now) {
-        return mEndsAt == 0 || now >= mEndsAt + RETURN_MILLIS;
+    boolean isOver(long now) {
+        return mEndsAt == 0 || now >= mEndsAt + RAMP_UP_MILLIS;
     }
 
     /**
-     * Takes a success.
+     * Records a success. Calls that were sent before the end of the back-off don't count.
      *
-     * @param sentAt when its call was sent, milliseconds
+     * @param sentAt when the call was sent, milliseconds
      */
-    void succeeded(long sentAt) {
+    void recordSuccess(long sentAt) {
         if (sentAt >= mEndsAt) {
-            mAdmitted = Math.min(Integer.MAX_VALUE / 2, 2 * mAdmitted);
+            mConcurrencyLimit = Math.min(Integer.MAX_VALUE / 2, 2 * mConcurrencyLimit);
         }
     }
 
-    /**
-     * Returns how many calls were not sent to the upstream.
-     *
-     * @return the count since the first back-off
-     */
+    /** Returns the number of calls withheld since the first back-off. */
     long withheld() {
         return mWithheld;
     }
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/UpstreamLoads.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/UpstreamLoads.java
@@ -21,168 +21,164 @@
 import org.troutpier.daemon.directory.UpstreamEntry;
 
 /**
- * What this router has under way at each upstream, and which upstreams it passes over because their
- * calls failed. Confined to the traffic loop. Invariant: an upstream whose calls fail is tried
- * again after at most {@link #MOST_EJECTED_MILLIS}, and where all are passed over the one that
- * comes back first is used.
+ * Tracks the calls and tokens that this router has in flight at each upstream, and ejects upstreams
+ * whose calls fail. Confined to the traffic loop. Invariant: an ejected upstream is tried again
+ * after at most {@link #MAX_EJECTION_MILLIS}; if all candidates are ejected, the one whose ejection
+ * ends first is used.
  */
 public final class UpstreamLoads {
 
-    /** How many failures in a row pass an upstream over; two happen by chance at one in seven. */
-    private static final int FAILURES = 4;
+    /**
+     * Consecutive failures after which an upstream is ejected. At a failure rate of one in seven,
+     * two in a row happen by chance.
+     */
+    private static final int CONSECUTIVE_FAILURES = 4;
 
-    /** How long an upstream is passed over at first, milliseconds. */
-    private static final long FIRST_EJECTED_MILLIS = 500;
+    /** Duration of the first ejection, milliseconds. */
+    private static final long MIN_EJECTION_MILLIS = 500;
 
-    /** How long an upstream is passed over at most, milliseconds. */
-    private static final long MOST_EJECTED_MILLIS = 4000;
+    private static final long MAX_EJECTION_MILLIS = 4000;
 
     /**
-     * For how long the end of a call counts, milliseconds: the time in which routers together send
-     * an upstream enough calls to tell one that fails most of them.
+     * Window over which call outcomes are counted, milliseconds: long enough that all routers
+     * together send an upstream enough calls to recognise one that fails most of them.
      */
-    private static final long ENDS_MILLIS = 3000;
+    private static final long OUTCOME_WINDOW_MILLIS = 3000;
 
-    /** How many steps that time is divided into. */
-    private static final int ENDS_STEPS = 6;
+    private static final int OUTCOME_WINDOW_BUCKETS = 6;
 
     /**
-     * By which part the time varies for which an upstream is passed over that others saw fail, so
-     * that routers come back to it one after the other and the first one tells the rest.
+     * Relative jitter of an ejection that is based on the outcomes of all routers, so that they
+     * return to the upstream one after another and the first one informs the rest.
      */
-    private static final double SPREAD = 0.5;
+    private static final double EJECTION_JITTER = 0.5;
 
-    /** How long an engine that refused to read a prompt is passed over, milliseconds. */
-    private static final long REFUSED_MILLIS = 250;
+    /** Ejection after an engine refused a prefill, milliseconds. */
+    private static final long REFUSAL_EJECTION_MILLIS = 250;
 
     /**
-     * How long an upstream is passed over after another answered in its place, milliseconds: its
-     * entry lapses after three heartbeats of silence, which are 3.6 s on the users' sites.
+     * Ejection after another upstream answered at the address, milliseconds. An entry expires after
+     * three missed heartbeats, which take 3.6 s at the users' sites.
      */
-    private static final long REPLACED_MILLIS = 4000;
+    private static final long REPLACEMENT_EJECTION_MILLIS = 4000;
 
-    /** How many runs in a row a decode engine refuses before it is passed over. */
-    private static final int REFUSALS = 2;
+    /** Consecutive refused runs after which a decode engine counts as refusing runs. */
+    private static final int CONSECUTIVE_RUN_REFUSALS = 2;
 
     /**
-     * How long a decode engine that refuses runs is passed over at first, milliseconds; a change of
-     * its role takes some seconds.
+     * Initial time for which a decode engine counts as refusing runs, milliseconds; a role change
+     * takes several seconds.
      */
-    private static final long FIRST_REFUSING_MILLIS = 1000;
+    private static final long MIN_RUN_REFUSAL_MILLIS = 1000;
 
-    /** How long what an engine reported counts, milliseconds: three pauses between two reports. */
-    private static final long UNKNOWN_MILLIS = 1200;
+    /**
+     * How long usage reported by an engine remains valid, milliseconds: three polling intervals.
+     */
+    private static final long UNATTRIBUTED_TTL_MILLIS = 1200;
 
-    /** What crossing to another hall counts for, in parts of an upstream's slots. */
-    private static final double OTHER_HALL = 0.15;
+    /** Cost of a call to another hall, as a fraction of the upstream's slots. */
+    private static final double CROSS_HALL_COST = 0.15;
 
-    /** Logs each upstream that is passed over or used again. */
     private static final Logger LOGGER = LogManager.getLogger(UpstreamLoads.class);
 
-    /** The state of each upstream. */
     private final Map<UpstreamIncarnation, Load> mLoads = new HashMap<>();
 
-    /** The clock. */
     private final TrafficLoop mLoop;
 
-    /** Breaks ties. */
+    /** Breaks ties between upstreams of equal cost. */
     private final RandomGenerator mRandom;
 
     /** The hall of this router. */
     private final HallId mHall;
 
-    /** What the other routers have under way. */
+    /** Usage reported by the other routers. */
     private final PeerLoads mPeers;
 
-    /** Runs when the other routers must hear at once of what changed. */
-    private Runnable mOnUrgent = () -> {};
+    /** Called when a change must reach the other routers immediately. */
+    private Runnable mOnUrgentChange = () -> {};
 
-    /** Runs when what is under way changes in a way of which the others may hear a little later. */
-    private Runnable mOnChanged = () -> {};
+    /** Called when a change may reach the other routers with a short delay. */
+    private Runnable mOnChange = () -> {};
 
-    /** Runs when runs under way grow, of which the others may hear later still. */
-    private Runnable mOnGrown = () -> {};
+    /**
+     * Called when a running call takes more tokens, which may reach the other routers with a longer
+     * delay.
+     */
+    private Runnable mOnTokensAdded = () -> {};
 
-    /** The engines that change their role by this router's order. */
-    private volatile Set<UpstreamIncarnation> mChanging = Set.of();
+    /** Engines whose role this router is changing. */
+    private volatile Set<UpstreamIncarnation> mChangingEngines = Set.of();
 
-    /** One upstream's state. */
+    /** State of one upstream. */
     private static final class Load {
 
-        /** Calls under way. */
+        /** Calls in flight. */
         private int mCalls;
 
-        /** Tokens of the calls under way. */
+        /** Tokens of the calls in flight. */
         private long mTokens;
 
-        /** Tokens that the engine reported beyond what the routers say. */
-        private long mUnknown;
+        /** Tokens reported by the engine beyond those that the routers account for. */
+        private long mUnattributedTokens;
 
-        /** When it reported them, milliseconds. */
-        private long mUnknownAt;
+        /** When they were reported, milliseconds. */
+        private long mUnattributedAt;
 
-        /** Whether the other routers hear of them from this one. */
-        private boolean mUnknownTold;
+        /** Whether this router reports them to the others. */
+        private boolean mUnattributedShared;
 
-        /** Failures since the last success. */
-        private int mFailures;
+        private int mConsecutiveFailures;
 
-        /** Until when the upstream is passed over, milliseconds; 0 for not. */
+        /** End of the ejection, milliseconds; 0 if not ejected. */
         private long mEjectedUntil;
 
-        /** How long it was passed over last, milliseconds. */
-        private long mEjectedMillis;
+        /** Duration of the last ejection, milliseconds. */
+        private long mEjectionMillis;
 
-        /** Until when another is known to answer in its place, milliseconds; 0 for not. */
+        /**
+         * Until when another upstream is assumed to answer at the address, milliseconds; 0 if none
+         * is.
+         */
         private long mReplacedUntil;
 
-        /** The role that it was asked for when another answered. */
+        /** The role that the upstream was listed with when another one answered. */
         private UpstreamEntry.Role mReplacedRole;
 
-        /** Calls that failed lately though the upstream was reached. */
-        private final SlidingWindowSum mFailedLately =
-                new SlidingWindowSum(ENDS_MILLIS, ENDS_STEPS);
+        /** Recent failed calls that reached the upstream. */
+        private final SlidingWindowSum mRecentFailures =
+                new SlidingWindowSum(OUTCOME_WINDOW_MILLIS, OUTCOME_WINDOW_BUCKETS);
 
-        /** Calls that went well lately. */
-        private final SlidingWindowSum mSucceededLately =
-                new SlidingWindowSum(ENDS_MILLIS, ENDS_STEPS);
+        /** Recent successful calls. */
+        private final SlidingWindowSum mRecentSuccesses =
+                new SlidingWindowSum(OUTCOME_WINDOW_MILLIS, OUTCOME_WINDOW_BUCKETS);
 
-        /** Runs that it refused since the last success. */
-        private int mRefusals;
+        private int mConsecutiveRunRefusals;
 
-        /** Until when it is taken to refuse runs, milliseconds; 0 for not. */
-        private long mRefusingUntil;
+        /** Until when it counts as refusing runs, milliseconds; 0 if it does not. */
+        private long mRefusingRunsUntil;
 
         /**
-         * Returns until when it is known that no run is taken.
+         * Returns until when the engine accepts no run.
          *
-         * @return milliseconds; in the past for not
+         * @return milliseconds; a time in the past if it accepts runs
          */
-        private long refusesUntil() {
+        private long refusesRunsUntil() {
             boolean engine = mReplacedRole == UpstreamEntry.Role.DECODE;
-            return engine ? Math.max(mReplacedUntil, mRefusingUntil) : mRefusingUntil;
+            return engine ? Math.max(mReplacedUntil, mRefusingRunsUntil) : mRefusingRunsUntil;
         }
 
         /**
-         * Returns until when the upstream is passed over.
+         * Returns when the ejection of the upstream ends.
          *
-         * @param entry what is listed of it now
-         * @return milliseconds; in the past for not
+         * @return milliseconds; a time in the past if it is not ejected
          */
-        private long passedOverUntil(UpstreamEntry entry) {
+        private long ejectedUntil(UpstreamEntry entry) {
             boolean replaced = entry.role() == mReplacedRole;
             return replaced ? Math.max(mReplacedUntil, mEjectedUntil) : mEjectedUntil;
         }
     }
 
-    /**
-     * Creates a view without any upstream.
-     *
-     * @param loop the clock
-     * @param random breaks ties
-     * @param hall the hall of this router
-     * @param peers what the other routers have under way
-     */
+    /** Creates a tracker without any upstream. */
     public UpstreamLoads(TrafficLoop loop, RandomGenerator random, HallId hall, PeerLoads peers) {
         mPeers = peers;
         mLoop = loop;
@@ -191,63 +187,52 @@
     }
 
     /**
-     * Sets what runs when the other routers must hear at once of what changed: memory is taken, or
-     * an engine refuses runs.
+     * Sets the action for changes that must reach the other routers immediately: memory was
+     * reserved, or an engine refuses runs.
      *
      * @param action the action, run on the traffic loop
      */
     public void onUrgentChange(Runnable action) {
-        mOnUrgent = action;
+        mOnUrgentChange = action;
     }
 
     /**
-     * Sets what runs when what is under way changes in a way of which the others may hear a little
-     * later.
+     * Sets the action for changes that may reach the other routers with a short delay.
      *
      * @param action the action, run on the traffic loop
      */
     public void onChange(Runnable action) {
-        mOnChanged = action;
+        mOnChange = action;
     }
 
     /**
-     * Sets what runs when runs under way grow.
+     * Sets the action for running calls that take more tokens.
      *
      * @param action the action, run on the traffic loop
      */
     public void onTokensAdded(Runnable action) {
-        mOnGrown = action;
+        mOnTokensAdded = action;
     }
 
     /**
-     * Records that memory of an engine is taken, and tells the other routers at once: two that ask
-     * for the same room at the same time would both get it.
-     *
-     * @param engine the engine
-     * @param tokens how much
+     * Records a call that reserves memory at an engine, and notifies the other routers immediately:
+     * two routers that request the same memory at the same time would otherwise both get it.
      */
     public void reserve(UpstreamEntry engine, long tokens) {
         add(engine, tokens);
-        mOnUrgent.run();
+        mOnUrgentChange.run();
     }
 
     /**
-     * Records that a call begins.
+     * Records the start of a call.
      *
-     * @param upstream where
-     * @param tokens its tokens; 0 for a plain call
+     * @param tokens the tokens of the call; 0 for a call to a plain service
      */
     public void begin(UpstreamEntry upstream, long tokens) {
         add(upstream, tokens);
-        mOnChanged.run();
+        mOnChange.run();
     }
 
-    /**
-     * Counts a call.
-     *
-     * @param upstream where
-     * @param tokens its tokens
-     */
     private void add(UpstreamEntry upstream, long tokens) {
         Load load = load(upstream.incarnation());
         load.mCalls++;
@@ -255,275 +240,220 @@
     }
 
     /**
-     * Records that a call has ended.
+     * Records the end of a call.
      *
-     * @param upstream where
-     * @param tokens the tokens it began with
+     * @param tokens the tokens that were recorded for the call
      */
     public void end(UpstreamEntry upstream, long tokens) {
         Load load = load(upstream.incarnation());
         load.mCalls--;
         load.mTokens -= tokens;
-        mOnChanged.run();
+        mOnChange.run();
     }
 
-    /**
-     * Records that a call takes more tokens.
-     *
-     * @param upstream where
-     * @param tokens how many more
-     */
+    /** Records that a running call takes more tokens. */
     public void addTokens(UpstreamEntry upstream, long tokens) {
         load(upstream.incarnation()).mTokens += tokens;
-        mOnGrown.run();
+        mOnTokensAdded.run();
     }
 
     /**
-     * Returns the tokens that are known to be under way at an engine: what the routers say, and
-     * what the engine reported beyond it.
-     *
-     * @param engine the engine
-     * @return tokens
+     * Returns the tokens known to be in use at an engine: those that the routers account for, and
+     * those that the engine reported beyond them.
      */
     public long tokens(UpstreamEntry engine) {
-        return toldTokens(engine) + unknown(load(engine.incarnation()));
+        return routerTokens(engine) + unattributedTokens(load(engine.incarnation()));
     }
 
     /**
-     * Returns how much runs at an engine that no router tells of.
-     *
-     * @param load the engine's state
-     * @return tokens, as far as they were reported lately
+     * Returns the tokens in use at an engine that no router accounts for, or 0 if the last report
+     * is too old.
      */
-    private long unknown(Load load) {
-        boolean fresh = mLoop.millis() - load.mUnknownAt <= UNKNOWN_MILLIS;
-        return fresh ? load.mUnknown : 0;
+    private long unattributedTokens(Load load) {
+        boolean fresh = mLoop.millis() - load.mUnattributedAt <= UNATTRIBUTED_TTL_MILLIS;
+        return fresh ? load.mUnattributedTokens : 0;
     }
 
-    /**
-     * Returns the tokens that the routers themselves say they have under way at an engine.
-     *
-     * @param engine the engine
-     * @return tokens
-     */
-    long toldTokens(UpstreamEntry engine) {
+    /** Returns the tokens that the routers themselves have in flight at an engine. */
+    long routerTokens(UpstreamEntry engine) {
         return load(engine.incarnation()).mTokens
                 + mPeers.upstreamUse(engine.incarnation()).tokens();
     }
 
     /**
-     * Records how much runs at an engine that no router tells of.
+     * Records the tokens in use at an engine that no router accounts for.
      *
-     * @param engine the engine
-     * @param tokens how much, as the engine reported
-     * @param told whether the other routers are to hear of it from this one
+     * @param share whether this router reports them to the others
      */
-    void unknown(UpstreamEntry engine, long tokens, boolean told) {
+    void recordUnattributedTokens(UpstreamEntry engine, long tokens, boolean share) {
         Load load = load(engine.incarnation());
-        load.mUnknown = tokens;
-        load.mUnknownTold = told;
-        load.mUnknownAt = mLoop.millis();
+        load.mUnattributedTokens = tokens;
+        load.mUnattributedShared = share;
+        load.mUnattributedAt = mLoop.millis();
     }
 
-    /**
-     * Returns how many calls all routers are known to have under way at an upstream.
-     *
-     * @param upstream the upstream
-     * @return the count
-     */
+    /** Returns the number of calls that all routers are known to have in flight at an upstream. */
     public int calls(UpstreamEntry upstream) {
         return load(upstream.incarnation()).mCalls
                 + mPeers.upstreamUse(upstream.incarnation()).calls();
     }
 
-    /**
-     * Returns how many calls this router has under way at an upstream.
-     *
-     * @param upstream the upstream
-     * @return the count
-     */
+    /** Returns the number of calls that this router has in flight at an upstream. */
     int ownCalls(UpstreamEntry upstream) {
         return load(upstream.incarnation()).mCalls;
     }
 
-    /**
-     * Returns whether other routers were heard lately, so that their use is known.
-     *
-     * @return whether any was
-     */
+    /** Returns whether any other router reported recently, so that its usage is known. */
     public boolean hasPeerReports() {
         return mPeers.peerCount() > 0;
     }
 
-    /**
-     * Records that a call went well.
-     *
-     * @param upstream where
-     */
+    /** Records a successful call. */
     public void succeeded(UpstreamEntry upstream) {
         Load load = load(upstream.incarnation());
         if (load.mEjectedUntil != 0) {
             LOGGER.info("upstream used again id={}", upstream.id());
         }
-        load.mSucceededLately.add(1, mLoop.millis());
-        load.mFailures = 0;
+        load.mRecentSuccesses.add(1, mLoop.millis());
+        load.mConsecutiveFailures = 0;
         load.mEjectedUntil = 0;
-        load.mEjectedMillis = 0;
-        load.mRefusals = 0;
-        load.mRefusingUntil = 0;
+        load.mEjectionMillis = 0;
+        load.mConsecutiveRunRefusals = 0;
+        load.mRefusingRunsUntil = 0;
     }
 
-    /**
-     * Records that an engine refused a call as it is full or changes its role.
-     *
-     * @param upstream the engine
-     */
+    /** Records that an engine refused a call because it is full or changes its role. */
     public void refused(UpstreamEntry upstream) {
         Load load = load(upstream.incarnation());
-        load.mEjectedUntil = Math.max(load.mEjectedUntil, mLoop.millis() + REFUSED_MILLIS);
+        load.mEjectedUntil = Math.max(load.mEjectedUntil, mLoop.millis() + REFUSAL_EJECTION_MILLIS);
     }
 
     /**
-     * Records that an engine refused to run a request though it had set a place aside for it, as
-     * one does that empties to change its role. It looks idle, so it would be chosen again and
-     * again; the other routers are told too.
-     *
-     * @param engine the engine
+     * Records that an engine refused to run a request although it had accepted a reservation for
+     * it, as an engine does that drains before a role change. Such an engine looks idle and would
+     * be chosen again and again, so the other routers are notified as well.
      */
     public void runRefused(UpstreamEntry engine) {
         Load load = load(engine.incarnation());
-        load.mRefusals++;
-        if (load.mRefusals < REFUSALS) {
+        load.mConsecutiveRunRefusals++;
+        if (load.mConsecutiveRunRefusals < CONSECUTIVE_RUN_REFUSALS) {
             return;
         }
-        int doublings = Math.min(load.mRefusals - REFUSALS, Integer.SIZE / 2);
-        long millis = Math.min(MOST_EJECTED_MILLIS, FIRST_REFUSING_MILLIS << doublings);
-        load.mRefusingUntil = mLoop.millis() + millis;
-        mOnUrgent.run();
+        int doublings =
+                Math.min(load.mConsecutiveRunRefusals - CONSECUTIVE_RUN_REFUSALS, Integer.SIZE / 2);
+        long millis = Math.min(MAX_EJECTION_MILLIS, MIN_RUN_REFUSAL_MILLIS << doublings);
+        load.mRefusingRunsUntil = mLoop.millis() + millis;
+        mOnUrgentChange.run();
         LOGGER.warn(
                 "upstream refuses runs id={} refusals={} millis={}",
                 engine.id(),
-                load.mRefusals,
+                load.mConsecutiveRunRefusals,
                 millis);
     }
 
     /**
-     * Returns the engines that are taken to refuse runs, those included in whose place another
-     * answers: a router that finds that out by itself has a prompt read for nothing.
-     *
-     * @return their ids
+     * Returns the engines that count as refusing runs, including those at whose address another
+     * upstream answers. A router that has to find this out itself wastes a prefill.
      */
     public Set<UpstreamIncarnation> refusingEngines() {
         long now = mLoop.millis();
         return mLoads.entrySet().stream()
-                .filter(each -> each.getValue().refusesUntil() > now)
+                .filter(each -> each.getValue().refusesRunsUntil() > now)
                 .map(Map.Entry::getKey)
                 .collect(Collectors.toUnmodifiableSet());
     }
 
     /**
-     * Records that another incarnation or an engine of another role answered in an upstream's
-     * place: a crashed upstream is listed for some heartbeats although its successor has its
-     * address. It is passed over until its entry has lapsed or lists another role.
-     *
-     * @param upstream the upstream as it was listed
+     * Records that another incarnation, or an engine of another role, answered at an upstream's
+     * address: a crashed upstream stays listed for several heartbeats although its successor has
+     * its address. The upstream is ejected until its entry expires or is listed with another role.
      */
     public void replaced(UpstreamEntry upstream) {
         Load load = load(upstream.incarnation());
         long now = mLoop.millis();
-        if (load.passedOverUntil(upstream) <= now) {
+        if (load.ejectedUntil(upstream) <= now) {
             LOGGER.warn(
                     "upstream replaced id={} role={} millis={}",
                     upstream.id(),
                     upstream.role(),
-                    REPLACED_MILLIS);
+                    REPLACEMENT_EJECTION_MILLIS);
         }
-        load.mReplacedUntil = now + REPLACED_MILLIS;
+        load.mReplacedUntil = now + REPLACEMENT_EJECTION_MILLIS;
         load.mReplacedRole = upstream.role();
-        mOnUrgent.run();
+        mOnUrgentChange.run();
     }
 
-    /**
-     * Sets the engines that change their role by this router's order.
-     *
-     * @param changing their ids; may be called from any thread
-     */
+    /** Sets the engines whose role this router is changing. Thread safe. */
     public void setChangingEngines(Set<UpstreamIncarnation> changing) {
-        mChanging = changing;
+        mChangingEngines = changing;
     }
 
     /**
-     * Records that a call failed.
+     * Records a failed call.
      *
-     * @param upstream where
-     * @param unreachable whether the upstream could not be reached
-     * @param detail what happened, for the log
+     * @param unreachable whether no connection could be made
      */
     public void failed(UpstreamEntry upstream, boolean unreachable, String detail) {
         Load load = load(upstream.incarnation());
         long now = mLoop.millis();
-        load.mFailures++;
+        load.mConsecutiveFailures++;
         if (!unreachable) {
-            load.mFailedLately.add(1, now);
-            mOnChanged.run();
+            load.mRecentFailures.add(1, now);
+            mOnChange.run();
         }
-        if (unreachable || load.mFailures >= FAILURES) {
-            passOver(upstream, load, FIRST_EJECTED_MILLIS, detail);
+        if (unreachable || load.mConsecutiveFailures >= CONSECUTIVE_FAILURES) {
+            eject(upstream, load, MIN_EJECTION_MILLIS, detail);
         }
     }
 
     /**
-     * Passes an upstream over for a while, unless it is already.
+     * Ejects an upstream, unless it is ejected already. Until a call succeeds, each ejection lasts
+     * twice as long as the one before, up to {@link #MAX_EJECTION_MILLIS}.
      *
-     * @param upstream the upstream
-     * @param load its state
-     * @param leastMillis for how long at least, milliseconds
-     * @param detail why, for the log
+     * @param minMillis the shortest duration, milliseconds
      */
-    private void passOver(UpstreamEntry upstream, Load load, long leastMillis, String detail) {
+    private void eject(UpstreamEntry upstream, Load load, long minMillis, String detail) {
         long now = mLoop.millis();
         if (now < load.mEjectedUntil) {
             return;
         }
-        load.mEjectedMillis =
-                Math.min(MOST_EJECTED_MILLIS, Math.max(leastMillis, 2 * load.mEjectedMillis));
-        load.mEjectedUntil = now + load.mEjectedMillis;
+        load.mEjectionMillis =
+                Math.min(MAX_EJECTION_MILLIS, Math.max(minMillis, 2 * load.mEjectionMillis));
+        load.mEjectedUntil = now + load.mEjectionMillis;
         LOGGER.warn(
                 "upstream passed over id={} failures={} millis={} cause={}",
                 upstream.id(),
-                load.mFailures,
-                load.mEjectedMillis,
+                load.mConsecutiveFailures,
+                load.mEjectionMillis,
                 detail);
     }
 
     /**
-     * Passes an upstream over if most of the calls fail that all routers sent it lately. It is
-     * asked for each upstream whenever one is chosen, and mostly none has failed.
+     * Ejects an upstream if most of the recent calls of all routers failed. Called for each
+     * candidate of each choice; usually none has failed.
      *
-     * @param upstream the upstream
-     * @param now the clock, milliseconds
+     * @param now the current time, milliseconds
      */
-    private void judge(UpstreamEntry upstream, long now) {
-        UpstreamUse others = mPeers.upstreamUse(upstream.incarnation());
+    private void ejectIfFailing(UpstreamEntry upstream, long now) {
+        UpstreamUse peers = mPeers.upstreamUse(upstream.incarnation());
         Load load = load(upstream.incarnation());
-        int failed = others.failed() + (int) Math.round(load.mFailedLately.sum(now));
+        int failed = peers.failed() + (int) Math.round(load.mRecentFailures.sum(now));
         if (failed == 0) {
             return;
         }
-        int succeeded = others.succeeded() + (int) Math.round(load.mSucceededLately.sum(now));
-        FailureRate share = new FailureRate(failed, succeeded);
-        if (share.failing()) {
-            double spread = 1 + SPREAD * (2 * mRandom.nextDouble() - 1);
-            passOver(upstream, load, (long) (ENDS_MILLIS * spread), share.toString());
+        int succeeded = peers.succeeded() + (int) Math.round(load.mRecentSuccesses.sum(now));
+        FailureRate failureRate = new FailureRate(failed, succeeded);
+        if (failureRate.failing()) {
+            double jitter = 1 + EJECTION_JITTER * (2 * mRandom.nextDouble() - 1);
+            eject(upstream, load, (long) (OUTCOME_WINDOW_MILLIS * jitter), failureRate.toString());
         }
     }
 
     /**
-     * Orders upstreams of a plain service by the calls that are known to be under way for their
-     * slots, own hall first, passing over those that failed.
+     * Orders the upstreams of a plain service by calls in flight per slot, with a preference for
+     * the own hall. Ejected upstreams are left out.
      *
-     * @param candidates the upstreams
-     * @param tried where the request was already sent
+     * @param tried the upstreams that were already sent the request
      * @return the upstreams, the least loaded first
      */
     public List<UpstreamEntry> byCalls(
@@ -532,10 +462,10 @@
     }
 
     /**
-     * Orders engines by the tokens that all routers are known to have under way there.
+     * Orders engines by the tokens that all routers are known to have in flight there. Ejected
+     * engines are left out.
      *
-     * @param candidates the engines
-     * @param tried where the request was already sent
+     * @param tried the engines that were already sent the request
      * @return the engines, the least loaded first
      */
     public List<UpstreamEntry> byTokens(
@@ -544,110 +474,91 @@
     }
 
     /**
-     * Orders upstreams.
+     * Orders upstreams by cost.
      *
-     * @param candidates the upstreams
-     * @param tried where the request was already sent
-     * @param cost what each costs
-     * @return the upstreams that are not passed over, the cheapest first; where all refuse runs,
-     *     those; where all are passed over, the one that comes back first
+     * @param tried the upstreams that were already sent the request
+     * @return the available upstreams that accept runs, the cheapest first; if all available ones
+     *     refuse runs, those; if all are ejected, the one whose ejection ends first
      */
     private List<UpstreamEntry> ordered(
             Collection<UpstreamEntry> candidates,
             Set<UpstreamIncarnation> tried,
             ToDoubleFunction<UpstreamEntry> cost) {
         long now = mLoop.millis();
-        List<UpstreamEntry> left = new ArrayList<>(candidates);
-        left.removeIf(
+        List<UpstreamEntry> untried = new ArrayList<>(candidates);
+        untried.removeIf(
                 entry ->
                         tried.contains(entry.incarnation())
-                                || mChanging.contains(entry.incarnation())
+                                || mChangingEngines.contains(entry.incarnation())
                                 || mPeers.isChangingRole(entry.incarnation()));
-        left.forEach(entry -> judge(entry, now));
-        List<UpstreamEntry> there = new ArrayList<>(left);
-        there.removeIf(entry -> load(entry.incarnation()).passedOverUntil(entry) > now);
-        if (there.isEmpty()) {
-            return left.stream()
+        untried.forEach(entry -> ejectIfFailing(entry, now));
+        List<UpstreamEntry> available = new ArrayList<>(untried);
+        available.removeIf(entry -> load(entry.incarnation()).ejectedUntil(entry) > now);
+        if (available.isEmpty()) {
+            return untried.stream()
                     .min(
                             Comparator.comparingLong(
-                                    entry -> load(entry.incarnation()).passedOverUntil(entry)))
+                                    entry -> load(entry.incarnation()).ejectedUntil(entry)))
                     .map(List::of)
                     .orElse(List.of());
         }
-        List<UpstreamEntry> sound = new ArrayList<>(there);
-        sound.removeIf(entry -> refuses(entry.incarnation(), now));
-        if (sound.isEmpty()) {
-            sound = there;
+        List<UpstreamEntry> accepting = new ArrayList<>(available);
+        accepting.removeIf(entry -> refusesRuns(entry.incarnation(), now));
+        if (accepting.isEmpty()) {
+            accepting = available;
         }
         Map<UpstreamIncarnation, Double> costs = new HashMap<>();
-        for (UpstreamEntry entry : sound) {
+        for (UpstreamEntry entry : accepting) {
             costs.put(entry.incarnation(), cost.applyAsDouble(entry) + mRandom.nextDouble() * 1e-6);
         }
-        sound.sort(Comparator.comparingDouble(entry -> costs.get(entry.incarnation())));
-        return sound;
+        accepting.sort(Comparator.comparingDouble(entry -> costs.get(entry.incarnation())));
+        return accepting;
     }
 
-    /**
-     * Returns whether an engine is taken to refuse runs, by this router or another.
-     *
-     * @param id the engine
-     * @param now the clock, milliseconds
-     * @return whether it is
-     */
-    private boolean refuses(UpstreamIncarnation id, long now) {
-        return load(id).mRefusingUntil > now || mPeers.isRefusing(id);
+    /** Returns whether an engine counts as refusing runs, as seen by this router or another. */
+    private boolean refusesRuns(UpstreamIncarnation id, long now) {
+        return load(id).mRefusingRunsUntil > now || mPeers.isRefusing(id);
     }
 
     /**
-     * Returns what a plain call costs.
-     *
-     * @param entry the upstream
-     * @return the part of its slots that is taken, and more for another hall
+     * Returns the cost of a plain call: the occupied fraction of the slots, and a surcharge for
+     * another hall.
      */
     private double callCost(UpstreamEntry entry) {
-        double taken = calls(entry) / (double) Math.max(1, entry.slots());
-        return taken + (entry.hall().equals(mHall) ? 0 : OTHER_HALL);
+        double occupied = calls(entry) / (double) Math.max(1, entry.slots());
+        return occupied + (entry.hall().equals(mHall) ? 0 : CROSS_HALL_COST);
     }
 
     /**
-     * Returns what is under way, with what this router learnt for the others. How calls ended that
-     * went well is told with those that are under way or failed: the names of upstreams are most of
-     * a report.
+     * Returns the usage to report to the other routers. Successful calls are only reported for
+     * upstreams with calls in flight or failures, since the names of upstreams make up most of a
+     * report.
      *
-     * @return the use of each upstream that is used or failed lately
+     * @return the usage of each upstream with calls in flight, unattributed tokens to share, or
+     *     recent failures
      */
     public Map<UpstreamIncarnation, UpstreamUse> usage() {
         long now = mLoop.millis();
-        Map<UpstreamIncarnation, UpstreamUse> uses = new HashMap<>();
+        Map<UpstreamIncarnation, UpstreamUse> usage = new HashMap<>();
         mLoads.forEach(
                 (id, load) -> {
-                    long learnt = load.mUnknownTold ? unknown(load) : 0;
-                    int failed = (int) Math.round(load.mFailedLately.sum(now));
-                    if (load.mCalls > 0 || learnt > 0 || failed > 0) {
-                        int succeeded = (int) Math.round(load.mSucceededLately.sum(now));
-                        long tokens = load.mTokens + learnt;
-                        uses.put(id, new UpstreamUse(load.mCalls, tokens, failed, succeeded));
+                    long unattributed = load.mUnattributedShared ? unattributedTokens(load) : 0;
+                    int failed = (int) Math.round(load.mRecentFailures.sum(now));
+                    if (load.mCalls > 0 || unattributed > 0 || failed > 0) {
+                        int succeeded = (int) Math.round(load.mRecentSuccesses.sum(now));
+                        long tokens = load.mTokens + unattributed;
+                        usage.put(id, new UpstreamUse(load.mCalls, tokens, failed, succeeded));
                     }
                 });
-        return uses;
+        return usage;
     }
 
-    /**
-     * Forgets upstreams that are no longer listed.
-     *
-     * @param listed the ids that are listed
-     */
+    /** Removes the state of upstreams that are no longer listed and have no call in flight. */
     public void retain(Set<UpstreamIncarnation> listed) {
         mLoads.entrySet()
                 .removeIf(each -> !listed.contains(each.getKey()) && each.getValue().mCalls == 0);
     }
 
-    /**
-     * Returns an upstream's state.
-     *
-     * @param id the upstream
-     * @return its state
-     */
     private Load load(UpstreamIncarnation id) {
         return mLoads.computeIfAbsent(id, any -> new Load());
     }
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/UpstreamNotices.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/UpstreamNotices.java
@@ -17,69 +17,56 @@
 import org.troutpier.daemon.notice.UpstreamNotice;
 
 /**
- * What upstreams have announced of themselves to this router: that they leave, and for how long
- * they want no call. Confined to the traffic loop, except for {@link #backOffMillis}. Invariants: a
- * word belongs to one start of an upstream; leaving is final for that start; a back-off ends by
- * itself and is never shortened.
+ * Notices that upstreams announced to this router: that they are leaving, and for how long they
+ * request a back-off. Confined to the traffic loop, except for {@link #backOffMillis}. Invariants:
+ * a notice belongs to one incarnation of an upstream; leaving is final for that incarnation; a
+ * back-off ends by itself and is never shortened.
  */
 public final class UpstreamNotices {
 
-    /** Where operators list what upstreams have announced. */
+    /** Path at which operators list the notices of upstreams. */
     public static final String PATH = "/notices";
 
-    /** What the names of an upstream's figures begin with. */
-    private static final String FIGURES = "upstream.";
+    /** Prefix of the metrics of an upstream. */
+    private static final String METRIC_PREFIX = "upstream.";
 
-    /** Logs what is announced for the first time. */
     private static final Logger LOGGER = LogManager.getLogger(UpstreamNotices.class);
 
-    /** The clock. */
     private final TrafficLoop mLoop;
 
-    /** Spreads the returns to upstreams. */
+    /** Spreads the return to upstreams after a back-off. */
     private final RandomGenerator mRandom;
 
-    /** Counts by upstream. */
     private final MetricRegistry mMetrics;
 
-    /** What is known of each upstream that has announced something. */
     private final Map<UpstreamIncarnation, State> mStates = new ConcurrentHashMap<>();
 
-    /** Receives the starts that leave. */
-    private Consumer<UpstreamIncarnation> mOnLeaving = start -> {};
+    private Consumer<UpstreamIncarnation> mOnLeaving = incarnation -> {};
 
-    /** What one upstream has announced. */
+    /** Notices of one upstream. */
     private static final class State {
 
-        /** Whether it leaves. */
         private boolean mLeaving;
 
-        /** The back-off that it has asked for. */
         private final UpstreamBackOff mBackOff = new UpstreamBackOff();
 
-        /** Calls that were sent to it since it last announced something new. */
+        /** Calls sent to it since its last new notice. */
         private long mSentSince;
     }
 
     /**
-     * What one upstream has announced, as operators see it. Immutable and thread safe.
+     * Notices of an upstream, as shown to operators. Immutable and thread safe.
      *
      * @param upstream the upstream
-     * @param leaving whether it leaves
-     * @param backOffMillis for how long it still wants no call, milliseconds
-     * @param sentSince calls that were sent to it since it last announced something new
-     * @param withheld calls that were not sent to it for a back-off
+     * @param leaving whether it is leaving
+     * @param backOffMillis remaining back-off, milliseconds
+     * @param sentSince calls sent to it since its last new notice
+     * @param withheld calls withheld from it because of a back-off
      */
     public record Status(
             String upstream, boolean leaving, long backOffMillis, long sentSince, long withheld) {}
 
-    /**
-     * Creates a view in which no upstream has announced anything.
-     *
-     * @param loop the clock
-     * @param random spreads the returns to upstreams
-     * @param metrics counts by upstream
-     */
+    /** Creates an instance without any notice. */
     public UpstreamNotices(TrafficLoop loop, RandomGenerator random, MetricRegistry metrics) {
         mLoop = loop;
         mRandom = random;
@@ -87,26 +74,22 @@
     }
 
     /**
-     * Sets who receives the starts of upstreams that announce that they leave, each once.
+     * Sets the listener for incarnations that announce that they are leaving; each is reported
+     * once.
      *
-     * @param listener receives them on the traffic loop
+     * @param listener the listener, called on the traffic loop
      */
     public void onLeaving(Consumer<UpstreamIncarnation> listener) {
         mOnLeaving = listener;
     }
 
-    /**
-     * Takes what an answer announces.
-     *
-     * @param upstream whose answer it is
-     * @param notice what it announces
-     */
-    void received(UpstreamEntry upstream, UpstreamNotice notice) {
+    /** Records the notices of an answer. */
+    void record(UpstreamEntry upstream, UpstreamNotice notice) {
         if (notice.leaving() == NoticeState.ANNOUNCED) {
-            leaves(upstream);
+            recordLeaving(upstream);
         }
         if (notice.backOff().state() == NoticeState.ANNOUNCED) {
-            backsOff(upstream, notice.backOff().millis());
+            recordBackOff(upstream, notice.backOff().millis());
         }
         if (notice.leaving() == NoticeState.UNREADABLE
                 || notice.backOff().state() == NoticeState.UNREADABLE) {
@@ -115,12 +98,7 @@
         }
     }
 
-    /**
-     * Takes note that an upstream leaves.
-     *
-     * @param upstream the upstream
-     */
-    private void leaves(UpstreamEntry upstream) {
+    private void recordLeaving(UpstreamEntry upstream) {
         State state = state(upstream.incarnation());
         count(upstream, "leaving-announced");
         if (!state.mLeaving) {
@@ -135,13 +113,7 @@
         }
     }
 
-    /**
-     * Takes note that an upstream wants no call for a while.
-     *
-     * @param upstream the upstream
-     * @param millis for how long, milliseconds
-     */
-    private void backsOff(UpstreamEntry upstream, long millis) {
+    private void recordBackOff(UpstreamEntry upstream, long millis) {
         State state = state(upstream.incarnation());
         count(upstream, "back-off-asked");
         long now = mLoop.millis();
@@ -150,26 +122,24 @@
             LOGGER.info(
                     "upstream asks for a back-off id={} millis={}", upstream.incarnation(), millis);
         }
-        state.mBackOff.asked(millis, now, mRandom);
+        state.mBackOff.extend(millis, now, mRandom);
     }
 
     /**
-     * Returns whether an upstream may be sent a call that it works on.
+     * Returns whether an upstream may be sent a call that makes it work.
      *
-     * @param upstream the upstream
-     * @param underWay how many calls of this router are under way there
-     * @return whether it may; false while it leaves or wants no call
+     * @return whether it may; false while it is leaving or in a back-off
      */
-    boolean admits(UpstreamEntry upstream, int underWay) {
+    boolean admits(UpstreamEntry upstream, int activeCalls) {
         State state = mStates.get(upstream.incarnation());
-        return state == null || !state.mLeaving && state.mBackOff.admits(underWay, mLoop.millis());
+        return state == null
+                || !state.mLeaving && state.mBackOff.admits(activeCalls, mLoop.millis());
     }
 
     /**
-     * Returns for how long an upstream wants no call. Thread safe.
+     * Returns the remaining back-off of an upstream. Thread safe.
      *
-     * @param upstream the upstream
-     * @return milliseconds; 0 where it takes calls
+     * @return milliseconds; 0 if it accepts calls
      */
     public long backOffMillis(UpstreamEntry upstream) {
         State state = mStates.get(upstream.incarnation());
@@ -177,24 +147,18 @@
     }
 
     /**
-     * Takes note that an upstream worked on a call and was successful.
+     * Records a successful call.
      *
-     * @param upstream the upstream
-     * @param tookMillis how long ago the call was sent, milliseconds
+     * @param tookMillis time since the call was sent, milliseconds
      */
-    void succeeded(UpstreamEntry upstream, long tookMillis) {
+    void recordSuccess(UpstreamEntry upstream, long tookMillis) {
         State state = mStates.get(upstream.incarnation());
         if (state != null) {
-            state.mBackOff.succeeded(mLoop.millis() - tookMillis);
+            state.mBackOff.recordSuccess(mLoop.millis() - tookMillis);
         }
     }
 
-    /**
-     * Counts a call that is sent.
-     *
-     * @param upstream where to
-     */
-    void sent(UpstreamEntry upstream) {
+    void recordSent(UpstreamEntry upstream) {
         State state = mStates.get(upstream.incarnation());
         if (state != null) {
             state.mSentSince++;
@@ -202,60 +166,44 @@
     }
 
     /**
-     * Returns what is known of each upstream that leaves or wants no call now.
+     * Returns the upstreams that are leaving or in a back-off.
      *
-     * @return the upstreams, by name
+     * @return their states, sorted by upstream
      */
     public List<Status> statuses() {
         long now = mLoop.millis();
-        List<Status> standings = new ArrayList<>();
+        List<Status> statuses = new ArrayList<>();
         mStates.forEach(
                 (upstream, state) -> {
-                    long left = Math.max(0, state.mBackOff.endsAt() - now);
-                    if (state.mLeaving || left > 0) {
-                        standings.add(
+                    long remaining = Math.max(0, state.mBackOff.endsAt() - now);
+                    if (state.mLeaving || remaining > 0) {
+                        statuses.add(
                                 new Status(
                                         upstream.toString(),
                                         state.mLeaving,
-                                        left,
+                                        remaining,
                                         state.mSentSince,
                                         state.mBackOff.withheld()));
                     }
                 });
-        standings.sort(Comparator.comparing(Status::upstream));
-        return standings;
+        statuses.sort(Comparator.comparing(Status::upstream));
+        return statuses;
     }
 
-    /**
-     * Forgets upstreams that are no longer listed and whose back-off is over.
-     *
-     * @param listed the starts that are listed
-     */
+    /** Removes upstreams that are no longer listed and whose back-off is over. */
     void retain(Set<UpstreamIncarnation> listed) {
         long now = mLoop.millis();
         mStates.entrySet()
                 .removeIf(
                         each ->
                                 !listed.contains(each.getKey())
-                                        && each.getValue().mBackOff.returned(now));
+                                        && each.getValue().mBackOff.isOver(now));
     }
 
-    /**
-     * Counts for an upstream.
-     *
-     * @param upstream the upstream
-     * @param what what is counted
-     */
-    private void count(UpstreamEntry upstream, String what) {
-        mMetrics.counter(FIGURES + upstream.id() + "." + what).inc();
+    private void count(UpstreamEntry upstream, String metric) {
+        mMetrics.counter(METRIC_PREFIX + upstream.id() + "." + metric).inc();
     }
 
-    /**
-     * Returns what is known of an upstream.
-     *
-     * @param upstream the upstream
-     * @return its state, made where it has announced nothing yet
-     */
     private State state(UpstreamIncarnation upstream) {
         return mStates.computeIfAbsent(upstream, any -> new State());
     }
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/UpstreamPort.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/UpstreamPort.java
@@ -9,32 +9,16 @@
 import org.troutpier.daemon.upstream.AttemptEnd;
 
 /**
- * Sends calls to upstreams. Called on the traffic loop; listeners are called there too. Every call
- * names the upstream's incarnation, so that an address that was given to another upstream never
- * runs it.
+ * Port through which the router sends calls to upstreams; adapters implement it for a protocol.
+ * Called on the traffic loop, as are the listeners. Every call names the upstream's incarnation, so
+ * that an address that was reassigned to another upstream never runs it.
  */
 public interface UpstreamPort {
 
-    /**
-     * Sends a request to be run.
-     *
-     * @param upstream where to
-     * @param request the request
-     * @param plan what goes with it
-     * @param listener receives the answer
-     * @return the call, to abort it
-     */
+    /** Sends a request to be run. */
     Call run(UpstreamEntry upstream, ServingRequest request, RunPlan plan, RunListener listener);
 
-    /**
-     * Has a prompt read without running the request.
-     *
-     * @param upstream where to
-     * @param request the request
-     * @param plan what goes with it
-     * @param listener receives the result
-     * @return the call, to abort it
-     */
+    /** Prefills a prompt without running the request. */
     Call prefill(
             UpstreamEntry upstream,
             ServingRequest request,
@@ -42,72 +26,61 @@
             ResultListener<StoredPrompt> listener);
 
     /**
-     * Sets a slot and memory aside at an engine.
+     * Reserves a slot and memory at an engine.
      *
-     * @param upstream where to
-     * @param tokens how much memory
-     * @param millis for how long
-     * @param listener receives the place, or the refusal
-     * @return the call, to abort it
+     * @param tokens the memory to reserve
+     * @param millis the lifetime of the reservation, milliseconds
      */
     Call reserve(
             UpstreamEntry upstream, long tokens, int millis, ResultListener<Reservation> listener);
 
     /**
-     * Gives a place back that serves nobody; a failure is logged, the place lapses by itself.
-     *
-     * @param upstream where it was set aside
-     * @param place the place
+     * Releases a reservation that is not used. A failure is only logged, since the reservation
+     * expires by itself.
      */
-    void release(UpstreamEntry upstream, Reservation place);
+    void release(UpstreamEntry upstream, Reservation reservation);
 
     /**
-     * Frees a prompt's memory that serves nobody; a failure is logged, the memory lapses by itself.
-     *
-     * @param prompt the prompt
+     * Frees the memory of a stored prompt that is not used. A failure is only logged, since the
+     * memory expires by itself.
      */
     void discard(StoredPrompt prompt);
 
     /**
-     * Asks an upstream whether its process still takes connections; it gets no request.
+     * Probes whether an upstream's process accepts connections, without sending a request.
      *
-     * @param upstream the upstream
-     * @param listener receives the answer, on the traffic loop
+     * @param listener receives the result, on the traffic loop
      */
     void probe(UpstreamEntry upstream, Consumer<ProbeResult> listener);
 
-    /** Whether an upstream's process takes connections. */
+    /** Whether an upstream's process accepts connections. */
     enum ProbeResult {
-        /** A connection was taken. */
+        /** A connection was accepted. */
         LISTENING,
-        /** The upstream's machine says that nothing listens there. */
+        /** The upstream's machine answered that nothing listens there. */
         NOT_LISTENING,
-        /** Nothing was heard: the machine, or the way to it, may be gone. */
+        /** No answer: the machine or the network path to it may be down. */
         UNKNOWN
     }
 
-    /** A call under way. */
+    /** A call in flight. */
     interface Call {
 
-        /** Closes the connection, which cancels the call; its listener is not called again. */
+        /** Closes the connection, which cancels the call. Its listener is not called again. */
         void abort();
 
-        /**
-         * Holds the upstream back or lets it go on.
-         *
-         * @param on whether to read what it sends
-         */
+        /** Sets whether the answer is read from the connection; used for back-pressure. */
         void setAutoRead(boolean on);
     }
 
     /**
-     * What goes with a request to an upstream. Immutable and thread safe.
+     * Parameters of a run or a prefill. Immutable and thread safe.
      *
-     * @param deadlineMillis when the upstream is to stop work, from now
-     * @param priority the rank, 0 is the most urgent
-     * @param prompt where the prompt was read, if elsewhere
+     * @param deadlineMillis time left until the upstream must stop work, milliseconds
+     * @param priority the rank; 0 is the most urgent
+     * @param prompt the stored prompt, if it was prefilled at another engine
      * @param reservation the slot and memory reserved for the run, if any
-     * @param resumeAfter the last event that the caller has, where a stream is continued
+     * @param resumeAfter the last event that the caller has received, if a stream is resumed
      */
     record RunPlan(
             long deadlineMillis,
@@ -117,11 +90,10 @@
             OptionalLong resumeAfter) {
 
         /**
-         * Makes the plan of a plain call.
+         * Creates the parameters of a call to a plain service.
          *
-         * @param deadlineMillis when the upstream is to stop work, from now
-         * @param priority the rank, 0 is the most urgent
-         * @return the plan
+         * @param deadlineMillis time left until the upstream must stop work, milliseconds
+         * @param priority the rank; 0 is the most urgent
          */
         public static RunPlan plain(long deadlineMillis, int priority) {
             return new RunPlan(
@@ -133,31 +105,24 @@
         }
 
         /**
-         * Returns the plan with a place.
+         * Returns a copy with a reservation.
          *
-         * @param taken the place
-         * @return a new plan
+         * @param reserved the reservation, if any
          */
-        public RunPlan withReservation(Optional<Reservation> taken) {
-            return new RunPlan(deadlineMillis, priority, prompt, taken, resumeAfter);
+        public RunPlan withReservation(Optional<Reservation> reserved) {
+            return new RunPlan(deadlineMillis, priority, prompt, reserved, resumeAfter);
         }
 
-        /**
-         * Returns the plan with a prompt that was read elsewhere.
-         *
-         * @param stored the prompt
-         * @return a new plan
-         */
+        /** Returns a copy with a prompt that was prefilled at another engine. */
         public RunPlan withPrompt(StoredPrompt stored) {
             return new RunPlan(
                     deadlineMillis, priority, Optional.of(stored), reservation, resumeAfter);
         }
 
         /**
-         * Returns the plan of a stream that is continued.
+         * Returns a copy for a stream that is resumed.
          *
-         * @param lastEvent the last event that the caller has, if any
-         * @return a new plan
+         * @param lastEvent the last event that the caller has received, if any
          */
         public RunPlan withResumeAfter(OptionalLong lastEvent) {
             return new RunPlan(deadlineMillis, priority, prompt, reservation, lastEvent);
@@ -165,63 +130,54 @@
     }
 
     /**
-     * A prompt's memory at the engine that read it. Immutable and thread safe.
+     * A prefilled prompt that is stored at an engine. Immutable and thread safe.
      *
      * @param upstream the engine
-     * @param handle names the memory there
+     * @param handle identifies the prompt at the engine
      */
     record StoredPrompt(UpstreamEntry upstream, String handle) {}
 
     /**
-     * A slot and memory set aside at an engine. Immutable and thread safe.
+     * A slot and memory reserved at an engine. Immutable and thread safe.
      *
-     * @param token names it there
+     * @param token identifies the reservation at the engine
      */
     record Reservation(String token) {}
 
     /**
-     * The head of an upstream's answer. Immutable by agreement: the headers are not changed.
+     * Head of an upstream's answer. The headers are mutable but must not be changed.
      *
      * @param status the HTTP status
-     * @param headers what goes to the caller; nothing that concerns one connection only
-     * @param verdict what the head proves
+     * @param headers the headers for the caller, without hop-by-hop headers
+     * @param verdict what the head proves about the request
      */
     record Head(int status, HttpHeaders headers, Verdict verdict) {}
 
-    /** What the head of an answer proves. */
+    /** What the head of an answer proves about the request. */
     enum Verdict {
-        /** The upstream's own success, for this request. */
+        /** A success of the upstream for this request. */
         SUCCESS,
-        /** The upstream's own answer for this request, not a success. */
+        /** An answer of the upstream to this request that is not a success. */
         OWN_FAILURE,
-        /** The upstream says that it did not start the request. */
+        /** The upstream states that it did not start the request. */
         NOT_STARTED,
         /** Another upstream has the address now; the request was not started. */
         OTHER_UPSTREAM,
-        /** Not this request's answer, or no answer of the upstream. */
+        /** The answer belongs to another request or does not come from the upstream. */
         FOREIGN
     }
 
-    /** Receives what an upstream announces in its answers. */
+    /** Receives the notices in an upstream's answers. */
     interface NoticeListener {
 
-        /**
-         * Receives what an answer announces of its upstream, before anything else of it.
-         *
-         * @param notice what the answer announces
-         * @param verdict what its head proves
-         */
+        /** Receives the notices of an answer, before anything else of it. */
         default void onNotice(UpstreamNotice notice, Verdict verdict) {}
     }
 
     /** Receives the answer to a run. */
     interface RunListener extends NoticeListener {
 
-        /**
-         * Receives the head.
-         *
-         * @param head the head
-         */
+        /** Receives the head. */
         void onHead(Head head);
 
         /**
@@ -231,36 +187,20 @@
          */
         void onPart(byte[] part);
 
-        /** Called when the answer is whole. */
+        /** Called after the last part. */
         void onEnd();
 
-        /**
-         * Called when there will be no whole answer.
-         *
-         * @param end what is known
-         */
+        /** Called if the answer cannot be completed. */
         void onFailure(AttemptEnd end);
     }
 
-    /**
-     * Receives the result of a call that runs nothing.
-     *
-     * @param <T> the result's type
-     */
+    /** Receives the result of a call that does not run a request. */
     interface ResultListener<T> extends NoticeListener {
 
-        /**
-         * Receives the result.
-         *
-         * @param result the result
-         */
+        /** Receives the result. */
         void onResult(T result);
 
-        /**
-         * Called when there is none.
-         *
-         * @param end what is known
-         */
+        /** Called if there is no result. */
         void onFailure(AttemptEnd end);
     }
 }
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/UpstreamRate.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/UpstreamRate.java
@@ -18,197 +18,175 @@
 import org.troutpier.daemon.limit.UsageSettings;
 
 /**
- * The rate that one start of an upstream names, and what it was sent here. Confined to the traffic
- * loop. Invariant: where nothing is known of the rate, none holds.
+ * The rate announced by one incarnation of an upstream, and the requests sent to it by this router.
+ * Confined to the traffic loop. Invariant: no limit applies while the rate is unknown.
  */
 final class UpstreamRate {
 
-    /** Over which window a rate is kept, and what upstreams bear beyond it. */
+    /** The window over which a rate is enforced, and the overshoot that upstreams tolerate. */
     static final UsageSettings SETTINGS = new UsageSettings(4, 0.5, 5);
 
-    /** How long the newest part of the window is over which a rate is paced, milliseconds. */
+    /** Length of the most recent part of the window, over which the rate is paced, milliseconds. */
     static final double PACE_MILLIS = SETTINGS.windowMillis() * UsageSettings.PACE_FRACTION;
 
     /**
-     * After how long without a word a rate holds no more, milliseconds: long enough that an
-     * upstream which takes one request in some seconds has said it again.
+     * Time without an announcement after which a rate expires, milliseconds: long enough that an
+     * upstream that accepts one request in several seconds has announced it again.
      */
-    static final long LAPSE_MILLIS = 30_000;
+    static final long EXPIRY_MILLIS = 30_000;
 
     /**
-     * The least rate that upstreams are sent requests at, requests a second: without any, no answer
-     * would say that the rate has ended.
+     * Lowest rate at which requests are sent, per second. Without any request, no answer could tell
+     * that the limit has ended.
      */
-    static final double LEAST_PER_SECOND = 0.1;
+    static final double MIN_PER_SECOND = 0.1;
 
     /**
-     * Which part of what upstreams bear beyond their rate may be used in the first window, by calls
-     * that were sent before the rate was known.
+     * Fraction of the tolerated overshoot that may be used in the first window, by calls that were
+     * sent before the rate was known.
      */
-    private static final double FIRST_TOLERANCE = 0.5;
+    private static final double INITIAL_TOLERANCE_FRACTION = 0.5;
 
     /**
-     * Which part of the window's calls counts that were sent before the rate was known: the time
-     * before it was named that still lies in a window once the rate binds, and the time until it
-     * was known here.
+     * Fraction of the window whose calls count although they were sent before the rate was known.
+     * It covers the time before the announcement that still lies in a window once the rate is
+     * binding, and the time until the announcement arrived here.
      */
-    private static final double KEPT_PART = 0.375;
+    private static final double RETAINED_FRACTION = 0.375;
 
     /**
-     * By which factor the rate may be passed in the window's newest part. The window alone keeps
-     * the rate; evenly paced, a part of it would be lost whenever callers pause.
+     * Factor by which the rate may be exceeded in the most recent part of the window. The window
+     * alone enforces the rate; strict pacing would waste a part of it whenever callers pause.
      */
     private static final double PACE_FACTOR = 1.25;
 
-    /** What may be sent beyond that: a rate below one request in that part is sent whole ones. */
-    private static final double PACE_REQUESTS = 1;
+    /**
+     * Requests allowed beyond that, since a rate below one request per paced part must still let
+     * whole requests through.
+     */
+    private static final double PACE_ALLOWANCE = 1;
 
-    /** How often at most a line tells of a changed rate, milliseconds. */
-    private static final long CHANGE_LINE_MILLIS = 1000;
+    /** Shortest interval between log lines about changed rates, milliseconds. */
+    private static final long CHANGE_LOG_INTERVAL_MILLIS = 1000;
 
-    /** How often at most a line tells the same of an upstream, milliseconds. */
-    private static final long LINE_MILLIS = 10_000;
+    /** Shortest interval between other log lines about one upstream, milliseconds. */
+    private static final long LOG_INTERVAL_MILLIS = 10_000;
 
-    /** Logs rates that are named, change or end. */
     private static final Logger LOGGER = LogManager.getLogger(UpstreamRate.class);
 
-    /** The upstream. */
     private final UpstreamIncarnation mUpstream;
 
-    /** What it was sent. */
-    private final UsageMeter mMeter = new UsageMeter(SETTINGS.windowMillis());
+    /** Requests sent to the upstream. */
+    private final UsageMeter mUsage = new UsageMeter(SETTINGS.windowMillis());
 
-    /** Who asked for it. */
-    private final ArrivalMeter mAsked = new ArrivalMeter(Math.round(PACE_MILLIS));
+    /** Requests that arrived for the upstream, by rank and organisation. */
+    private final ArrivalMeter mArrivals = new ArrivalMeter(Math.round(PACE_MILLIS));
 
-    /** What it may be sent in a window; meaningless where no rate holds. */
+    /** Requests allowed in a window; undefined while no rate applies. */
     private final GradualLimit mLimit = new GradualLimit(0, SETTINGS.windowMillis());
 
-    /** The rate that holds, requests a second. */
+    /** The rate that applies, requests per second. */
     private double mPerSecond = LastAnnouncedRate.UNLIMITED;
 
-    /** How many requests were not sent. */
+    /** Requests that were withheld. */
     private long mWithheld;
 
-    /** Whether anything is known of it. */
     private boolean mKnown;
 
-    /** Whether an answer here said so, which the other routers are to hear. */
-    private boolean mHeardHere;
+    /** Whether the announcement arrived at this router, which then reports it to the others. */
+    private boolean mAnnouncedLocally;
 
-    /** When it was said last, milliseconds on the clock of the control state. */
-    private long mSaidAt;
+    /** When the rate was last announced, milliseconds on the elapsed clock. */
+    private long mAnnouncedAt;
 
-    /** Keeps lines of changed rates apart. */
-    private final LinePause mChangeLines = new LinePause(CHANGE_LINE_MILLIS);
+    private final LinePause mChangeLogLimiter = new LinePause(CHANGE_LOG_INTERVAL_MILLIS);
 
-    /** Keeps other lines apart. */
-    private final LinePause mLines = new LinePause(LINE_MILLIS);
+    private final LinePause mLogLimiter = new LinePause(LOG_INTERVAL_MILLIS);
 
-    /**
-     * Creates an upstream that names no rate.
-     *
-     * @param upstream the upstream
-     */
     UpstreamRate(UpstreamIncarnation upstream) {
         mUpstream = upstream;
     }
 
-    /**
-     * Returns the upstream.
-     *
-     * @return its start
-     */
     UpstreamIncarnation upstream() {
         return mUpstream;
     }
 
     /**
-     * Returns the rate that holds.
+     * Returns the rate that applies.
      *
-     * @return requests a second, or {@link LastAnnouncedRate#UNLIMITED}
+     * @return requests per second, or {@link LastAnnouncedRate#UNLIMITED}
      */
     double perSecond() {
         return mPerSecond;
     }
 
-    /**
-     * Returns whether the upstream names a rate.
-     *
-     * @return whether one holds
-     */
-    boolean limited() {
+    boolean isLimited() {
         return mPerSecond != LastAnnouncedRate.UNLIMITED;
     }
 
-    /**
-     * Returns whether anything is known of the rate, be it that it has ended.
-     *
-     * @return whether it is
-     */
-    boolean known() {
+    /** Returns whether an announcement is known, which may also be that the limit has ended. */
+    boolean isKnown() {
         return mKnown;
     }
 
     /**
-     * Returns whether an answer here said what is known.
-     *
-     * @return whether the other routers are to hear of it from this one
+     * Returns whether this router received the announcement itself and has to report it to the
+     * others.
      */
-    boolean heardHere() {
-        return mKnown && mHeardHere;
+    boolean isAnnouncedLocally() {
+        return mKnown && mAnnouncedLocally;
     }
 
     /**
-     * Returns what is known of the rate.
+     * Returns the last announcement.
      *
-     * @param elapsed the clock of the control state, milliseconds
-     * @return the statement, as old as it is now
+     * @param elapsed the elapsed clock, milliseconds
+     * @return the rate and its current age
      */
-    LastAnnouncedRate named(long elapsed) {
+    LastAnnouncedRate lastAnnounced(long elapsed) {
         return mKnown
-                ? new LastAnnouncedRate(mPerSecond, elapsed - mSaidAt)
+                ? new LastAnnouncedRate(mPerSecond, elapsed - mAnnouncedAt)
                 : LastAnnouncedRate.NEVER;
     }
 
     /**
-     * Returns whether a call was sent after the rate was last named.
+     * Returns whether the rate was last announced before a call was sent, so that the answer to the
+     * call may end the rate.
      *
-     * @param sentAt when it was sent, milliseconds on the clock of the control state
-     * @return whether its answer may end the rate
+     * @param sentAt when the call was sent, milliseconds on the elapsed clock
      */
-    boolean namedBefore(long sentAt) {
-        return sentAt > mSaidAt;
+    boolean wasAnnouncedBefore(long sentAt) {
+        return sentAt > mAnnouncedAt;
     }
 
     /**
-     * Takes a statement.
+     * Applies an announcement.
      *
-     * @param perSecond the rate
-     * @param saidAt when it was said, milliseconds on the clock of the control state
-     * @param here whether an answer here said so
-     * @param now the traffic loop's clock, milliseconds
+     * @param perSecond the rate, requests per second
+     * @param announcedAt when it was announced, milliseconds on the elapsed clock
+     * @param local whether this router received it itself
+     * @param now the time of the traffic loop, milliseconds
      */
-    void learn(double perSecond, long saidAt, boolean here, long now) {
+    void update(double perSecond, long announcedAt, boolean local, long now) {
         if (perSecond != mPerSecond) {
-            changed(perSecond, here ? "answer" : "router", now);
+            applyChange(perSecond, local ? "answer" : "router", now);
         }
         mPerSecond = perSecond;
         mKnown = true;
-        mSaidAt = saidAt;
-        mHeardHere = here;
+        mAnnouncedAt = announcedAt;
+        mAnnouncedLocally = local;
     }
 
     /**
-     * Forgets a statement of which nothing was heard for long.
+     * Drops an announcement that was not repeated in time.
      *
-     * @param elapsed the clock of the control state, milliseconds
-     * @param now the traffic loop's clock, milliseconds
+     * @param elapsed the elapsed clock, milliseconds
+     * @param now the time of the traffic loop, milliseconds
      */
-    void lapse(long elapsed, long now) {
-        if (mKnown && elapsed - mSaidAt >= LAPSE_MILLIS) {
-            if (limited()) {
-                changed(LastAnnouncedRate.UNLIMITED, "silence", now);
+    void expire(long elapsed, long now) {
+        if (mKnown && elapsed - mAnnouncedAt >= EXPIRY_MILLIS) {
+            if (isLimited()) {
+                applyChange(LastAnnouncedRate.UNLIMITED, "silence", now);
             }
             mPerSecond = LastAnnouncedRate.UNLIMITED;
             mKnown = false;
@@ -216,169 +194,117 @@
     }
 
     /**
-     * Sets what the upstream may be sent in a window. What it was sent before it named its first
-     * rate counts where it may still be at work on it.
+     * Sets the limit of the window. Requests sent before the first announcement count as far as the
+     * upstream may still be working on them.
      *
-     * @param perSecond the rate
-     * @param source who said so, for the log
-     * @param now the traffic loop's clock, milliseconds
+     * @param perSecond the rate, requests per second
+     * @param now the time of the traffic loop, milliseconds
      */
-    private void changed(double perSecond, String source, long now) {
-        if (mChangeLines.over(now)) {
+    private void applyChange(double perSecond, String source, long now) {
+        if (mChangeLogLimiter.over(now)) {
             LOGGER.info(
                     "upstream rate changed id={} perSecond={} before={} source={}",
                     mUpstream,
-                    text(perSecond),
-                    text(mPerSecond),
+                    format(perSecond),
+                    format(mPerSecond),
                     source);
         }
         if (perSecond == LastAnnouncedRate.UNLIMITED) {
             return;
         }
-        double limit = Math.max(LEAST_PER_SECOND, perSecond) * SETTINGS.windowSeconds();
-        if (limited()) {
+        double limit = Math.max(MIN_PER_SECOND, perSecond) * SETTINGS.windowSeconds();
+        if (isLimited()) {
             mLimit.set(limit, now);
         } else {
-            mLimit.set(limit, limit + FIRST_TOLERANCE * SETTINGS.tolerance(limit), now);
-            mMeter.discardOlder(KEPT_PART, now);
+            mLimit.set(limit, limit + INITIAL_TOLERANCE_FRACTION * SETTINGS.tolerance(limit), now);
+            mUsage.discardOlder(RETAINED_FRACTION, now);
         }
     }
 
-    /**
-     * Records that a request is asked for, sent or not.
-     *
-     * @param asker who asks
-     * @param now the traffic loop's clock, milliseconds
-     */
-    void asked(FlowKey asker, long now) {
-        mMeter.recordRequested(1, now);
-        mAsked.record(asker, now);
+    /** Records the arrival of a request, whether it is sent or not. */
+    void recordArrival(FlowKey flow, long now) {
+        mUsage.recordRequested(1, now);
+        mArrivals.record(flow, now);
     }
 
-    /**
-     * Records that a request is sent.
-     *
-     * @param now the traffic loop's clock, milliseconds
-     */
-    void sent(long now) {
-        mMeter.recordUsed(1, now);
+    void recordSent(long now) {
+        mUsage.recordUsed(1, now);
     }
 
-    /** Records that a request is not sent. */
-    void withhold() {
+    void recordWithheld() {
         mWithheld++;
     }
 
-    /**
-     * Returns how many requests were not sent.
-     *
-     * @return the count since the rate was first named
-     */
+    /** Returns the number of withheld requests since the rate was first announced. */
     long withheld() {
         return mWithheld;
     }
 
     /**
-     * Takes back that a request was sent.
+     * Takes back a request that was recorded as sent.
      *
-     * @param at when that was recorded, milliseconds
-     * @param now the traffic loop's clock, milliseconds
+     * @param at when it was recorded, milliseconds
+     * @param now the time of the traffic loop, milliseconds
      */
-    void takeBack(long at, long now) {
-        mMeter.subtract(1, at, now);
+    void refund(long at, long now) {
+        mUsage.subtract(1, at, now);
     }
 
-    /**
-     * Returns what was sent and asked here lately.
-     *
-     * @param now the traffic loop's clock, milliseconds
-     * @return the use
-     */
-    RecentUsage recent(long now) {
-        return mMeter.recent(now);
+    RecentUsage recentUsage(long now) {
+        return mUsage.recent(now);
     }
 
-    /**
-     * Returns what is to be reported to the others.
-     *
-     * @param elapsed the clock of the control state, milliseconds
-     * @param now the traffic loop's clock, milliseconds
-     * @return the report
-     */
+    /** Returns the report for the other routers. */
     RateReport report(long elapsed, long now) {
-        LastAnnouncedRate named = heardHere() ? named(elapsed) : LastAnnouncedRate.NEVER;
-        return new RateReport(named, recent(now), mAsked.byRank(now));
+        LastAnnouncedRate announced =
+                isAnnouncedLocally() ? lastAnnounced(elapsed) : LastAnnouncedRate.NEVER;
+        return new RateReport(announced, recentUsage(now), mArrivals.byRank(now));
     }
 
     /**
-     * Returns with what chance a request is sent.
+     * Returns the probability with which a request is sent. Requests of a more urgent rank come
+     * first; within a rank, organisations share max-min fairly.
      *
-     * @param asker who asks
-     * @param others what the other routers reported
-     * @param share returns how much of a limit the routers that hear each other may use
-     * @param now the traffic loop's clock, milliseconds
-     * @return the chance; 0 or less for none, 1 or more for certain
+     * @param share returns the part of a limit that the routers that reach each other may use
+     * @param now the time of the traffic loop, milliseconds
+     * @return the probability; values of 0 or less mean never, values of 1 or more always
      */
-    double chance(FlowKey asker, RateReport others, DoubleUnaryOperator share, long now) {
-        List<Long> here = mAsked.byRank(now);
+    double admissionProbability(
+            FlowKey flow, RateReport peers, DoubleUnaryOperator share, long now) {
+        List<Long> local = mArrivals.byRank(now);
         double ahead = 0;
-        for (int rank = 0; rank < asker.rank(); rank++) {
-            ahead += asked(here, rank) + asked(others.asked(), rank);
+        for (int rank = 0; rank < flow.rank(); rank++) {
+            ahead += arrivals(local, rank) + arrivals(peers.asked(), rank);
         }
-        double own = asked(here, asker.rank()) + asked(others.asked(), asker.rank());
-        double chance = room(others, share, now).admissionProbability(1, ahead, own);
-        return chance <= 0 || chance >= 1
-                ? chance
-                : new MaxMinFairness<>(mAsked.byOrganisation(asker.rank(), now), chance)
-                        .probabilityFor(asker.organisation());
+        double sameRank = arrivals(local, flow.rank()) + arrivals(peers.asked(), flow.rank());
+        double probability = headroom(peers, share, now).admissionProbability(1, ahead, sameRank);
+        return probability <= 0 || probability >= 1
+                ? probability
+                : new MaxMinFairness<>(mArrivals.byOrganisation(flow.rank(), now), probability)
+                        .probabilityFor(flow.organisation());
     }
 
-    /**
-     * Returns how much more the upstream may be sent.
-     *
-     * @param others what the other routers reported
-     * @param share returns how much of a limit the routers that hear each other may use
-     * @param now the traffic loop's clock, milliseconds
-     * @return the room, requests
-     */
-    private LimitHeadroom room(RateReport others, DoubleUnaryOperator share, long now) {
-        double paced = mLimit.target() * UsageSettings.PACE_FRACTION * PACE_FACTOR + PACE_REQUESTS;
+    /** Returns the headroom of the limit, in requests. */
+    private LimitHeadroom headroom(RateReport peers, DoubleUnaryOperator share, long now) {
+        double paced = mLimit.target() * UsageSettings.PACE_FRACTION * PACE_FACTOR + PACE_ALLOWANCE;
         return new LimitHeadroom(
-                recent(now),
-                others.use(),
+                recentUsage(now),
+                peers.use(),
                 share.applyAsDouble(mLimit.current(now)),
                 share.applyAsDouble(paced),
                 PACE_MILLIS);
     }
 
-    /**
-     * Returns what was asked of one rank.
-     *
-     * @param asked what was asked by rank
-     * @param rank the rank
-     * @return requests
-     */
-    private static double asked(List<Long> asked, int rank) {
-        return rank < asked.size() ? asked.get(rank) : 0;
+    private static double arrivals(List<Long> byRank, int rank) {
+        return rank < byRank.size() ? byRank.get(rank) : 0;
     }
 
-    /**
-     * Returns whether a line may tell of something that may come often.
-     *
-     * @param now the traffic loop's clock, milliseconds
-     * @return whether none did lately; one does from now on
-     */
-    boolean lineDue(long now) {
-        return mLines.over(now);
+    /** Returns whether a frequent event may be logged now, and if so starts a new interval. */
+    boolean shouldLog(long now) {
+        return mLogLimiter.over(now);
     }
 
-    /**
-     * Returns a rate as lines tell it.
-     *
-     * @param perSecond the rate
-     * @return the text
-     */
-    private static String text(double perSecond) {
+    private static String format(double perSecond) {
         return perSecond == LastAnnouncedRate.UNLIMITED ? "none" : Double.toString(perSecond);
     }
 }
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/UpstreamRates.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/UpstreamRates.java
@@ -24,64 +24,64 @@
 import org.troutpier.daemon.notice.NoticeState;
 
 /**
- * Keeps upstreams in need to the rates that they name in their answers, over all routers: each
- * counts what it sends, reports it with its load, and sends what the sum leaves room for. Confined
- * to the traffic loop. Invariants: what this router sends stays, with what it heard of the others,
- * under the {@link LimitShare}; a rate belongs to one start of an upstream; it holds until an
- * answer to a later call names another or none, or until nothing was heard of it for {@link
- * UpstreamRate#LAPSE_MILLIS}.
+ * Enforces the rates that overloaded upstreams announce in their answers, across all routers: each
+ * router counts the requests that it sends, reports them together with its load, and sends what the
+ * sum leaves available. Confined to the traffic loop. Invariants: the requests of this router,
+ * together with those reported by the others, stay within the {@link LimitShare}; a rate belongs to
+ * one incarnation of an upstream; it applies until the answer to a later call announces another
+ * rate or none, or until it was not announced for {@link UpstreamRate#EXPIRY_MILLIS}.
  */
 public final class UpstreamRates {
 
-    /** Where operators list the upstreams that name rates. */
+    /** Path at which operators list the upstreams that announce rates. */
     public static final String PATH = "/rates";
 
-    /** How soon a caller that no upstream takes is told to come back, milliseconds. */
-    private static final long LEAST_RETURN_MILLIS = 100;
+    /**
+     * Shortest delay that a caller is told to wait when no upstream accepts its request,
+     * milliseconds.
+     */
+    private static final long MIN_RETRY_MILLIS = 100;
 
-    /** How many milliseconds a second has. */
-    private static final double MILLIS = 1000;
+    private static final double MILLIS_PER_SECOND = 1000;
 
-    /** What the names of an upstream's figures begin with. */
-    private static final String FIGURES = "upstream.";
+    /** Prefix of the metrics of an upstream. */
+    private static final String METRIC_PREFIX = "upstream.";
 
-    /** Logs requests that are not sent. */
     private static final Logger LOGGER = LogManager.getLogger(UpstreamRates.class);
 
-    /** The traffic loop. */
     private final TrafficLoop mLoop;
 
-    /** The clock of the control state, which counts suspensions, milliseconds. */
+    /**
+     * Clock of the control state, which includes the time that the machine is suspended,
+     * milliseconds.
+     */
     private final LongSupplier mElapsed;
 
-    /** What the other routers reported. */
-    private final PeerRates mOthers;
+    /** Rates and usage reported by the other routers. */
+    private final PeerRates mPeers;
 
-    /** Draws whether a request is sent that fits only in part. */
+    /** Decides whether a request is sent for which there is only partial headroom. */
     private final RandomGenerator mRandom;
 
-    /** Tells how many routers there may be. */
-    private final IntSupplier mKnown;
+    /** Supplies the number of routers that may exist. */
+    private final IntSupplier mKnownRouters;
 
-    /** Counts by upstream. */
     private final MetricRegistry mMetrics;
 
-    /** What is known of each upstream. */
     private final Map<UpstreamIncarnation, UpstreamRate> mRates = new HashMap<>();
 
-    /** Whether there is something that the other routers have not been told. */
-    private boolean mUnreported;
+    /** Whether there are changes that were not reported to the other routers. */
+    private boolean mUnreportedChanges;
 
     /**
-     * What is known of one upstream that names a rate, as operators see it. Immutable and thread
-     * safe.
+     * State of an upstream that announces a rate, as shown to operators. Immutable and thread safe.
      *
      * @param upstream the upstream
-     * @param perSecond the rate, requests a second
-     * @param ageMillis how long ago it was named last, milliseconds
-     * @param here what it was sent here in the window
-     * @param elsewhere what it was sent by the other routers
-     * @param withheld how many requests were not sent to it since it first named a rate
+     * @param perSecond the rate, requests per second
+     * @param ageMillis time since the last announcement, milliseconds
+     * @param here requests that this router sent in the window
+     * @param elsewhere requests that the other routers sent in the window
+     * @param withheld requests that this router withheld since the first announcement
      */
     public record Status(
             String upstream,
@@ -92,38 +92,33 @@
             long withheld) {}
 
     /**
-     * Creates a view in which no upstream names a rate.
+     * Creates an instance without any known rate.
      *
-     * @param loop the traffic loop
      * @param elapsed the clock of the control state, milliseconds
-     * @param random draws whether a request is sent that fits only in part
-     * @param others what the other routers reported
-     * @param known tells how many routers there may be, this one included
-     * @param metrics counts by upstream
+     * @param random decides whether a request is sent for which there is only partial headroom
+     * @param knownRouters supplies the number of routers that may exist, this one included
      */
     public UpstreamRates(
             TrafficLoop loop,
             LongSupplier elapsed,
             RandomGenerator random,
-            PeerRates others,
-            IntSupplier known,
+            PeerRates peers,
+            IntSupplier knownRouters,
             MetricRegistry metrics) {
         mLoop = loop;
         mElapsed = elapsed;
         mRandom = random;
-        mOthers = others;
-        mKnown = known;
+        mPeers = peers;
+        mKnownRouters = knownRouters;
         mMetrics = metrics;
     }
 
     /**
-     * Takes what an answer says. That an answer names no rate ends one only if its call was sent
-     * after the rate was last named: answers on different connections overtake each other.
+     * Records the rate announced in an answer. An answer without a rate only ends a limit if its
+     * call was sent after the last announcement, since answers on different connections may
+     * overtake each other.
      *
-     * @param upstream whose answer it is
-     * @param announced what it says
-     * @param verdict what its head proves
-     * @param tookMillis how long ago the call was sent, milliseconds
+     * @param tookMillis time since the call was sent, milliseconds
      */
     public void recordAnnouncement(
             UpstreamEntry upstream,
@@ -135,155 +130,122 @@
             return;
         }
         long elapsed = mElapsed.getAsLong();
-        UpstreamRate rate = updated(upstream.incarnation(), reported(upstream.incarnation()));
+        UpstreamRate rate = currentRate(upstream.incarnation(), peerReport(upstream.incarnation()));
         if (announced.state() == NoticeState.ANNOUNCED) {
             count(rate, "rate-named");
-            mUnreported |= announced.perSecond() != rate.perSecond();
-            rate.learn(announced.perSecond(), elapsed, true, mLoop.millis());
+            mUnreportedChanges |= announced.perSecond() != rate.perSecond();
+            rate.update(announced.perSecond(), elapsed, true, mLoop.millis());
         } else if (announced.state() == NoticeState.UNREADABLE) {
             count(rate, "rate-unreadable");
-            if (rate.lineDue(mLoop.millis())) {
+            if (rate.shouldLog(mLoop.millis())) {
                 LOGGER.warn("upstream rate not readable id={}", upstream.incarnation());
             }
         } else if (verdict == UpstreamPort.Verdict.SUCCESS
-                && rate.limited()
-                && rate.namedBefore(elapsed - tookMillis)) {
-            mUnreported = true;
-            rate.learn(LastAnnouncedRate.UNLIMITED, elapsed, true, mLoop.millis());
+                && rate.isLimited()
+                && rate.wasAnnouncedBefore(elapsed - tookMillis)) {
+            mUnreportedChanges = true;
+            rate.update(LastAnnouncedRate.UNLIMITED, elapsed, true, mLoop.millis());
         }
     }
 
     /**
-     * Admits a request to an upstream and counts it, unless that would pass the upstream's rate.
-     * The more urgent goes first; within a rank, organisations take even turns at each router.
-     *
-     * @param upstream where it is to be sent
-     * @param asker who asks
-     * @return whether it may be sent
+     * Admits a request to an upstream and counts it, unless the upstream's rate would be exceeded.
+     * More urgent requests come first; within a rank, organisations share max-min fairly at each
+     * router.
      */
-    public boolean tryAcquire(UpstreamEntry upstream, FlowKey asker) {
-        RateReport others = reported(upstream.incarnation());
-        UpstreamRate rate = updated(upstream.incarnation(), others);
+    public boolean tryAcquire(UpstreamEntry upstream, FlowKey flow) {
+        RateReport peers = peerReport(upstream.incarnation());
+        UpstreamRate rate = currentRate(upstream.incarnation(), peers);
         long now = mLoop.millis();
-        if (rate.limited()) {
-            rate.asked(asker, now);
-            double chance = rate.chance(asker, others, this::share, now);
-            if (chance < 1 && mRandom.nextDouble() >= chance) {
-                withhold(rate, others, now);
+        if (rate.isLimited()) {
+            rate.recordArrival(flow, now);
+            double probability = rate.admissionProbability(flow, peers, this::share, now);
+            if (probability < 1 && mRandom.nextDouble() >= probability) {
+                recordWithheld(rate, peers, now);
                 return false;
             }
-            mUnreported = true;
+            mUnreportedChanges = true;
         }
-        rate.sent(now);
+        rate.recordSent(now);
         return true;
     }
 
-    /**
-     * Returns whether an upstream names a rate.
-     *
-     * @param upstream the upstream
-     * @return whether one is known that holds
-     */
+    /** Returns whether a rate applies to an upstream. */
     boolean isLimited(UpstreamEntry upstream) {
-        return updated(upstream.incarnation(), reported(upstream.incarnation())).limited();
+        return currentRate(upstream.incarnation(), peerReport(upstream.incarnation())).isLimited();
     }
 
     /**
-     * Gives back a request that was admitted and never reached the upstream.
+     * Takes back a request that was admitted but never reached the upstream.
      *
-     * @param upstream where it was to be sent
-     * @param at when it was admitted, milliseconds
+     * @param at when the request was admitted, milliseconds
      */
     void refund(UpstreamEntry upstream, long at) {
-        rate(upstream.incarnation()).takeBack(at, mLoop.millis());
+        rateOf(upstream.incarnation()).refund(at, mLoop.millis());
     }
 
     /**
-     * Draws when a caller should come back that no upstream takes: by then the upstreams have taken
-     * as many as ask beyond their rates, of which it is any.
+     * Draws the delay after which a caller should retry that no upstream accepts. Within the
+     * longest delay, the upstreams serve as many requests as currently arrive beyond their rates;
+     * the caller may be any of those.
      *
-     * @param upstreams the upstreams, all at their rates
-     * @return milliseconds from now
+     * @return the delay, milliseconds
      */
     long retryAfterMillis(List<UpstreamEntry> upstreams) {
         double perSecond = 0;
-        double asked = 0;
+        double arrived = 0;
         for (UpstreamEntry upstream : upstreams) {
-            RateReport others = reported(upstream.incarnation());
-            UpstreamRate rate = updated(upstream.incarnation(), others);
-            if (rate.limited()) {
-                RecentUsage use = rate.recent(mLoop.millis()).plus(others.use());
+            RateReport peers = peerReport(upstream.incarnation());
+            UpstreamRate rate = currentRate(upstream.incarnation(), peers);
+            if (rate.isLimited()) {
+                RecentUsage use = rate.recentUsage(mLoop.millis()).plus(peers.use());
                 perSecond += rate.perSecond();
-                asked = Math.max(asked, use.asked());
+                arrived = Math.max(arrived, use.asked());
             }
         }
-        double ahead = Math.max(1, asked - perSecond * UpstreamRate.PACE_MILLIS / MILLIS);
-        double seconds = ahead / Math.max(UpstreamRate.LEAST_PER_SECOND, perSecond);
-        return LEAST_RETURN_MILLIS + Math.round(seconds * mRandom.nextDouble() * MILLIS);
+        double ahead =
+                Math.max(1, arrived - perSecond * UpstreamRate.PACE_MILLIS / MILLIS_PER_SECOND);
+        double seconds = ahead / Math.max(UpstreamRate.MIN_PER_SECOND, perSecond);
+        return MIN_RETRY_MILLIS + Math.round(seconds * mRandom.nextDouble() * MILLIS_PER_SECOND);
     }
 
-    /**
-     * Counts a request that is not sent.
-     *
-     * @param rate the upstream's rate
-     * @param others what the other routers reported of it
-     * @param now the traffic loop's clock, milliseconds
-     */
-    private void withhold(UpstreamRate rate, RateReport others, long now) {
-        rate.withhold();
+    private void recordWithheld(UpstreamRate rate, RateReport peers, long now) {
+        rate.recordWithheld();
         count(rate, "rate-withheld");
-        if (rate.lineDue(now)) {
-            LOGGER.info("upstream at its rate {}", standing(rate, others));
+        if (rate.shouldLog(now)) {
+            LOGGER.info("upstream at its rate {}", status(rate, peers));
         }
     }
 
-    /**
-     * Counts for an upstream.
-     *
-     * @param rate the upstream's rate
-     * @param what what is counted
-     */
-    private void count(UpstreamRate rate, String what) {
-        mMetrics.counter(FIGURES + rate.upstream().id() + "." + what).inc();
+    private void count(UpstreamRate rate, String metric) {
+        mMetrics.counter(METRIC_PREFIX + rate.upstream().id() + "." + metric).inc();
     }
 
-    /**
-     * Returns how much of a limit the routers that hear each other may use.
-     *
-     * @param limit the limit
-     * @return the share
-     */
+    /** Returns the part of a limit that the routers that reach each other may use. */
     private double share(double limit) {
         double tolerance = UpstreamRate.SETTINGS.tolerance(limit);
-        int heard = mOthers.peerCount() + 1;
-        return new LimitShare(limit, tolerance, heard, mKnown.getAsInt(), 0).allowed();
+        int reachable = mPeers.peerCount() + 1;
+        return new LimitShare(limit, tolerance, reachable, mKnownRouters.getAsInt(), 0).allowed();
     }
 
     /**
-     * Returns whether there is something that was not reported yet: a rate that changed, or a
-     * request to an upstream that names one, which may be over before it is looked what is under
-     * way.
-     *
-     * @return whether the others should hear of it
+     * Returns whether there are changes to report: a changed rate, or a request to an upstream that
+     * announces one, which may be over before the calls in flight are next examined.
      */
     public boolean hasUnreportedChanges() {
-        return mUnreported;
+        return mUnreportedChanges;
     }
 
-    /**
-     * Returns what is to be reported to the others.
-     *
-     * @return the upstreams that name a rate, or named one lately
-     */
+    /** Returns the report for the other routers and marks all changes as reported. */
     public Map<UpstreamIncarnation, RateReport> report() {
         long elapsed = mElapsed.getAsLong();
         long now = mLoop.millis();
-        mUnreported = false;
+        mUnreportedChanges = false;
         Map<UpstreamIncarnation, RateReport> reports = new HashMap<>();
         for (UpstreamRate rate : mRates.values()) {
-            rate.lapse(elapsed, now);
-            boolean used = rate.limited() && !rate.recent(now).equals(RecentUsage.NONE);
-            if (used || rate.heardHere()) {
+            rate.expire(elapsed, now);
+            boolean used = rate.isLimited() && !rate.recentUsage(now).equals(RecentUsage.NONE);
+            if (used || rate.isAnnouncedLocally()) {
                 reports.put(rate.upstream(), rate.report(elapsed, now));
             }
         }
@@ -291,89 +253,64 @@
     }
 
     /**
-     * Returns what is known of each upstream that names a rate.
+     * Returns the state of each upstream that announces a rate.
      *
-     * @return the upstreams, by name
+     * @return the states, sorted by upstream
      */
     public List<Status> statuses() {
-        List<Status> standings = new ArrayList<>();
+        List<Status> statuses = new ArrayList<>();
         for (UpstreamIncarnation upstream : mRates.keySet()) {
-            RateReport others = reported(upstream);
-            UpstreamRate rate = updated(upstream, others);
-            if (rate.limited()) {
-                standings.add(standing(rate, others));
+            RateReport peers = peerReport(upstream);
+            UpstreamRate rate = currentRate(upstream, peers);
+            if (rate.isLimited()) {
+                statuses.add(status(rate, peers));
             }
         }
-        standings.sort(Comparator.comparing(Status::upstream));
-        return standings;
+        statuses.sort(Comparator.comparing(Status::upstream));
+        return statuses;
     }
 
-    /**
-     * Returns what is known of one upstream.
-     *
-     * @param rate its rate
-     * @param others what the other routers reported of it
-     * @return what operators see
-     */
-    private Status standing(UpstreamRate rate, RateReport others) {
+    private Status status(UpstreamRate rate, RateReport peers) {
         return new Status(
                 rate.upstream().toString(),
                 rate.perSecond(),
-                rate.named(mElapsed.getAsLong()).ageMillis(),
-                rate.recent(mLoop.millis()).window(),
-                others.use().window(),
+                rate.lastAnnounced(mElapsed.getAsLong()).ageMillis(),
+                rate.recentUsage(mLoop.millis()).window(),
+                peers.use().window(),
                 rate.withheld());
     }
 
     /**
-     * Forgets upstreams that are no longer listed and of whose rates nothing is known. One that
-     * names a rate may be listed again, where the list was away.
-     *
-     * @param listed the ids that are listed
+     * Removes upstreams that are no longer listed, once their rates have expired: an upstream that
+     * announces a rate may be listed again after the list was unavailable.
      */
     public void retain(Set<UpstreamIncarnation> listed) {
         long elapsed = mElapsed.getAsLong();
-        mRates.values().forEach(rate -> rate.lapse(elapsed, mLoop.millis()));
-        mRates.values().removeIf(rate -> !rate.known() && !listed.contains(rate.upstream()));
+        mRates.values().forEach(rate -> rate.expire(elapsed, mLoop.millis()));
+        mRates.values().removeIf(rate -> !rate.isKnown() && !listed.contains(rate.upstream()));
     }
 
     /**
-     * Returns an upstream's rate with what the other routers learnt.
-     *
-     * @param upstream the upstream
-     * @param others what they reported of it
-     * @return its rate
+     * Returns the rate of an upstream, updated with the announcements that other routers received.
      */
-    private UpstreamRate updated(UpstreamIncarnation upstream, RateReport others) {
-        UpstreamRate rate = rate(upstream);
+    private UpstreamRate currentRate(UpstreamIncarnation upstream, RateReport peers) {
+        UpstreamRate rate = rateOf(upstream);
         long elapsed = mElapsed.getAsLong();
-        rate.lapse(elapsed, mLoop.millis());
-        LastAnnouncedRate reported = others.named();
-        boolean lapsed = reported.ageMillis() >= UpstreamRate.LAPSE_MILLIS;
-        if (!lapsed && rate.named(elapsed).mostRecent(reported) == reported) {
-            long saidAt = elapsed - reported.ageMillis();
-            rate.learn(reported.perSecond(), saidAt, false, mLoop.millis());
+        rate.expire(elapsed, mLoop.millis());
+        LastAnnouncedRate reported = peers.named();
+        boolean expired = reported.ageMillis() >= UpstreamRate.EXPIRY_MILLIS;
+        if (!expired && rate.lastAnnounced(elapsed).mostRecent(reported) == reported) {
+            long announcedAt = elapsed - reported.ageMillis();
+            rate.update(reported.perSecond(), announcedAt, false, mLoop.millis());
         }
         return rate;
     }
 
-    /**
-     * Returns what the other routers reported of an upstream.
-     *
-     * @param upstream the upstream
-     * @return the report
-     */
-    private RateReport reported(UpstreamIncarnation upstream) {
-        return mOthers.rate(upstream, mElapsed.getAsLong());
+    private RateReport peerReport(UpstreamIncarnation upstream) {
+        return mPeers.rate(upstream, mElapsed.getAsLong());
     }
 
-    /**
-     * Returns an upstream's rate.
-     *
-     * @param upstream the upstream
-     * @return its rate, made where there is none
-     */
-    private UpstreamRate rate(UpstreamIncarnation upstream) {
+    private UpstreamRate rateOf(UpstreamIncarnation upstream) {
         return mRates.computeIfAbsent(upstream, UpstreamRate::new);
     }
 }
--- a/troutpier-daemon/src/test/java/org/troutpier/daemon/serving/CrashGuardTest.java
+++ b/troutpier-daemon/src/test/java/org/troutpier/daemon/serving/CrashGuardTest.java
@@ -23,7 +23,7 @@
 import org.troutpier.daemon.quarantine.QuarantineSettings;
 import org.troutpier.daemon.quarantine.RequestFingerprint;
 
-/** Which lost calls are held against what was asked for. */
+/** Tests which lost calls count as crashes of their upstream. */
 public final class CrashGuardTest {
 
     private static final RequestFingerprint ONE = RequestFingerprint.of("h", "/1", new byte[0]);
@@ -34,10 +34,10 @@
     private UpstreamDirectory mDirectory;
     private Quarantine mQuarantine;
     private CrashGuard mGuard;
-    private List<Boolean> mJudged;
+    private List<Boolean> mResults;
 
-    /** The checks that are not answered yet. */
-    private List<Consumer<UpstreamPort.ProbeResult>> mAsked;
+    /** The listeners of unanswered probes. */
+    private List<Consumer<UpstreamPort.ProbeResult>> mProbes;
 
     @BeforeMethod
     void start() {
@@ -46,110 +46,110 @@
         mDirectory.replaceAll(List.of(mUpstream));
         MetricRegistry metrics = new MetricRegistry();
         mQuarantine = new Quarantine(QuarantineSettings.DEFAULT, mTime::millis, metrics);
-        mAsked = new ArrayList<>();
-        mJudged = new ArrayList<>();
+        mProbes = new ArrayList<>();
+        mResults = new ArrayList<>();
         FakePort port = new FakePort();
-        port.mOnCheck = mAsked::add;
+        port.mOnCheck = mProbes::add;
         mGuard = new CrashGuard(mTime.loop(), port, mDirectory, mQuarantine, metrics);
     }
 
-    private void lost(RequestFingerprint request) {
-        mGuard.attributeLoss(mUpstream, request, mJudged::add);
+    private void loseCall(RequestFingerprint request) {
+        mGuard.attributeLoss(mUpstream, request, mResults::add);
     }
 
     private void answer(UpstreamPort.ProbeResult listening) {
-        mAsked.remove(0).accept(listening);
+        mProbes.remove(0).accept(listening);
     }
 
-    private int held(RequestFingerprint request) {
+    private int recordedCrashes(RequestFingerprint request) {
         return Optional.ofNullable(mQuarantine.records().get(request))
                 .map(record -> record.ended().size())
                 .orElse(0);
     }
 
     @Test
-    public void anEndIsHeldAgainstAllThatWasLostWithIt() {
-        lost(ONE);
-        lost(TWO);
-        assertEquals(mAsked.size(), 1);
+    public void aCrashIsRecordedAgainstAllRequestsLostWithIt() {
+        loseCall(ONE);
+        loseCall(TWO);
+        assertEquals(mProbes.size(), 1);
         answer(UpstreamPort.ProbeResult.NOT_LISTENING);
-        assertEquals(mJudged, List.of());
-        mTime.pass(CrashGuard.SETTLED_MILLIS);
-        assertEquals(mJudged, List.of(true, true));
-        assertEquals(held(ONE), 1);
-        assertEquals(held(TWO), 1);
+        assertEquals(mResults, List.of());
+        mTime.pass(CrashGuard.SETTLE_MILLIS);
+        assertEquals(mResults, List.of(true, true));
+        assertEquals(recordedCrashes(ONE), 1);
+        assertEquals(recordedCrashes(TWO), 1);
     }
 
     @Test
-    public void whatIsToldLaterIsHeldAgainstItWithoutAskingAgain() {
-        lost(ONE);
+    public void aLossReportedLaterIsRecordedWithoutAnotherProbe() {
+        loseCall(ONE);
         answer(UpstreamPort.ProbeResult.NOT_LISTENING);
-        lost(TWO);
-        assertEquals(mAsked.size(), 0);
-        assertEquals(held(TWO), 1);
-        mTime.pass(CrashGuard.JUDGED_MILLIS);
-        assertEquals(mJudged, List.of(true, true));
+        loseCall(TWO);
+        assertEquals(mProbes.size(), 0);
+        assertEquals(recordedCrashes(TWO), 1);
+        mTime.pass(CrashGuard.ATTRIBUTION_TIMEOUT_MILLIS);
+        assertEquals(mResults, List.of(true, true));
     }
 
     @Test
-    public void aLostAnswerOfAnUpstreamThatListensIsNobodysGuilt() {
-        lost(ONE);
+    public void aLostAnswerOfAListeningUpstreamIsNotRecorded() {
+        loseCall(ONE);
         answer(UpstreamPort.ProbeResult.LISTENING);
-        assertEquals(mJudged, List.of(false));
+        assertEquals(mResults, List.of(false));
         assertTrue(mQuarantine.isEmpty());
     }
 
     @Test
-    public void anAnswerFromBeforeALossSaysNothingOfIt() {
-        lost(ONE);
-        lost(TWO);
+    public void aProbeSentBeforeALossDoesNotDecideIt() {
+        loseCall(ONE);
+        loseCall(TWO);
         answer(UpstreamPort.ProbeResult.LISTENING);
-        assertEquals(mJudged, List.of(false));
+        assertEquals(mResults, List.of(false));
         answer(UpstreamPort.ProbeResult.NOT_LISTENING);
-        mTime.pass(CrashGuard.JUDGED_MILLIS);
-        assertEquals(mJudged, List.of(false, true));
-        assertEquals(held(ONE), 0);
-        assertEquals(held(TWO), 1);
+        mTime.pass(CrashGuard.ATTRIBUTION_TIMEOUT_MILLIS);
+        assertEquals(mResults, List.of(false, true));
+        assertEquals(recordedCrashes(ONE), 0);
+        assertEquals(recordedCrashes(TWO), 1);
     }
 
     @Test
-    public void aSilentMachineOrPathIsNobodysGuiltAndHoldsNobodyUp() {
-        lost(ONE);
-        mTime.pass(CrashGuard.JUDGED_MILLIS);
-        assertEquals(mJudged, List.of(false));
+    public void aSilentMachineOrPathIsNotRecordedAndDelaysNoRequest() {
+        loseCall(ONE);
+        mTime.pass(CrashGuard.ATTRIBUTION_TIMEOUT_MILLIS);
+        assertEquals(mResults, List.of(false));
         answer(UpstreamPort.ProbeResult.UNKNOWN);
-        assertEquals(mJudged, List.of(false));
+        assertEquals(mResults, List.of(false));
         assertTrue(mQuarantine.isEmpty());
     }
 
     @Test
-    public void anEndThatIsKnownLateIsStillHeldAgainstIt() {
-        lost(ONE);
-        mTime.pass(CrashGuard.JUDGED_MILLIS);
+    public void aCrashThatIsFoundLateIsStillRecorded() {
+        loseCall(ONE);
+        mTime.pass(CrashGuard.ATTRIBUTION_TIMEOUT_MILLIS);
         answer(UpstreamPort.ProbeResult.NOT_LISTENING);
-        assertEquals(mJudged, List.of(false));
-        assertEquals(held(ONE), 1);
+        assertEquals(mResults, List.of(false));
+        assertEquals(recordedCrashes(ONE), 1);
     }
 
     @Test
-    public void aPlannedEndIsNobodysGuilt() {
+    public void aPlannedShutdownIsNotRecorded() {
         mDirectory.update(mUpstream.id(), Optional.empty());
-        lost(ONE);
-        assertEquals(mJudged, List.of(false));
-        assertEquals(mAsked.size(), 0);
+        loseCall(ONE);
+        assertEquals(mResults, List.of(false));
+        assertEquals(mProbes.size(), 0);
         assertTrue(mQuarantine.isEmpty());
     }
 
     @Test
-    public void anUpstreamThatIsBackAlreadyUnderItsIdHasEnded() {
+    public void anUpstreamThatHasRestartedUnderItsIdHasCrashed() {
         UpstreamEntry first = TestUpstreams.startedAt(mUpstream, 1);
         mDirectory.replaceAll(List.of(first));
-        mGuard.attributeLoss(first, ONE, mJudged::add);
+        mGuard.attributeLoss(first, ONE, mResults::add);
         mDirectory.replaceAll(List.of(TestUpstreams.startedAt(mUpstream, 2)));
         answer(UpstreamPort.ProbeResult.LISTENING);
-        mTime.pass(CrashGuard.JUDGED_MILLIS);
-        assertEquals(mJudged, List.of(true));
-        assertEquals(held(ONE), 1);
+        mTime.pass(CrashGuard.ATTRIBUTION_TIMEOUT_MILLIS);
+        assertEquals(mResults, List.of(true));
+        assertEquals(recordedCrashes(ONE), 1);
     }
 
     private static LazyFingerprint content(String target, byte[] body) {
@@ -168,38 +168,38 @@
                         new Requester.Unchecked()));
     }
 
-    private void end(RequestFingerprint request, int number) {
+    private void recordCrash(RequestFingerprint request, int number) {
         mQuarantine.recordCrash(request, UpstreamIncarnation.of("other-" + number));
     }
 
     @Test
-    public void whatIsHeldIsWithheldAndNothingElse() {
+    public void onlyQuarantinedRequestsAreBlocked() {
         assertFalse(mGuard.isQuarantined(content("/1", new byte[0])));
-        end(ONE, 1);
-        end(ONE, 2);
+        recordCrash(ONE, 1);
+        recordCrash(ONE, 2);
         assertFalse(mGuard.isQuarantined(content("/1", new byte[0])));
-        end(ONE, 3);
+        recordCrash(ONE, 3);
         assertTrue(mGuard.isQuarantined(content("/1", new byte[0])));
         assertFalse(mGuard.isQuarantined(content("/2", new byte[0])));
         assertFalse(mGuard.isQuarantined(content("/1", new byte[1])));
     }
 
     @Test
-    public void twoOfTheSameOutlineAreToldApartByTheirBodies() {
-        RequestFingerprint held = RequestFingerprint.of("h", "/3", new byte[] {1});
-        end(held, 1);
-        end(held, 2);
-        end(held, 3);
+    public void requestsWithTheSameCoarseHashAreDistinguishedByBody() {
+        RequestFingerprint quarantined = RequestFingerprint.of("h", "/3", new byte[] {1});
+        recordCrash(quarantined, 1);
+        recordCrash(quarantined, 2);
+        recordCrash(quarantined, 3);
         assertTrue(mGuard.isQuarantined(content("/3", new byte[] {1})));
         assertFalse(mGuard.isQuarantined(content("/3", new byte[] {2})));
     }
 
     @Test
-    public void whatRanWholeIsClearedByItsNameOnly() {
-        end(ONE, 1);
-        end(TWO, 1);
+    public void aCompletedRequestClearsOnlyItsOwnRecord() {
+        recordCrash(ONE, 1);
+        recordCrash(TWO, 1);
         mGuard.recordCompletion(content("/1", new byte[0]));
-        assertEquals(held(ONE), 0);
-        assertEquals(held(TWO), 1);
+        assertEquals(recordedCrashes(ONE), 0);
+        assertEquals(recordedCrashes(TWO), 1);
     }
 }
--- a/troutpier-daemon/src/test/java/org/troutpier/daemon/serving/ReportedUseTest.java
+++ b/troutpier-daemon/src/test/java/org/troutpier/daemon/serving/EngineUsageReconcilerTest.java
@@ -21,8 +21,8 @@
 import org.troutpier.daemon.organisation.UsageReport;
 import org.troutpier.daemon.role.EngineRoleClient;
 
-/** What is learnt of runs that no router tells of. */
-public final class ReportedUseTest {
+/** Tests the accounting for runs that no router reports. */
+public final class EngineUsageReconcilerTest {
 
     private static final Incarnation PEER = new Incarnation("peer~1");
 
@@ -32,14 +32,14 @@
     private UpstreamLoads mLoads;
     private FakeReports mReports;
 
-    /** An engine that reports what the test says. */
+    /** A client whose engine reports the usage set by the test. */
     private static final class FakeReports implements EngineRoleClient {
         long mUsed;
-        int mAsked;
+        int mPolls;
 
         @Override
         public CompletableFuture<EngineReport> report(UpstreamEntry engine) {
-            mAsked++;
+            mPolls++;
             return CompletableFuture.completedFuture(
                     new EngineReport(engine.incarnation(), engine.role(), false, 0, mUsed));
         }
@@ -62,7 +62,7 @@
         mReports = new FakeReports();
     }
 
-    private EngineUsageReconciler learn(EngineUsageReconciler.Scope scope) {
+    private EngineUsageReconciler startReconciler(EngineUsageReconciler.Scope scope) {
         UpstreamDirectory directory = new UpstreamDirectory(mTime.control(), mTime::millis);
         directory.replaceAll(List.of(mEngine));
         EngineUsageReconciler use =
@@ -71,8 +71,8 @@
         return use;
     }
 
-    /** A scope in which one router asks for the others. */
-    private static EngineUsageReconciler.Scope forOthers(boolean asks) {
+    /** A scope in which one router polls for the others. */
+    private static EngineUsageReconciler.Scope relayScope(boolean asks) {
         return new EngineUsageReconciler.Scope() {
             @Override
             public boolean polls(UpstreamEntry engine) {
@@ -86,11 +86,11 @@
         };
     }
 
-    /** Before, no engine was asked in fleets of more than 16 routers. */
+    /** Guards against polling no engine at all, as happened in fleets of more than 16 routers. */
     @Test
-    public void whoAsksForTheOthersTellsThemWhatItLearns() {
+    public void aRelayThatPollsForOthersSharesItsResults() {
         mReports.mUsed = 30_000;
-        learn(forOthers(true));
+        startReconciler(relayScope(true));
         mTime.pass(500);
         mLoads.begin(mEngine, 5000);
         assertEquals(mLoads.usage().get(mEngine.incarnation()), UpstreamUse.of(1, 35_000));
@@ -100,8 +100,8 @@
     }
 
     @Test
-    public void whoAsksForItselfTellsNobody() {
-        learn(engine -> true);
+    public void aRouterThatPollsForItselfSharesNothing() {
+        startReconciler(engine -> true);
         mReports.mUsed = 30_000;
         mTime.pass(500);
         assertEquals(mLoads.tokens(mEngine), 30_000);
@@ -109,13 +109,13 @@
     }
 
     @Test
-    public void whereAnotherAsksNoEngineIsAsked() {
-        learn(forOthers(false));
+    public void noEngineIsPolledWhereAnotherRouterPolls() {
+        startReconciler(relayScope(false));
         mTime.pass(2000);
-        assertEquals(mReports.mAsked, 0);
+        assertEquals(mReports.mPolls, 0);
     }
 
-    private void told(long tokens) {
+    private void receivePeerReport(long tokens) {
         LoadReport report =
                 new LoadReport(
                         1,
@@ -133,8 +133,8 @@
     }
 
     @Test
-    public void afterAStartRunsThatNobodyTellsOfAreKnownFromTheEngine() {
-        learn(engine -> true);
+    public void afterAStartUnattributedRunsAreLearntFromTheEngine() {
+        startReconciler(engine -> true);
         mReports.mUsed = 30_000;
         mTime.pass(500);
         assertEquals(mLoads.tokens(mEngine), 30_000);
@@ -145,34 +145,37 @@
         assertEquals(mLoads.tokens(mEngine), 5000);
     }
 
-    /** Engines were asked for twelve seconds after each start before. */
+    /**
+     * Guards against polling engines for twelve seconds after a first start, when no earlier run
+     * can exist.
+     */
     @Test
-    public void whereNothingRanBeforeNoEngineIsAskedUntilARouterIsLost() {
-        EngineUsageReconciler use = learn(engine -> true);
+    public void onAFirstStartNoEngineIsPolledUntilARouterIsLost() {
+        EngineUsageReconciler use = startReconciler(engine -> true);
         use.skipInitialPolling();
         mTime.pass(1);
-        int before = mReports.mAsked;
+        int before = mReports.mPolls;
         mTime.pass(2000);
-        assertEquals(mReports.mAsked, before);
-        told(1000);
+        assertEquals(mReports.mPolls, before);
+        receivePeerReport(1000);
         mTime.pass(2500);
         mPeers.aggregate(mTime.millis());
         mTime.pass(1000);
-        assertTrue(mReports.mAsked > before);
+        assertTrue(mReports.mPolls > before);
     }
 
     @Test
-    public void whatIsToldIsNotCountedTwice() {
-        learn(engine -> true);
-        told(20_000);
+    public void reportedUsageIsNotCountedTwice() {
+        startReconciler(engine -> true);
+        receivePeerReport(20_000);
         mReports.mUsed = 20_000;
         mTime.pass(900);
         assertEquals(mLoads.tokens(mEngine), 20_000);
     }
 
     @Test
-    public void aReportThatIsLateIsHeldAgainstWhatWasKnownThen() {
-        learn(engine -> true);
+    public void aDelayedReportIsComparedWithEarlierUsage() {
+        startReconciler(engine -> true);
         mLoads.begin(mEngine, 20_000);
         mReports.mUsed = 20_000;
         mTime.pass(900);
@@ -182,19 +185,19 @@
     }
 
     @Test
-    public void enginesAreAskedAgainWhenARouterIsHeardNoMore() {
-        learn(engine -> true);
+    public void enginesArePolledAgainWhenARouterIsLost() {
+        startReconciler(engine -> true);
         mTime.pass(20_000);
-        int asked = mReports.mAsked;
+        int asked = mReports.mPolls;
         assertTrue(asked > 10, "asked " + asked);
-        told(1000);
+        receivePeerReport(1000);
         mTime.pass(1000);
-        assertEquals(mReports.mAsked, asked);
+        assertEquals(mReports.mPolls, asked);
         mTime.pass(2000);
         mPeers.aggregate(mTime.millis());
         mReports.mUsed = 40_000;
         mTime.pass(2000);
-        assertTrue(mReports.mAsked > asked);
+        assertTrue(mReports.mPolls > asked);
         assertEquals(mLoads.tokens(mEngine), 40_000);
     }
 }
--- a/troutpier-daemon/src/test/java/org/troutpier/daemon/serving/ExtraCallBudgetTest.java
+++ b/troutpier-daemon/src/test/java/org/troutpier/daemon/serving/ExtraCallBudgetTest.java
@@ -8,13 +8,13 @@
 import java.util.Random;
 import org.testng.annotations.Test;
 
-/** The budget of extra calls. */
+/** Tests the budget of extra calls. */
 public final class ExtraCallBudgetTest {
 
     private static final long WINDOW = 10_000;
 
     @Test
-    public void withoutRequestsOnlyTheAllowanceIsThere() {
+    public void withoutRequestsOnlyTheAllowanceIsAvailable() {
         ExtraCallBudget budget = new ExtraCallBudget(0.2, 2, WINDOW);
         int made = 0;
         for (int call = 0; call < 10; call++) {
@@ -25,22 +25,25 @@
     }
 
     @Test
-    public void oneServiceDoesNotSpendForAnother() {
+    public void servicesHaveSeparateBudgets() {
         ExtraCallBudget budget = new ExtraCallBudget(0.2, 1, WINDOW);
         assertTrue(budget.tryAcquire("s", 0));
         assertTrue(budget.tryAcquire("t", 0));
     }
 
     @Test
-    public void atRandomNoWindowEverHoldsMoreThanItsPart() {
+    public void noWindowExceedsItsLimitUnderRandomLoad() {
         long seed = System.nanoTime();
         System.out.println("ExtraCallBudgetTest seed " + seed);
         drive(seed);
     }
 
-    /** The steps that were counted covered less than the window: 9 calls where 8.8 were allowed. */
+    /**
+     * Guards against counting buckets that cover less than the window: with this seed, 9 calls were
+     * made where 8.8 were allowed.
+     */
     @Test
-    public void aWindowThatBeginsWithinAStepHoldsNoMoreEither() {
+    public void aWindowThatStartsWithinABucketStaysWithinItsLimit() {
         drive(4782103430603L);
     }
 
--- a/troutpier-daemon/src/test/java/org/troutpier/daemon/serving/UpstreamBackOffTest.java
+++ b/troutpier-daemon/src/test/java/org/troutpier/daemon/serving/UpstreamBackOffTest.java
@@ -9,7 +9,7 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** How an upstream that asked for a back-off is left alone and returned to. */
+/** Tests the back-off of an upstream and the ramp-up after it. */
 public final class UpstreamBackOffTest {
 
     private static final int MILLIS = 3000;
@@ -26,7 +26,7 @@
     @Test
     public void noCallIsAdmittedUntilItsEnd() {
         assertTrue(mBackOff.admits(5, 0));
-        mBackOff.asked(MILLIS, 100, mRandom);
+        mBackOff.extend(MILLIS, 100, mRandom);
         assertFalse(mBackOff.admits(0, 100));
         assertFalse(mBackOff.admits(0, MILLIS + 99));
         assertTrue(mBackOff.admits(0, mBackOff.endsAt()));
@@ -34,26 +34,26 @@
     }
 
     @Test
-    public void aShorterOneThatIsAskedForLaterDoesNotShortenIt() {
-        mBackOff.asked(MILLIS, 0, mRandom);
-        mBackOff.asked(1, 10, mRandom);
+    public void aLaterAndShorterBackOffDoesNotShortenIt() {
+        mBackOff.extend(MILLIS, 0, mRandom);
+        mBackOff.extend(1, 10, mRandom);
         assertFalse(mBackOff.admits(0, MILLIS - 1));
     }
 
     @Test
-    public void afterItCallsAreAdmittedOneAtATimeAndTwiceAsManyWithEachSuccess() {
-        mBackOff.asked(MILLIS, 0, mRandom);
+    public void afterItsEndConcurrencyStartsAtOneAndDoublesWithEachSuccess() {
+        mBackOff.extend(MILLIS, 0, mRandom);
         long end = mBackOff.endsAt();
         assertTrue(mBackOff.admits(0, end));
         assertFalse(mBackOff.admits(1, end));
-        mBackOff.succeeded(end - 1);
+        mBackOff.recordSuccess(end - 1);
         assertFalse(mBackOff.admits(1, end), "that call was sent before the end");
-        mBackOff.succeeded(end);
+        mBackOff.recordSuccess(end);
         assertTrue(mBackOff.admits(1, end));
         assertFalse(mBackOff.admits(2, end));
-        mBackOff.succeeded(end);
+        mBackOff.recordSuccess(end);
         assertTrue(mBackOff.admits(3, end));
-        assertTrue(mBackOff.admits(1000, end + UpstreamBackOff.RETURN_MILLIS));
+        assertTrue(mBackOff.admits(1000, end + UpstreamBackOff.RAMP_UP_MILLIS));
     }
 
     @Test
@@ -63,7 +63,7 @@
                         .mapToLong(
                                 router -> {
                                     UpstreamBackOff backOff = new UpstreamBackOff();
-                                    backOff.asked(MILLIS, 0, mRandom);
+                                    backOff.extend(MILLIS, 0, mRandom);
                                     return backOff.endsAt();
                                 })
                         .distinct()
--- a/troutpier-daemon/src/test/java/org/troutpier/daemon/serving/UpstreamLoadsTest.java
+++ b/troutpier-daemon/src/test/java/org/troutpier/daemon/serving/UpstreamLoadsTest.java
@@ -20,7 +20,7 @@
 import org.troutpier.daemon.node.ManualTime;
 import org.troutpier.daemon.organisation.UsageReport;
 
-/** Which upstream a call goes to. */
+/** Tests the choice of upstreams by load, and their ejection. */
 public final class UpstreamLoadsTest {
 
     private final UpstreamEntry mNear = TestUpstreams.plain("near", "hall-a");
@@ -41,7 +41,7 @@
     }
 
     @Test
-    public void theOwnHallGoesFirstUntilItIsBusier() {
+    public void theOwnHallIsPreferredUntilItIsBusier() {
         assertEquals(pick().get(), mNear);
         mLoads.begin(mNear, 0);
         assertEquals(pick().get(), mNear);
@@ -52,7 +52,7 @@
     }
 
     @Test
-    public void whatOtherRoutersHaveUnderWayCounts() {
+    public void callsOfOtherRoutersCount() {
         LoadReport report =
                 new LoadReport(
                         1,
@@ -78,7 +78,7 @@
     }
 
     @Test
-    public void anUnreachableUpstreamIsPassedOverAndComesBack() {
+    public void anUnreachableUpstreamIsEjectedTemporarily() {
         mLoads.failed(mNear, true, "refused");
         assertEquals(pick().get(), mFar);
         mTime.pass(501);
@@ -91,7 +91,7 @@
     }
 
     @Test
-    public void anUpstreamThatWasReplacedIsPassedOverUntilItsEntryLapsesOrChangesItsRole() {
+    public void aReplacedUpstreamIsEjectedUntilItsEntryExpiresOrChangesRole() {
         UpstreamEntry engine = TestUpstreams.decode("engine");
         UpstreamEntry other = TestUpstreams.decode("other");
         mLoads.begin(other, 1000);
@@ -106,7 +106,7 @@
     }
 
     @Test
-    public void anEngineThatRefusesRunsIsPassedOverThoughItLooksIdle() {
+    public void anIdleEngineThatRefusesRunsIsAvoided() {
         UpstreamEntry idle = TestUpstreams.decode("idle");
         UpstreamEntry busy = TestUpstreams.decode("busy");
         List<UpstreamEntry> engines = List.of(idle, busy);
@@ -126,7 +126,7 @@
     }
 
     @Test
-    public void anEngineThatRefusesAnotherRoutersRunsIsPassedOver() {
+    public void anEngineThatRefusesRunsOfAnotherRouterIsAvoided() {
         UpstreamEntry idle = TestUpstreams.decode("idle");
         UpstreamEntry busy = TestUpstreams.decode("busy");
         mLoads.begin(busy, 5000);
@@ -153,7 +153,7 @@
     }
 
     @Test
-    public void whereAllEnginesRefuseRunsTheLeastUsedIsAskedAllTheSame() {
+    public void ifAllEnginesRefuseRunsTheLeastLoadedIsUsed() {
         UpstreamEntry idle = TestUpstreams.decode("idle");
         UpstreamEntry busy = TestUpstreams.decode("busy");
         mLoads.begin(busy, 5000);
@@ -165,7 +165,7 @@
     }
 
     @Test
-    public void aFewFailuresAreChanceManyInARowAreNot() {
+    public void onlySeveralConsecutiveFailuresEjectAnUpstream() {
         mLoads.failed(mNear, false, "500");
         mLoads.failed(mNear, false, "500");
         assertEquals(pick().get(), mNear);
@@ -175,7 +175,7 @@
     }
 
     @Test
-    public void whereAllArePassedOverTheNextToComeBackIsUsed() {
+    public void ifAllAreEjectedTheNextToReturnIsUsed() {
         mLoads.failed(mNear, true, "refused");
         mTime.pass(100);
         mLoads.failed(mFar, true, "refused");
@@ -183,7 +183,7 @@
     }
 
     @Test
-    public void whatWasTriedOrChangesItsRoleIsNotChosen() {
+    public void triedUpstreamsAndChangingEnginesAreNotChosen() {
         assertEquals(
                 mLoads.byCalls(List.of(mNear, mFar), Set.of(mNear.incarnation())), List.of(mFar));
         mLoads.setChangingEngines(Set.of(mFar.incarnation()));
@@ -191,12 +191,12 @@
     }
 
     @Test
-    public void anEngineInWhosePlaceAnotherAnswersIsToldToAllAtOnce() {
+    public void aReplacedEngineIsReportedImmediately() {
         UpstreamEntry engine = TestUpstreams.decode("crashed");
-        AtomicInteger told = new AtomicInteger();
-        mLoads.onUrgentChange(told::incrementAndGet);
+        AtomicInteger notifications = new AtomicInteger();
+        mLoads.onUrgentChange(notifications::incrementAndGet);
         mLoads.replaced(engine);
-        assertEquals(told.get(), 1);
+        assertEquals(notifications.get(), 1);
         assertEquals(mLoads.refusingEngines(), Set.of(engine.incarnation()));
     }
 }
