--- a/troutpier-daemon/src/test/java/org/troutpier/daemon/serving/UpstreamRateOverRoutersTest.java
+++ b/troutpier-daemon/src/test/java/org/troutpier/daemon/serving/UpstreamRateOverRoutersTest.java
@@ -7,31 +7,34 @@
 import java.util.Random;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
+import org.troutpier.daemon.serving.UpstreamRateSimulation.Strategy;
 import org.troutpier.daemon.serving.UpstreamRateSimulation.Upstream;
-import org.troutpier.daemon.serving.UpstreamRateSimulation.Way;
 
-/** Rates that upstreams name, kept over 7, 60 and 300 routers that hear each other late. */
+/**
+ * Tests that announced rates are kept across 7, 60 and 300 routers whose reports reach each other
+ * with a delay.
+ */
 public final class UpstreamRateOverRoutersTest {
 
     private static final double RATE = 3.6;
     private static final int OTHERS = 2;
 
-    /** Which part of the rate callers get at least where they ask for more. */
-    private static final double LEAST_PART = 0.7;
+    /** Lowest fraction of the rate that callers must get if they request more. */
+    private static final double MIN_FRACTION = 0.7;
 
-    /** Which part of the requests is urgent. */
-    private static final double URGENT_PART = 0.15;
+    /** Fraction of the requests that are urgent. */
+    private static final double URGENT_FRACTION = 0.15;
 
-    /** How many times as often as the others the urgent are served at least. */
-    private static final double LEAST_PRECEDENCE = 3;
+    /** Lowest ratio between the service of urgent requests and of all others. */
+    private static final double MIN_PRECEDENCE = 3;
 
-    /** How many requests of a rate are looked at, at least. */
-    private static final int LEAST_REQUESTS = 40;
+    /** Lowest number of requests over which a rate is examined. */
+    private static final int MIN_REQUESTS = 40;
 
-    /** How many series are measured. */
+    /** Number of seeds per measurement. */
     private static final int SERIES = Integer.getInteger("troutpier.series", 2);
 
-    /** How late routers hear each other: directly, and through relays; milliseconds. */
+    /** Delay of reports between routers: directly, and through relays; milliseconds. */
     private static final int DIRECT_MILLIS = 60;
 
     private static final int RELAYED_MILLIS = 150;
@@ -58,100 +61,110 @@
         };
     }
 
-    private static UpstreamRateSimulation calm(
-            long seed, Way way, int routers, int late, double asked, double rate) {
-        UpstreamRateSimulation simulation = new UpstreamRateSimulation(seed, way, routers, late);
-        Upstream need = simulation.upstream("need");
+    private static UpstreamRateSimulation runUndisturbed(
+            long seed,
+            Strategy strategy,
+            int routers,
+            int delayMillis,
+            double perSecond,
+            double rate) {
+        UpstreamRateSimulation simulation =
+                new UpstreamRateSimulation(seed, strategy, routers, delayMillis);
+        Upstream limited = simulation.upstream("need");
         for (int other = 0; other < OTHERS; other++) {
             simulation.upstream("other-" + other);
         }
-        simulation.pass(5000, asked);
-        simulation.name(need, rate);
-        simulation.pass(4000, asked);
-        need.mCame = 0;
-        need.mTaken = 0;
-        simulation.pass((int) Math.max(16_000, LEAST_REQUESTS / rate * 1000), asked);
-        simulation.mShown = need;
+        simulation.pass(5000, perSecond);
+        simulation.announce(limited, rate);
+        simulation.pass(4000, perSecond);
+        limited.mReceived = 0;
+        limited.mCapacity = 0;
+        simulation.pass((int) Math.max(16_000, MIN_REQUESTS / rate * 1000), perSecond);
+        simulation.mObserved = limited;
         return simulation;
     }
 
-    /** A rate that rises, falls and ends while routers restart, freeze and are cut off. */
-    private static Upstream troubled(long seed, int routers, int late, double asked, double rate) {
+    /** Runs a rate that rises, falls and ends while routers restart, freeze and are partitioned. */
+    private static Upstream runDisturbed(
+            long seed, int routers, int delayMillis, double perSecond, double rate) {
         Random random = new Random(seed);
         UpstreamRateSimulation simulation =
-                new UpstreamRateSimulation(seed, Way.REPORTED, routers, late);
-        Upstream need = simulation.upstream("need");
+                new UpstreamRateSimulation(seed, Strategy.REPORTED, routers, delayMillis);
+        Upstream limited = simulation.upstream("need");
         for (int other = 0; other < OTHERS; other++) {
             simulation.upstream("other-" + other);
         }
-        simulation.pass(3000, asked);
-        simulation.name(need, rate);
-        for (int trouble = 0; trouble < 8; trouble++) {
-            simulation.pass(3000, asked);
+        simulation.pass(3000, perSecond);
+        simulation.announce(limited, rate);
+        for (int disturbance = 0; disturbance < 8; disturbance++) {
+            simulation.pass(3000, perSecond);
             switch (random.nextInt(6)) {
                 case 0 -> simulation.restart(1, 1200);
                 case 1 -> simulation.restart(0.4, 1200);
                 case 2 -> simulation.freeze(0.3, 2500);
-                case 3 -> simulation.cut(0.35);
-                case 4 -> simulation.name(need, rate * (0.5 + random.nextDouble()));
+                case 3 -> simulation.partition(0.35);
+                case 4 -> simulation.announce(limited, rate * (0.5 + random.nextDouble()));
                 default -> {
-                    simulation.name(need, Double.NaN);
-                    simulation.pass(3000, asked);
-                    simulation.name(need, rate);
+                    simulation.announce(limited, Double.NaN);
+                    simulation.pass(3000, perSecond);
+                    simulation.announce(limited, rate);
                 }
             }
-            simulation.pass(3000, asked);
+            simulation.pass(3000, perSecond);
             simulation.heal();
         }
-        return need;
+        return limited;
     }
 
     @Test(dataProvider = "sizes")
-    public void anUpstreamGetsItsRateAndNoMoreThanItBears(
-            int routers, int late, double asked, double rate) {
+    public void anUpstreamReceivesItsRateAndNoMoreThanItTolerates(
+            int routers, int delayMillis, double perSecond, double rate) {
         long seed = new Random().nextLong();
-        Upstream need = calm(seed, Way.REPORTED, routers, late, asked, rate).mShown;
-        String what = "seed " + seed + " routers " + routers + ": " + figures(need);
-        assertTrue(need.mMostKnown <= 1, what);
-        assertTrue(need.mCame >= LEAST_PART * need.mTaken, what);
+        Upstream limited =
+                runUndisturbed(seed, Strategy.REPORTED, routers, delayMillis, perSecond, rate)
+                        .mObserved;
+        String message = "seed " + seed + " routers " + routers + ": " + figures(limited);
+        assertTrue(limited.mMaxFillOnceKnown <= 1, message);
+        assertTrue(limited.mReceived >= MIN_FRACTION * limited.mCapacity, message);
     }
 
-    /** The shares of load that upstreams of one service get before one of them names a rate. */
+    /** Before one of them announces a rate, the upstreams of the service share the load. */
     @Test
-    public void whatCameBeforeTheRateIsCountedOnceTheRateBinds() {
+    public void requestsBeforeTheRateCountOnceItIsBinding() {
         long seed = new Random().nextLong();
-        Upstream need = calm(seed, Way.REPORTED, 7, DIRECT_MILLIS, 42, RATE).mShown;
-        assertTrue(need.mMost <= 1, "seed " + seed + ": " + figures(need));
+        Upstream limited =
+                runUndisturbed(seed, Strategy.REPORTED, 7, DIRECT_MILLIS, 42, RATE).mObserved;
+        assertTrue(limited.mMaxFill <= 1, "seed " + seed + ": " + figures(limited));
     }
 
     @Test(dataProvider = "sizes")
-    public void itGetsNoMoreWhileRoutersRestartFreezeAndAreCutOff(
-            int routers, int late, double asked, double rate) {
+    public void itReceivesNoMoreDuringRestartsFreezesAndPartitions(
+            int routers, int delayMillis, double perSecond, double rate) {
         long seed = new Random().nextLong();
-        Upstream need = troubled(seed, routers, late, asked, rate);
+        Upstream limited = runDisturbed(seed, routers, delayMillis, perSecond, rate);
         assertTrue(
-                need.mMostKnown <= 1,
-                "seed " + seed + " routers " + routers + ": " + figures(need));
+                limited.mMaxFillOnceKnown <= 1,
+                "seed " + seed + " routers " + routers + ": " + figures(limited));
     }
 
     @Test(dataProvider = "fleets")
-    public void whereAllUpstreamsNameRatesTheMoreUrgentAreServedFirst(
-            int routers, int late, double asked, double rate) {
+    public void ifAllUpstreamsAnnounceRatesUrgentRequestsAreServedFirst(
+            int routers, int delayMillis, double perSecond, double rate) {
         long seed = new Random().nextLong();
         UpstreamRateSimulation simulation =
-                new UpstreamRateSimulation(seed, Way.REPORTED, routers, late);
-        simulation.mUrgentPart = URGENT_PART;
+                new UpstreamRateSimulation(seed, Strategy.REPORTED, routers, delayMillis);
+        simulation.mUrgentFraction = URGENT_FRACTION;
         for (int number = 0; number <= OTHERS; number++) {
-            simulation.name(simulation.upstream("need-" + number), rate);
+            simulation.announce(simulation.upstream("need-" + number), rate);
         }
-        simulation.pass(5000, asked);
+        simulation.pass(5000, perSecond);
         Arrays.fill(simulation.mAsked, 0);
         Arrays.fill(simulation.mServed, 0);
-        simulation.pass(30_000, asked);
+        simulation.pass(30_000, perSecond);
         double urgent = simulation.mServed[0] / (double) simulation.mAsked[0];
         double all = (simulation.mServed[0] + simulation.mServed[1]) / (rate * (OTHERS + 1) * 30);
         double others = simulation.mServed[1] / (double) simulation.mAsked[1];
-        String what =
+        String message =
                 String.format(
                         Locale.ROOT,
                         "seed %d: urgent %.3f, others %.3f, of the rates %.3f",
@@ -159,21 +172,21 @@
                         urgent,
                         others,
                         all);
-        System.out.println("rates by rank routers=" + routers + " " + what);
-        assertTrue(urgent >= LEAST_PRECEDENCE * others, what);
-        assertTrue(all >= LEAST_PART, what);
+        System.out.println("rates by rank routers=" + routers + " " + message);
+        assertTrue(urgent >= MIN_PRECEDENCE * others, message);
+        assertTrue(all >= MIN_FRACTION, message);
     }
 
-    /** How full the fullest window of many series is. */
+    /** Measures the fullest window over many seeds. */
     @Test(groups = "measurement", dataProvider = "sizes")
-    public void theFullestWindows(int routers, int late, double asked, double rate) {
+    public void measureFullestWindows(int routers, int delayMillis, double perSecond, double rate) {
         double most = 0;
         double restarted = 0;
         int over = 0;
         for (int seed = 0; seed < SERIES; seed++) {
-            Upstream need = troubled(seed, routers, late, asked, rate);
-            double window = need.mMostKnown;
-            restarted = Math.max(restarted, need.mMostRestarted);
+            Upstream limited = runDisturbed(seed, routers, delayMillis, perSecond, rate);
+            double window = limited.mMaxFillOnceKnown;
+            restarted = Math.max(restarted, limited.mMaxFillWithRestarts);
             most = Math.max(most, window);
             over += window > 1 ? 1 : 0;
         }
@@ -182,7 +195,7 @@
                 "rates troubled routers=%d asked=%.0f rate=%.1f series=%d over=%d most=%.3f,"
                         + " with restarts=%.3f%n",
                 routers,
-                asked,
+                perSecond,
                 rate,
                 SERIES,
                 over,
@@ -194,34 +207,36 @@
         return String.format(
                 Locale.ROOT,
                 "most of the bound %.3f, once known %.3f, sent of the rate %.3f",
-                upstream.mMost,
-                upstream.mMostKnown,
-                upstream.mCame / upstream.mTaken);
+                upstream.mMaxFill,
+                upstream.mMaxFillOnceKnown,
+                upstream.mReceived / upstream.mCapacity);
     }
 
-    /** The ways that were weighed, side by side. */
+    /** Compares the strategies for keeping to a rate. */
     @Test(groups = "measurement", dataProvider = "sizes")
-    public void theWaysSideBySide(int routers, int late, double asked, double rate) {
-        for (Way way : Way.values()) {
-            double most = 0;
-            double known = 0;
+    public void compareStrategies(int routers, int delayMillis, double perSecond, double rate) {
+        for (Strategy strategy : Strategy.values()) {
+            double maxFill = 0;
+            double maxFillOnceKnown = 0;
             double sent = 0;
             for (int seed = 0; seed < SERIES; seed++) {
-                Upstream need = calm(seed, way, routers, late, asked, rate).mShown;
-                most = Math.max(most, need.mMost);
-                known = Math.max(known, need.mMostKnown);
-                sent += need.mCame / need.mTaken / SERIES;
+                Upstream limited =
+                        runUndisturbed(seed, strategy, routers, delayMillis, perSecond, rate)
+                                .mObserved;
+                maxFill = Math.max(maxFill, limited.mMaxFill);
+                maxFillOnceKnown = Math.max(maxFillOnceKnown, limited.mMaxFillOnceKnown);
+                sent += limited.mReceived / limited.mCapacity / SERIES;
             }
             System.out.printf(
                     Locale.ROOT,
                     "rates routers=%d asked=%.0f rate=%.1f way=%s most of the bound=%.3f,"
                             + " once known=%.3f sent of the rate=%.3f%n",
                     routers,
-                    asked,
+                    perSecond,
                     rate,
-                    way,
-                    most,
-                    known,
+                    strategy,
+                    maxFill,
+                    maxFillOnceKnown,
                     sent);
         }
     }
--- a/troutpier-daemon/src/test/java/org/troutpier/daemon/serving/UpstreamRateSimulation.java
+++ b/troutpier-daemon/src/test/java/org/troutpier/daemon/serving/UpstreamRateSimulation.java
@@ -20,109 +20,110 @@
 import org.troutpier.daemon.notice.AnnouncedRate;
 
 /**
- * Routers under upstreams that name rates, in virtual time: the real count and decision at each,
- * views of each other that are late, and routers that are cut off, restarted or frozen. A run is a
- * function of its seed.
+ * Simulates routers and upstreams that announce rates, in virtual time. Each router makes the real
+ * decisions on delayed reports of the others, and may be partitioned, restarted or frozen. A run is
+ * determined by its seed.
  */
 final class UpstreamRateSimulation {
 
     /** How routers keep to a rate. */
-    enum Way {
-        /** Each reports what it sends, and the sum decides. */
+    enum Strategy {
+        /** Each router reports what it sends, and the sum decides. */
         REPORTED,
-        /** Each has a fixed part. */
+        /** Each router has a fixed share. */
         FIXED_PART
     }
 
     static final int WINDOW_MILLIS = 4000;
 
-    /** After how long a rate binds, milliseconds; the users' {@code contact_ms}. */
-    static final int BINDS_MILLIS = 3000;
+    /** Time after which a rate is binding, milliseconds; the users' {@code contact_ms}. */
+    static final int BINDING_MILLIS = 3000;
 
-    /** After how long routers have passed a rate on, milliseconds; the users' figure. */
-    private static final int KNOWN_MILLIS = 500;
+    /** Time after which routers have propagated a rate, milliseconds; required by the users. */
+    private static final int PROPAGATION_MILLIS = 500;
 
     private static final int STEP_MILLIS = 10;
     private static final int REPORT_MILLIS = 50;
     private static final int WORK_MILLIS = 90;
-    private static final int BELIEVED_MILLIS = 1500;
+    private static final int REPORT_TTL_MILLIS = 1500;
 
     private final Random mRandom;
-    private final Way mWay;
-    private final int mLateMillis;
+    private final Strategy mStrategy;
+    private final int mDelayMillis;
     private final ManualTime mTime = new ManualTime();
     private final List<Router> mRouters = new ArrayList<>();
     private final List<Upstream> mUpstreams = new ArrayList<>();
     private final Deque<Call> mCalls = new ArrayDeque<>();
     private int mGroups = 1;
 
-    /** Which part of the requests is urgent. */
-    double mUrgentPart;
+    /** Fraction of the requests that are urgent. */
+    double mUrgentFraction;
 
-    /** What was asked and served, of the urgent and of the others. */
+    /** Requests that were sent and served: the urgent ones, then the others. */
     final long[] mAsked = new long[2];
 
     final long[] mServed = new long[2];
 
-    /** The upstream that a test looks at. */
-    Upstream mShown;
+    /** The upstream that a test examines. */
+    Upstream mObserved;
 
-    /** A call under way. */
+    /** A call in flight. */
     private record Call(Router router, Upstream upstream, long sentAt) {}
 
     /**
-     * A request that came from a router.
+     * A request that arrived from a router.
      *
-     * @param excused whether the router was disturbed a while before
+     * @param excused whether the router had been disturbed shortly before
      */
     private record Arrival(long at, Router router, boolean excused) {
 
-        /** Returns whether it lies in the window, from a router that is not excused now. */
+        /** Returns whether the request is in the window and its router is not excused now. */
         boolean counts(long now) {
-            return at > now - WINDOW_MILLIS && !router.excused(now);
+            return at > now - WINDOW_MILLIS && !router.isExcused(now);
         }
     }
 
-    /** What a router reported, and when others hear it. */
+    /** A report of a router, and when it was made. */
     private record Report(long at, Map<UpstreamIncarnation, RateReport> rates) {}
 
-    /** An upstream, and what came to it. */
+    /** An upstream and the requests that it received. */
     static final class Upstream {
         final UpstreamEntry mEntry;
         double mRate = Double.NaN;
-        long mNamedAt;
+        long mAnnouncedAt;
         int mCalls;
         double mBound;
         final List<Arrival> mArrivals = new ArrayList<>();
 
-        /** The fullest window since the rate binds, as a part of the bound. */
-        double mMost;
+        /** Fullest window since the rate is binding, as a fraction of the bound. */
+        double mMaxFill;
 
-        /** The fullest window that lies after the rate was known, as a part of the bound. */
-        double mMostKnown;
+        /** Fullest window that lies after the rate was known, as a fraction of the bound. */
+        double mMaxFillOnceKnown;
 
         /**
-         * The same, with what routers sent soon after a restart, when they did not know the rate.
+         * The same, including requests that routers sent soon after a restart, when they did not
+         * know the rate.
          */
-        double mMostRestarted;
+        double mMaxFillWithRestarts;
 
-        /** What came while a rate was named, and what it would have taken. */
-        long mCame;
+        /** Requests received while a rate was announced, and the number that the rate allowed. */
+        long mReceived;
 
-        double mTaken;
+        double mCapacity;
 
         Upstream(String id) {
             mEntry = TestUpstreams.plain(id, "hall-a");
         }
 
-        boolean limited() {
+        boolean isLimited() {
             return !Double.isNaN(mRate);
         }
 
         /**
-         * Returns what came in the window that ends now.
+         * Returns the number of requests in the window that ends now.
          *
-         * @param known whether to leave out what came while its router was excused
+         * @param known whether to leave out requests of routers that were excused
          */
         private long window(long now, boolean known) {
             return mArrivals.stream()
@@ -130,32 +131,36 @@
                     .count();
         }
 
-        /** Judges the window that ends now. */
-        private void judge(long now) {
-            if (limited() && now - mNamedAt >= BINDS_MILLIS) {
-                mMost = Math.max(mMost, window(now, false) / mBound);
-                if (now - mNamedAt >= WINDOW_MILLIS + KNOWN_MILLIS) {
-                    mMostKnown = Math.max(mMostKnown, window(now, true) / mBound);
-                    mMostRestarted = Math.max(mMostRestarted, window(now, false) / mBound);
+        /** Records the window that ends now. */
+        private void recordWindow(long now) {
+            if (isLimited() && now - mAnnouncedAt >= BINDING_MILLIS) {
+                mMaxFill = Math.max(mMaxFill, window(now, false) / mBound);
+                if (now - mAnnouncedAt >= WINDOW_MILLIS + PROPAGATION_MILLIS) {
+                    mMaxFillOnceKnown = Math.max(mMaxFillOnceKnown, window(now, true) / mBound);
+                    mMaxFillWithRestarts =
+                            Math.max(mMaxFillWithRestarts, window(now, false) / mBound);
                 }
             }
         }
     }
 
-    /** One router. */
+    /** A router. */
     private final class Router implements PeerRates {
         final Deque<Report> mReports = new ArrayDeque<>();
-        Report mHeard = new Report(0, Map.of());
+        Report mLastReport = new Report(0, Map.of());
         int mGroup;
         long mDownUntil;
 
-        /** Until when it was restarted, frozen or cut off, which excuses it for a while. */
+        /**
+         * End of the last restart, freeze or partition, which excuses the router for some time
+         * after it.
+         */
         long mDisturbedUntil;
 
         UpstreamRates mRates;
-        final Map<UpstreamIncarnation, RateReport> mOthers = new HashMap<>();
-        long mOthersAt;
-        int mOthersCount;
+        final Map<UpstreamIncarnation, RateReport> mPeers = new HashMap<>();
+        long mPeersAt;
+        int mPeerCount;
 
         Router() {
             start();
@@ -163,7 +168,7 @@
 
         void start() {
             mReports.clear();
-            mOthers.clear();
+            mPeers.clear();
             mRates =
                     new UpstreamRates(
                             mTime.loop(),
@@ -174,30 +179,30 @@
                             new MetricRegistry());
         }
 
-        boolean excused(long now) {
-            return now - mDisturbedUntil < BINDS_MILLIS;
+        boolean isExcused(long now) {
+            return now - mDisturbedUntil < BINDING_MILLIS;
         }
 
-        boolean works() {
+        boolean isRunning() {
             return mTime.millis() >= mDownUntil;
         }
 
         @Override
         public RateReport rate(UpstreamIncarnation upstream, long now) {
-            RateReport report = mOthers.get(upstream);
-            return report == null ? RateReport.NONE : report.aged(now - mOthersAt);
+            RateReport report = mPeers.get(upstream);
+            return report == null ? RateReport.NONE : report.aged(now - mPeersAt);
         }
 
         @Override
         public int peerCount() {
-            return mOthersCount;
+            return mPeerCount;
         }
     }
 
-    UpstreamRateSimulation(long seed, Way way, int routers, int lateMillis) {
+    UpstreamRateSimulation(long seed, Strategy strategy, int routers, int delayMillis) {
         mRandom = new Random(seed);
-        mWay = way;
-        mLateMillis = lateMillis;
+        mStrategy = strategy;
+        mDelayMillis = delayMillis;
         mTime.pass(100_000);
         for (int number = 0; number < routers; number++) {
             mRouters.add(new Router());
@@ -210,16 +215,17 @@
         return upstream;
     }
 
-    /** Has an upstream name a rate from now on, or none where it is not a number. */
-    void name(Upstream upstream, double rate) {
+    /** Makes an upstream announce a rate from now on, or none if it is not a number. */
+    void announce(Upstream upstream, double rate) {
         double bound = 1.5 * rate * WINDOW_MILLIS / 1000 + 5;
-        boolean lower = upstream.limited() && bound < upstream.mBound;
-        upstream.mNamedAt = upstream.limited() && !lower ? upstream.mNamedAt : mTime.millis();
+        boolean lower = upstream.isLimited() && bound < upstream.mBound;
+        upstream.mAnnouncedAt =
+                upstream.isLimited() && !lower ? upstream.mAnnouncedAt : mTime.millis();
         upstream.mRate = rate;
         upstream.mBound = bound;
     }
 
-    /** Restarts a part of the routers, which know nothing after it. */
+    /** Restarts a fraction of the routers, which lose all state. */
     void restart(double share, int millis) {
         for (Router router : mRouters) {
             if (mRandom.nextDouble() < share) {
@@ -229,7 +235,7 @@
         }
     }
 
-    /** Freezes a part of the routers, which go on with what they knew. */
+    /** Freezes a fraction of the routers, which keep their state. */
     void freeze(double share, int millis) {
         for (Router router : mRouters) {
             if (mRandom.nextDouble() < share) {
@@ -243,8 +249,10 @@
         router.mDisturbedUntil = router.mDownUntil;
     }
 
-    /** Cuts a part of the routers off from the others, together. A heal ends it. */
-    void cut(double share) {
+    /**
+     * Partitions a fraction of the routers off from the others, as one group, until {@link #heal}.
+     */
+    void partition(double share) {
         int group = mGroups++;
         for (Router router : mRouters) {
             if (mRandom.nextDouble() < share) {
@@ -263,43 +271,44 @@
         }
     }
 
-    /** Has callers ask for a while. */
+    /** Generates requests for a time. */
     void pass(int millis, double perSecond) {
         for (int passed = 0; passed < millis; passed += STEP_MILLIS) {
             mTime.pass(STEP_MILLIS);
             long now = mTime.millis();
             answer(now);
             if (now % REPORT_MILLIS == 0) {
-                report(now);
+                exchangeReports(now);
             }
             double due = perSecond * STEP_MILLIS / 1000;
             for (int left = Arrivals.poisson(mRandom, due); left > 0; left--) {
-                ask(now, mRandom.nextDouble() < mUrgentPart ? 0 : 1);
+                send(now, mRandom.nextDouble() < mUrgentFraction ? 0 : 1);
             }
             for (Upstream upstream : mUpstreams) {
-                upstream.judge(now);
-                upstream.mTaken += upstream.limited() ? upstream.mRate * STEP_MILLIS / 1000 : 0;
+                upstream.recordWindow(now);
+                upstream.mCapacity +=
+                        upstream.isLimited() ? upstream.mRate * STEP_MILLIS / 1000 : 0;
             }
         }
     }
 
-    private void ask(long now, int rank) {
+    private void send(long now, int rank) {
         int index = (int) (mRouters.size() * Math.pow(mRandom.nextDouble(), 1.5));
         Router router = mRouters.get(index);
-        if (!router.works()) {
+        if (!router.isRunning()) {
             return;
         }
-        FlowKey asker = new FlowKey(rank, FlowKey.NO_ORGANISATION);
+        FlowKey flow = new FlowKey(rank, FlowKey.NO_ORGANISATION);
         mAsked[rank]++;
         List<Upstream> ordered = new ArrayList<>(mUpstreams);
         Collections.shuffle(ordered, mRandom);
         ordered.sort(Comparator.comparingInt(upstream -> upstream.mCalls));
         for (Upstream upstream : ordered) {
-            if (router.mRates.tryAcquire(upstream.mEntry, asker)) {
+            if (router.mRates.tryAcquire(upstream.mEntry, flow)) {
                 mServed[rank]++;
-                upstream.mArrivals.add(new Arrival(now, router, router.excused(now)));
+                upstream.mArrivals.add(new Arrival(now, router, router.isExcused(now)));
                 upstream.mCalls++;
-                upstream.mCame += upstream.limited() ? 1 : 0;
+                upstream.mReceived += upstream.isLimited() ? 1 : 0;
                 mCalls.add(new Call(router, upstream, now));
                 return;
             }
@@ -311,10 +320,10 @@
             Call call = mCalls.poll();
             call.upstream().mCalls--;
             AnnouncedRate rate =
-                    call.upstream().limited()
+                    call.upstream().isLimited()
                             ? AnnouncedRate.of(call.upstream().mRate)
                             : AnnouncedRate.NONE;
-            if (call.router().works()) {
+            if (call.router().isRunning()) {
                 call.router()
                         .mRates
                         .recordAnnouncement(
@@ -326,38 +335,41 @@
         }
     }
 
-    /** Has all report, and hear what was reported a while ago. */
-    private void report(long now) {
+    /** Lets all routers report, and delivers the reports that are due. */
+    private void exchangeReports(long now) {
         for (Router router : mRouters) {
-            if (router.works()) {
+            if (router.isRunning()) {
                 router.mReports.add(new Report(now, router.mRates.report()));
             }
-            while (!router.mReports.isEmpty() && router.mReports.peek().at() + mLateMillis <= now) {
-                router.mHeard = router.mReports.poll();
+            while (!router.mReports.isEmpty()
+                    && router.mReports.peek().at() + mDelayMillis <= now) {
+                router.mLastReport = router.mReports.poll();
             }
         }
-        if (mWay == Way.REPORTED) {
-            mRouters.stream().filter(Router::works).forEach(router -> hear(router, now));
+        if (mStrategy == Strategy.REPORTED) {
+            mRouters.stream()
+                    .filter(Router::isRunning)
+                    .forEach(router -> receiveReports(router, now));
         }
     }
 
-    /** Sums up what a router hears of the others. */
-    private void hear(Router router, long now) {
-        router.mOthers.clear();
-        router.mOthersAt = now;
-        router.mOthersCount = 0;
+    /** Aggregates the reports of the others at a router. */
+    private void receiveReports(Router router, long now) {
+        router.mPeers.clear();
+        router.mPeersAt = now;
+        router.mPeerCount = 0;
         for (Router other : mRouters) {
-            Report heard = other.mHeard;
-            boolean silent = now - heard.at() > BELIEVED_MILLIS + mLateMillis;
+            Report report = other.mLastReport;
+            boolean silent = now - report.at() > REPORT_TTL_MILLIS + mDelayMillis;
             if (other == router || other.mGroup != router.mGroup || silent) {
                 continue;
             }
-            router.mOthersCount++;
-            heard.rates()
+            router.mPeerCount++;
+            report.rates()
                     .forEach(
                             (id, rate) ->
-                                    router.mOthers.merge(
-                                            id, rate.aged(now - heard.at()), RateReport::plus));
+                                    router.mPeers.merge(
+                                            id, rate.aged(now - report.at()), RateReport::plus));
         }
     }
 }
--- a/troutpier-daemon/src/test/java/org/troutpier/daemon/serving/UpstreamRatesTest.java
+++ b/troutpier-daemon/src/test/java/org/troutpier/daemon/serving/UpstreamRatesTest.java
@@ -22,20 +22,20 @@
 import org.troutpier.daemon.node.ManualTime;
 import org.troutpier.daemon.notice.AnnouncedRate;
 
-/** What is known of the rates that upstreams name. */
+/** Tests the enforcement of announced rates at one router. */
 public final class UpstreamRatesTest {
 
     private static final UpstreamEntry UPSTREAM = TestUpstreams.plain("web", "hall-a");
     private static final UpstreamIncarnation ID = UPSTREAM.incarnation();
-    private static final FlowKey ASKER = new FlowKey(1, FlowKey.NO_ORGANISATION);
+    private static final FlowKey FLOW = new FlowKey(1, FlowKey.NO_ORGANISATION);
     private static final int STEP_MILLIS = 10;
     private static final int WORK_MILLIS = 50;
 
     private ManualTime mTime;
     private MetricRegistry mMetrics;
-    private RateReport mReported;
-    private int mRouters;
-    private int mKnown;
+    private RateReport mPeerReport;
+    private int mPeerCount;
+    private int mKnownRouters;
     private UpstreamRates mRates;
 
     @BeforeMethod
@@ -43,24 +43,29 @@
         mTime = new ManualTime();
         mTime.pass(100_000);
         mMetrics = new MetricRegistry();
-        mReported = RateReport.NONE;
-        mRouters = 0;
-        mKnown = 1;
+        mPeerReport = RateReport.NONE;
+        mPeerCount = 0;
+        mKnownRouters = 1;
         PeerRates others =
                 new PeerRates() {
                     @Override
                     public RateReport rate(UpstreamIncarnation upstream, long now) {
-                        return upstream.equals(ID) ? mReported : RateReport.NONE;
+                        return upstream.equals(ID) ? mPeerReport : RateReport.NONE;
                     }
 
                     @Override
                     public int peerCount() {
-                        return mRouters;
+                        return mPeerCount;
                     }
                 };
         mRates =
                 new UpstreamRates(
-                        mTime.loop(), mTime::millis, new Random(1), others, () -> mKnown, mMetrics);
+                        mTime.loop(),
+                        mTime::millis,
+                        new Random(1),
+                        others,
+                        () -> mKnownRouters,
+                        mMetrics);
     }
 
     private void answer(AnnouncedRate rate, UpstreamPort.Verdict verdict, long tookMillis) {
@@ -77,7 +82,7 @@
     }
 
     @Test
-    public void aRateHoldsFromTheAnswerThatNamesItToTheAnswerThatDoesNot() {
+    public void aRateAppliesFromItsAnnouncementToAnAnswerWithoutOne() {
         assertEquals(rates(), List.of());
         answer(AnnouncedRate.of(3.6));
         assertEquals(rates(), List.of(3.6));
@@ -88,7 +93,7 @@
     }
 
     @Test
-    public void anAnswerToACallThatWasSentBeforeTheRateWasNamedDoesNotEndIt() {
+    public void anAnswerToACallSentBeforeTheAnnouncementDoesNotEndIt() {
         answer(AnnouncedRate.of(3.6));
         mTime.pass(20);
         answer(AnnouncedRate.NONE, UpstreamPort.Verdict.SUCCESS, 40);
@@ -112,7 +117,7 @@
     }
 
     @Test
-    public void whatCannotBeReadChangesNothingAndIsCounted() {
+    public void anUnreadableRateChangesNothingAndIsCounted() {
         answer(AnnouncedRate.of(3.6));
         answer(AnnouncedRate.UNREADABLE);
         assertEquals(rates(), List.of(3.6));
@@ -121,7 +126,7 @@
     }
 
     @Test
-    public void theStartThatFollowsIsNotHeldToTheRate() {
+    public void theNextIncarnationIsNotLimited() {
         UpstreamEntry again = TestUpstreams.startedAt(UPSTREAM, 7);
         answer(AnnouncedRate.of(3.6));
         mRates.recordAnnouncement(again, AnnouncedRate.NONE, UpstreamPort.Verdict.SUCCESS, 0);
@@ -130,27 +135,27 @@
     }
 
     @Test
-    public void whatAnotherRouterHeardLaterHoldsHere() {
+    public void aLaterAnnouncementAtAnotherRouterApplies() {
         answer(AnnouncedRate.of(3.6));
         mTime.pass(1000);
-        mReported =
+        mPeerReport =
                 new RateReport(
                         new LastAnnouncedRate(2, 100), new RecentUsage(4, 1, 9), List.of(9L));
         assertEquals(rates(), List.of(2.0));
         assertEquals(mRates.statuses().get(0).elsewhere(), 4);
-        mReported =
+        mPeerReport =
                 new RateReport(
                         new LastAnnouncedRate(LastAnnouncedRate.UNLIMITED, 0),
                         RecentUsage.NONE,
                         List.of());
         mTime.pass(200);
         assertEquals(rates(), List.of());
-        mReported = new RateReport(new LastAnnouncedRate(3.6, 5000), RecentUsage.NONE, List.of());
+        mPeerReport = new RateReport(new LastAnnouncedRate(3.6, 5000), RecentUsage.NONE, List.of());
         assertEquals(rates(), List.of(), "an earlier statement");
     }
 
     @Test
-    public void onlyWhatWasHeardHereIsReportedAsHeard() {
+    public void onlyOwnAnnouncementsAreReported() {
         assertEquals(mRates.report(), Map.of());
         answer(AnnouncedRate.of(3.6));
         assertEquals(
@@ -160,10 +165,10 @@
                         new RateReport(
                                 new LastAnnouncedRate(3.6, 0), RecentUsage.NONE, List.of())));
         mTime.pass(1000);
-        mReported = new RateReport(new LastAnnouncedRate(2, 100), RecentUsage.NONE, List.of());
+        mPeerReport = new RateReport(new LastAnnouncedRate(2, 100), RecentUsage.NONE, List.of());
         assertEquals(rates(), List.of(2.0));
         assertEquals(mRates.report(), Map.of());
-        assertTrue(mRates.tryAcquire(UPSTREAM, ASKER));
+        assertTrue(mRates.tryAcquire(UPSTREAM, FLOW));
         assertEquals(
                 mRates.report(),
                 Map.of(
@@ -175,9 +180,9 @@
     }
 
     @Test
-    public void aRateOfWhichNothingIsHeardForLongLapses() {
+    public void aRateThatIsNotRepeatedExpires() {
         answer(AnnouncedRate.of(3.6));
-        mTime.pass(UpstreamRate.LAPSE_MILLIS - 1);
+        mTime.pass(UpstreamRate.EXPIRY_MILLIS - 1);
         assertEquals(rates(), List.of(3.6));
         mTime.pass(1);
         assertEquals(rates(), List.of());
@@ -185,75 +190,75 @@
     }
 
     @Test
-    public void anUpstreamThatIsGoneIsForgottenOnceItsRateHasLapsed() {
+    public void anUnlistedUpstreamIsRemovedOnceItsRateHasExpired() {
         answer(AnnouncedRate.of(3.6));
         mRates.retain(Set.of());
         assertEquals(rates(), List.of(3.6), "the list may be away");
-        mTime.pass(UpstreamRate.LAPSE_MILLIS);
+        mTime.pass(UpstreamRate.EXPIRY_MILLIS);
         mRates.retain(Set.of());
         assertTrue(mRates.statuses().isEmpty());
     }
 
-    /** Asks again and again for a while; returns how many were admitted of each asker. */
-    private long[] press(int millis, FlowKey... askers) {
-        long[] admitted = new long[askers.length];
+    /** Generates requests for a time, and returns the number admitted for each flow. */
+    private long[] sendContinuously(int millis, FlowKey... flows) {
+        long[] admitted = new long[flows.length];
         for (int passed = 0; passed < millis; passed += STEP_MILLIS) {
             mTime.pass(STEP_MILLIS);
-            for (int asker = 0; asker < askers.length; asker++) {
-                admitted[asker] += mRates.tryAcquire(UPSTREAM, askers[asker]) ? 1 : 0;
+            for (int flow = 0; flow < flows.length; flow++) {
+                admitted[flow] += mRates.tryAcquire(UPSTREAM, flows[flow]) ? 1 : 0;
             }
         }
         return admitted;
     }
 
     @Test
-    public void anUpstreamThatNamesNoRateIsSentAllThatIsAsked() {
-        assertEquals(press(1000, ASKER)[0], 1000 / STEP_MILLIS);
+    public void withoutARateAllRequestsAreSent() {
+        assertEquals(sendContinuously(1000, FLOW)[0], 1000 / STEP_MILLIS);
     }
 
     @Test
-    public void whatIsAskedBelowTheRateIsSent() {
+    public void requestsBelowTheRateAreSent() {
         answer(AnnouncedRate.of(200));
         mTime.pass(5000);
-        assertEquals(press(10_000, ASKER)[0], 10_000 / STEP_MILLIS);
+        assertEquals(sendContinuously(10_000, FLOW)[0], 10_000 / STEP_MILLIS);
     }
 
     @Test
-    public void theRateIsSentOverALongTime() {
+    public void theRateIsUsedUpOverALongTime() {
         answer(AnnouncedRate.of(5));
         mTime.pass(5000);
-        long sent = press(20_000, ASKER)[0];
+        long sent = sendContinuously(20_000, FLOW)[0];
         assertTrue(sent >= 80 && sent <= 110, "sent " + sent + " of 100");
     }
 
     @Test
-    public void whatTheOthersSendIsTakenOff() {
-        mRouters = 1;
-        mKnown = 2;
-        mReported =
+    public void requestsOfOtherRoutersAreDeducted() {
+        mPeerCount = 1;
+        mKnownRouters = 2;
+        mPeerReport =
                 new RateReport(
                         new LastAnnouncedRate(5, 0), new RecentUsage(20, 5, 5), List.of(0L, 5L));
-        mRates.tryAcquire(UPSTREAM, ASKER);
+        mRates.tryAcquire(UPSTREAM, FLOW);
         assertEquals(rates(), List.of(5.0));
         mTime.pass(5000);
-        assertEquals(press(2000, ASKER)[0], 0);
+        assertEquals(sendContinuously(2000, FLOW)[0], 0);
     }
 
     @Test
-    public void aRouterThatIsAloneKeepsItsPart() {
+    public void anIsolatedRouterKeepsToItsShare() {
         answer(AnnouncedRate.of(10));
         mTime.pass(5000);
-        mKnown = 5;
-        long sent = press(20_000, ASKER)[0];
+        mKnownRouters = 5;
+        long sent = sendContinuously(20_000, FLOW)[0];
         assertTrue(sent >= 20 && sent <= 70, "sent " + sent + " where its part is 40");
     }
 
     @Test
-    public void theMoreUrgentGoesFirst() {
+    public void urgentRequestsGoFirst() {
         answer(AnnouncedRate.of(5));
         mTime.pass(5000);
         long[] sent =
-                press(
+                sendContinuously(
                         20_000,
                         new FlowKey(2, FlowKey.NO_ORGANISATION),
                         new FlowKey(1, FlowKey.NO_ORGANISATION));
@@ -262,29 +267,29 @@
     }
 
     @Test
-    public void organisationsTakeEvenTurns() {
+    public void organisationsShareEvenly() {
         FlowKey flood = new FlowKey(1, new PartnerId("flood"));
         FlowKey calm = new FlowKey(1, new PartnerId("calm"));
         answer(AnnouncedRate.of(8));
         mTime.pass(5000);
-        long[] sent = press(20_000, flood, flood, flood, flood, flood, flood, calm);
+        long[] sent = sendContinuously(20_000, flood, flood, flood, flood, flood, flood, calm);
         long flooded = sent[0] + sent[1] + sent[2] + sent[3] + sent[4] + sent[5];
         assertTrue(sent[6] * 3 > flooded, "calm " + sent[6] + ", flood " + flooded);
         assertTrue(flooded + sent[6] >= 120, "calm " + sent[6] + ", flood " + flooded);
     }
 
     @Test
-    public void anUpstreamThatTakesNothingIsAskedNowAndThenWhetherItStillSaysSo() {
+    public void aRateOfZeroIsProbedOccasionally() {
         answer(AnnouncedRate.of(0));
         mTime.pass(5000);
-        long sent = press(20_000, ASKER)[0];
+        long sent = sendContinuously(20_000, FLOW)[0];
         assertTrue(sent >= 1 && sent <= 8, "sent " + sent + " in 20 s");
     }
 
     @Test
     public void withheldRequestsAreCountedAndShown() {
         answer(AnnouncedRate.of(1));
-        long sent = press(1000, ASKER)[0];
+        long sent = sendContinuously(1000, FLOW)[0];
         long withheld = 1000 / STEP_MILLIS - sent;
         assertEquals(mMetrics.counter("upstream.web.rate-withheld").getCount(), withheld);
         assertEquals(mRates.statuses().get(0).withheld(), withheld);
@@ -292,9 +297,9 @@
     }
 
     @Test
-    public void returnsAreToldByTheRate() {
+    public void retryDelaysFollowTheRate() {
         answer(AnnouncedRate.of(5));
-        press(2000, ASKER);
+        sendContinuously(2000, FLOW);
         double seconds = 0;
         for (int call = 0; call < 100; call++) {
             seconds += mRates.retryAfterMillis(List.of(UPSTREAM)) / 1000.0 / 100;
@@ -304,20 +309,20 @@
     }
 
     @Test
-    public void aChangedRateTakesTheDifferenceAwayOverAWindow() {
+    public void aLoweredRateTakesEffectOverAWindow() {
         answer(AnnouncedRate.of(20));
         mTime.pass(5000);
-        press(5000, ASKER);
+        sendContinuously(5000, FLOW);
         answer(AnnouncedRate.of(5));
-        long sent = press(4000, ASKER)[0];
+        long sent = sendContinuously(4000, FLOW)[0];
         assertTrue(sent <= 30, "sent " + sent + " of 20 in the window after it");
-        long later = press(8000, ASKER)[0];
+        long later = sendContinuously(8000, FLOW)[0];
         assertTrue(later >= 30 && later <= 45, "sent " + later + " of 40");
     }
 
     @Test
-    public void whatIsSentAndWhatChangesIsToBeReportedOnce() {
-        mRates.tryAcquire(UPSTREAM, ASKER);
+    public void requestsAndChangesAreReportedOnce() {
+        mRates.tryAcquire(UPSTREAM, FLOW);
         assertFalse(mRates.hasUnreportedChanges(), "it names no rate");
         answer(AnnouncedRate.of(5));
         assertTrue(mRates.hasUnreportedChanges(), "a rate that was named");
@@ -325,7 +330,7 @@
         answer(AnnouncedRate.of(5));
         assertFalse(mRates.hasUnreportedChanges(), "the same rate");
         mTime.pass(5000);
-        assertTrue(mRates.tryAcquire(UPSTREAM, ASKER));
+        assertTrue(mRates.tryAcquire(UPSTREAM, FLOW));
         assertTrue(mRates.hasUnreportedChanges(), "a request that was sent");
         mRates.report();
         answer(AnnouncedRate.NONE);
