--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/quarantine/CrashRecord.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/quarantine/CrashRecord.java
@@ -9,50 +9,43 @@
 import org.troutpier.common.settings.Check;
 
 /**
- * Which upstreams ended while they worked on one request. Immutable and thread safe. Records of the
- * same request merge to the same whatever the order in which routers hear of them, so nobody has to
- * agree on anything: of two generations the later counts, within one the upstreams of both.
+ * The upstreams that crashed while they worked on one request. Immutable and thread safe. Records
+ * of the same request can be merged in any order with the same result, so routers need no
+ * agreement: of two generations the later one wins, within one generation the upstreams are united.
  *
  * @param generation how often the request was cleared
- * @param ended the upstreams that ended under it since, {@value #MOST_NAMED} at most
+ * @param ended the upstreams that crashed since it was last cleared, at most {@value
+ *     #MAX_UPSTREAMS}
  */
 @JsonFormat(shape = JsonFormat.Shape.ARRAY)
 public record CrashRecord(int generation, Set<UpstreamIncarnation> ended) {
 
-    /** The record of a request of which nothing is known. */
+    /** The record of a request without any crash. */
     public static final CrashRecord NONE = new CrashRecord(0, Set.of());
 
-    /** How many upstreams are named: several times as many as put a request into quarantine. */
-    static final int MOST_NAMED = 16;
+    /** Maximum number of upstreams in a record: several times as many as quarantine a request. */
+    static final int MAX_UPSTREAMS = 16;
 
-    /**
-     * Checks the fields and sorts the upstreams, so that those that are kept are the same anywhere.
-     */
+    /** Validates the components and sorts the upstreams, so that all routers keep the same ones. */
     public CrashRecord {
         Check.range("generation", generation, 0, Integer.MAX_VALUE);
         SortedSet<UpstreamIncarnation> sorted = new TreeSet<>(Check.present("ended", ended));
-        while (sorted.size() > MOST_NAMED) {
+        while (sorted.size() > MAX_UPSTREAMS) {
             sorted.remove(sorted.last());
         }
         ended = Collections.unmodifiableSortedSet(sorted);
     }
 
     /**
-     * Returns the record with one more upstream.
+     * Returns the record with another upstream.
      *
-     * @param upstream the start that ended
-     * @return the record; the same where it is named already
+     * @return the record; an equal one if it contains the upstream already
      */
     CrashRecord with(UpstreamIncarnation upstream) {
         return merge(new CrashRecord(generation, Set.of(upstream)));
     }
 
-    /**
-     * Returns what two routers know together.
-     *
-     * @param other the other record of the same request
-     * @return the record
-     */
+    /** Merges the records that two routers have of the same request. */
     public CrashRecord merge(CrashRecord other) {
         if (generation != other.generation) {
             return generation > other.generation ? this : other;
@@ -62,11 +55,7 @@
         return new CrashRecord(generation, both);
     }
 
-    /**
-     * Returns the record of the request once it is cleared.
-     *
-     * @return a later generation under which nothing ended
-     */
+    /** Returns the record after the request is cleared: a later generation without any crash. */
     CrashRecord cleared() {
         return new CrashRecord(generation + 1, Set.of());
     }
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/quarantine/CrashReport.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/quarantine/CrashReport.java
@@ -4,15 +4,15 @@
 import org.troutpier.common.settings.Check;
 
 /**
- * What one router tells of a request under which upstreams ended. Immutable and thread safe.
+ * Report of a router about a request during which upstreams crashed. Immutable and thread safe.
  *
- * @param request names the request
- * @param record the upstreams
+ * @param request the fingerprint of the request
+ * @param record the crashes
  */
 @JsonFormat(shape = JsonFormat.Shape.ARRAY)
 public record CrashReport(RequestFingerprint request, CrashRecord record) {
 
-    /** Checks the fields. */
+    /** Validates the components. */
     public CrashReport {
         Check.present("request", request);
         Check.present("record", record);
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/quarantine/Quarantine.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/quarantine/Quarantine.java
@@ -17,255 +17,214 @@
 import org.troutpier.common.id.UpstreamIncarnation;
 
 /**
- * The requests under which upstreams ended, as all routers told each other, and which of them are
- * no longer run. Judged alone, each try of such a request looks new at each router, and ends an
- * upstream with all its other runs: 24 engines ended under one request, with up to twelve runs
- * each, while the summaries of half a minute were lost. Confined to the traffic loop. Invariants:
- * bounded in number and age; a request that ran whole is not held against what ended before.
+ * Records the requests during which upstreams crashed, as reported by all routers, and determines
+ * which of them are no longer run. Without shared records, each retry of such a request would look
+ * new to each router and crash another upstream with all its other runs: one request crashed 24
+ * engines with up to twelve runs each, and the summaries of half a minute were lost. Confined to
+ * the traffic loop. Invariants: the records are bounded in number and age; earlier crashes are not
+ * held against a request that was completed.
  */
 public final class Quarantine {
 
     /**
-     * How many such requests are remembered: each end of an upstream names those that ran there, at
-     * most some tens, so it takes a hundred ends to forget the first.
+     * Maximum number of suspects. Each crash of an upstream adds the requests that ran there, a few
+     * tens at most, so it takes a hundred crashes to evict the first.
      */
-    private static final int MOST_SUSPECTS = 2000;
+    private static final int MAX_SUSPECTS = 2000;
 
     /**
-     * How many requests are in quarantine at most: each cost several upstreams, and all their rows
-     * fit into one page of the store.
+     * Maximum number of quarantined requests. Each of them cost several upstreams, and all their
+     * rows fit into one page of the store.
      */
-    static final int MOST_QUARANTINED = 400;
+    static final int MAX_QUARANTINED = 400;
 
-    /** Logs each step of a request into quarantine and out of it. */
     private static final Logger LOGGER = LogManager.getLogger(Quarantine.class);
 
-    /** What holds. */
     private final QuarantineSettings mSettings;
 
     /** The monotonic clock, milliseconds. */
     private final LongSupplier mMillis;
 
-    /** The requests under which upstreams ended that are still run, and those that were cleared. */
+    /**
+     * Requests that are still run although upstreams crashed during them, and requests that were
+     * cleared.
+     */
     private final AgingMap<RequestFingerprint, CrashRecord> mSuspects =
-            new AgingMap<>(MOST_SUSPECTS, QuarantineSettings.SUSPECT_MILLIS);
+            new AgingMap<>(MAX_SUSPECTS, QuarantineSettings.SUSPECT_RETENTION_MILLIS);
 
-    /** The requests that are no longer run. */
+    /** Requests that are no longer run. */
     private final AgingMap<RequestFingerprint, CrashRecord> mQuarantined;
 
-    /** The outlines of all of them, and of some that were forgotten since. */
-    private final Set<String> mOutlines = new HashSet<>();
+    /** Coarse hashes of all recorded requests, and of some that were removed since. */
+    private final Set<String> mCoarseHashes = new HashSet<>();
 
-    /** Counts ends of upstreams that were held against a request here. */
-    private final Counter mCrashes;
+    /** Counts crashes that this router recorded against a request. */
+    private final Counter mCrashCount;
 
-    /** Counts requests that came into quarantine, as this router heard. */
-    private final Counter mEntered;
+    /** Counts requests that entered quarantine, as known to this router. */
+    private final Counter mEnteredCount;
 
-    /** Counts requests that were cleared here. */
-    private final Counter mCleared;
+    /** Counts requests that this router cleared. */
+    private final Counter mClearedCount;
 
-    /** The requests of which this router found out a part. */
-    private final AgingMap<RequestFingerprint, Boolean> mFoundHere =
-            new AgingMap<>(MOST_SUSPECTS, QuarantineSettings.SUSPECT_MILLIS);
+    /** Requests whose record this router changed itself. */
+    private final AgingMap<RequestFingerprint, Boolean> mChangedLocally =
+            new AgingMap<>(MAX_SUSPECTS, QuarantineSettings.SUSPECT_RETENTION_MILLIS);
 
-    /** Takes what this router found out. */
-    private Consumer<CrashReport> mTeller = report -> {};
+    /** Receives the changes made by this router. */
+    private Consumer<CrashReport> mLocalListener = report -> {};
 
-    /** Takes what is known together with others of a request that this router told of. */
-    private Consumer<CrashReport> mMerged = report -> {};
+    /** Receives merged records of requests that this router reported. */
+    private Consumer<CrashReport> mMergedListener = report -> {};
 
     /**
-     * Creates a quarantine without requests.
+     * Creates a quarantine without any records.
      *
-     * @param settings what holds
      * @param millis the monotonic clock, milliseconds
-     * @param metrics counts
      */
     public Quarantine(QuarantineSettings settings, LongSupplier millis, MetricRegistry metrics) {
         mSettings = settings;
         mMillis = millis;
-        mQuarantined = new AgingMap<>(MOST_QUARANTINED, settings.heldMillis());
-        mCrashes = metrics.counter("quarantine.crashes");
-        mEntered = metrics.counter("quarantine.entered");
-        mCleared = metrics.counter("quarantine.cleared");
+        mQuarantined = new AgingMap<>(MAX_QUARANTINED, settings.quarantineMillis());
+        mCrashCount = metrics.counter("quarantine.crashes");
+        mEnteredCount = metrics.counter("quarantine.entered");
+        mClearedCount = metrics.counter("quarantine.cleared");
     }
 
     /**
-     * Sets who is told of what this router finds out.
+     * Sets the listener for changes made by this router.
      *
-     * @param teller takes each report, on the traffic loop
+     * @param listener receives each report, on the traffic loop
      */
-    public void onLocalChange(Consumer<CrashReport> teller) {
-        mTeller = teller;
+    public void onLocalChange(Consumer<CrashReport> listener) {
+        mLocalListener = listener;
     }
 
     /**
-     * Sets who is told when others knew more of a request of which this router found out a part:
-     * several may find one end each in the same moment, and none of them knows of more then.
+     * Sets the listener for records that this router changed and that a report of another router
+     * extended. Several routers may each find one crash at the same time, so none of them knows the
+     * merged record yet.
      *
-     * @param listener takes each report, on the traffic loop
+     * @param listener receives each merged report, on the traffic loop
      */
     public void onMergedChange(Consumer<CrashReport> listener) {
-        mMerged = listener;
+        mMergedListener = listener;
     }
 
-    /**
-     * Returns whether no request is known.
-     *
-     * @return whether it is empty
-     */
+    /** Returns whether no request is recorded. */
     public boolean isEmpty() {
         long now = mMillis.getAsLong();
         return mSuspects.isEmpty(now) && mQuarantined.isEmpty(now);
     }
 
     /**
-     * Returns whether a request with an outline may be known, so that its fingerprint is needed.
+     * Returns whether a request with a coarse hash may be recorded, so that its fingerprint is
+     * needed.
      *
-     * @param outline the outline
-     * @return whether one may be; always if one is
+     * @return whether one may be recorded; false positives are possible, false negatives are not
      */
-    public boolean mightContain(String outline) {
-        return mOutlines.contains(outline);
+    public boolean mightContain(String coarseHash) {
+        return mCoarseHashes.contains(coarseHash);
     }
 
-    /**
-     * Returns whether a request is no longer run.
-     *
-     * @param request the request
-     * @return whether it is in quarantine
-     */
+    /** Returns whether a request is no longer run. */
     public boolean isQuarantined(RequestFingerprint request) {
         return mQuarantined.contains(request, mMillis.getAsLong());
     }
 
-    /**
-     * Records that an upstream ended while it worked on a request of this router.
-     *
-     * @param request the request
-     * @param upstream the start that ended
-     */
+    /** Records that an upstream crashed while it worked on a request of this router. */
     public void recordCrash(RequestFingerprint request, UpstreamIncarnation upstream) {
         CrashRecord before = record(request);
         CrashRecord after = before.with(upstream);
         if (after.equals(before)) {
             return;
         }
-        mCrashes.inc();
+        mCrashCount.inc();
         LOGGER.warn(
                 "upstream ended under a request content={} upstream={} ended={}",
                 request,
                 upstream,
                 after.ended().size());
-        found(request, after);
+        publish(request, after);
     }
 
-    /**
-     * Records that a request ran whole at this router, which clears it.
-     *
-     * @param request the request
-     */
+    /** Records that a request was completed at this router, which clears it. */
     public void recordCompletion(RequestFingerprint request) {
         clear(request, "ran whole");
     }
 
     /**
-     * Clears all requests that a name stands for.
+     * Clears all requests with a fingerprint that starts with a name.
      *
      * @param name the fingerprint, or at least the digits of its short name
-     * @return how many there were
      */
     public int clear(String name) {
         if (name.length() < RequestFingerprint.SHORT_DIGITS) {
             return 0;
         }
-        List<RequestFingerprint> named = new ArrayList<>();
+        List<RequestFingerprint> matching = new ArrayList<>();
         for (RequestFingerprint request : records().keySet()) {
             if (request.value().startsWith(name)) {
-                named.add(request);
+                matching.add(request);
             }
         }
-        named.forEach(request -> clear(request, "operator"));
-        return named.size();
+        matching.forEach(request -> clear(request, "operator"));
+        return matching.size();
     }
 
-    /**
-     * Clears a request, unless nothing is held against it.
-     *
-     * @param request the request
-     * @param cause why
-     */
+    /** Clears a request, unless no crash is recorded against it. */
     private void clear(RequestFingerprint request, String cause) {
         CrashRecord before = record(request);
         if (!before.ended().isEmpty()) {
-            mCleared.inc();
+            mClearedCount.inc();
             LOGGER.info("request cleared content={} cause={}", request, cause);
-            found(request, before.cleared());
+            publish(request, before.cleared());
         }
     }
 
-    /**
-     * Keeps what this router found out, and has it told.
-     *
-     * @param request the request
-     * @param record what is known of it now
-     */
-    private void found(RequestFingerprint request, CrashRecord record) {
-        keep(request, record);
-        mFoundHere.put(request, Boolean.TRUE, mMillis.getAsLong());
-        mTeller.accept(new CrashReport(request, record));
+    /** Stores a change made by this router, and notifies the listener. */
+    private void publish(RequestFingerprint request, CrashRecord record) {
+        store(request, record);
+        mChangedLocally.put(request, Boolean.TRUE, mMillis.getAsLong());
+        mLocalListener.accept(new CrashReport(request, record));
     }
 
-    /**
-     * Takes what another router found out.
-     *
-     * @param report what it told
-     */
+    /** Merges a report of another router. */
     public void merge(CrashReport report) {
         CrashRecord before = record(report.request());
         CrashRecord after = before.merge(report.record());
         if (after.equals(before)) {
             return;
         }
-        keep(report.request(), after);
-        if (mFoundHere.contains(report.request(), mMillis.getAsLong())) {
-            mMerged.accept(new CrashReport(report.request(), after));
+        store(report.request(), after);
+        if (mChangedLocally.contains(report.request(), mMillis.getAsLong())) {
+            mMergedListener.accept(new CrashReport(report.request(), after));
         }
     }
 
-    /**
-     * Forgets a request, as its row is gone.
-     *
-     * @param request the request
-     */
+    /** Removes a request whose row was deleted. */
     public void remove(RequestFingerprint request) {
         mSuspects.remove(request);
         mQuarantined.remove(request);
     }
 
-    /**
-     * Keeps a record.
-     *
-     * @param request the request
-     * @param record what is known of it now
-     */
-    private void keep(RequestFingerprint request, CrashRecord record) {
+    /** Stores a record. */
+    private void store(RequestFingerprint request, CrashRecord record) {
         long now = mMillis.getAsLong();
-        boolean held = isQuarantined(request);
+        boolean quarantined = isQuarantined(request);
         remove(request);
-        if (mOutlines.size() > MOST_SUSPECTS + MOST_QUARANTINED) {
-            mOutlines.clear();
-            records().keySet().forEach(each -> mOutlines.add(each.coarseHash()));
+        if (mCoarseHashes.size() > MAX_SUSPECTS + MAX_QUARANTINED) {
+            mCoarseHashes.clear();
+            records().keySet().forEach(each -> mCoarseHashes.add(each.coarseHash()));
         }
-        mOutlines.add(request.coarseHash());
+        mCoarseHashes.add(request.coarseHash());
         if (!mSettings.isQuarantined(record)) {
             mSuspects.put(request, record, now);
             return;
         }
         mQuarantined.put(request, record, now);
-        if (!held) {
-            mEntered.inc();
+        if (!quarantined) {
+            mEnteredCount.inc();
             LOGGER.warn(
                     "request quarantined content={} ended={} seconds={}",
                     request,
@@ -274,22 +233,17 @@
         }
     }
 
-    /**
-     * Returns what is known of a request.
-     *
-     * @param request the request
-     * @return its record
-     */
     private CrashRecord record(RequestFingerprint request) {
         long now = mMillis.getAsLong();
-        Optional<CrashRecord> held = mQuarantined.get(request, now);
-        return held.or(() -> mSuspects.get(request, now)).orElse(CrashRecord.NONE);
+        Optional<CrashRecord> quarantined = mQuarantined.get(request, now);
+        return quarantined.or(() -> mSuspects.get(request, now)).orElse(CrashRecord.NONE);
     }
 
     /**
-     * Returns what is known of all requests.
+     * Returns all records.
      *
-     * @return the records: those that are still run first, the oldest first among each
+     * @return the records: suspects first, then quarantined requests, each from the oldest to the
+     *     newest
      */
     public Map<RequestFingerprint, CrashRecord> records() {
         long now = mMillis.getAsLong();
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/quarantine/QuarantineHandler.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/quarantine/QuarantineHandler.java
@@ -9,44 +9,37 @@
 import org.troutpier.common.result.ResultCode;
 
 /**
- * Shows operators which requests are known, and clears them. Confined to the traffic loop.
- * Invariant: nothing of a request is shown but a hash of it.
+ * Lists recorded requests to operators and clears them. Confined to the traffic loop. Invariant:
+ * only hashes of a request are shown.
  */
 public final class QuarantineHandler implements HttpHandler {
 
-    /** Where the requests are listed. */
+    /** Path at which the requests are listed. */
     public static final String PATH = "/quarantine";
 
-    /** Where a request is cleared. */
+    /** Path at which a request is cleared. */
     public static final String CLEAR_PATH = "/quarantine/clear";
 
-    /** Names the request to be cleared. */
+    /** Query parameter that identifies the request to clear. */
     public static final String CONTENT = "content";
 
-    /** What holds. */
     private final QuarantineSettings mSettings;
 
-    /** The requests. */
     private final Quarantine mQuarantine;
 
     /**
-     * A request as it is shown.
+     * A listed request.
      *
-     * @param content the name in log lines
-     * @param fingerprint the whole name
+     * @param content the short name, as in log lines
+     * @param fingerprint the whole fingerprint
      * @param held whether it is no longer run
      * @param generation how often it was cleared
-     * @param ended the upstreams that ended under it since
+     * @param ended the upstreams that crashed since it was last cleared
      */
     public record Entry(
             String content, String fingerprint, boolean held, int generation, List<String> ended) {}
 
-    /**
-     * Creates a handler.
-     *
-     * @param settings what holds
-     * @param quarantine the requests
-     */
+    /** Creates a handler. */
     public QuarantineHandler(QuarantineSettings settings, Quarantine quarantine) {
         mSettings = settings;
         mQuarantine = quarantine;
@@ -56,7 +49,7 @@
     @Override
     public void handle(HttpExchange exchange) {
         if (exchange.path().equals(PATH) && exchange.method().equals("GET")) {
-            exchange.answer(Answers.json(200, listed()));
+            exchange.answer(Answers.json(200, entries()));
         } else if (exchange.path().equals(CLEAR_PATH) && exchange.method().equals("POST")) {
             clear(exchange);
         } else {
@@ -64,25 +57,13 @@
         }
     }
 
-    /**
-     * Lists the requests.
-     *
-     * @return each of them
-     */
-    private List<Entry> listed() {
+    private List<Entry> entries() {
         return mQuarantine.records().entrySet().stream()
-                .map(each -> listed(each.getKey(), each.getValue()))
+                .map(each -> entry(each.getKey(), each.getValue()))
                 .toList();
     }
 
-    /**
-     * Lists one request.
-     *
-     * @param request the request
-     * @param record what is known of it
-     * @return the request as it is shown
-     */
-    private Entry listed(RequestFingerprint request, CrashRecord record) {
+    private Entry entry(RequestFingerprint request, CrashRecord record) {
         return new Entry(
                 request.shortName(),
                 request.value(),
@@ -91,11 +72,7 @@
                 record.ended().stream().map(Object::toString).toList());
     }
 
-    /**
-     * Clears a request for an operator who has the token.
-     *
-     * @param exchange the operator's request
-     */
+    /** Clears a request if the caller has the token. */
     private void clear(HttpExchange exchange) {
         boolean allowed =
                 Tokens.bearer(exchange.header("Authorization"))
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/quarantine/package-info.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/quarantine/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Requests under which upstreams end: how one is known again, what is known of it, and when it is
- * no longer run.
+ * Quarantine of requests that crash upstreams: how such a request is recognised, what is recorded
+ * of it, and when it is no longer run.
  */
 package org.troutpier.daemon.quarantine;
--- a/troutpier-daemon/src/test/java/org/troutpier/daemon/quarantine/CrashRecordTest.java
+++ b/troutpier-daemon/src/test/java/org/troutpier/daemon/quarantine/CrashRecordTest.java
@@ -12,7 +12,7 @@
 import org.troutpier.common.http.Json;
 import org.troutpier.common.id.UpstreamIncarnation;
 
-/** Records of the same request come to the same, in whatever order they are heard. */
+/** Tests that records of the same request merge to the same result in any order. */
 public final class CrashRecordTest {
 
     private static final int UPSTREAMS = 24;
@@ -23,12 +23,12 @@
     }
 
     @Test
-    public void inAnyOrderAndRepeatedTheResultIsTheSame() {
+    public void mergingIsIndependentOfOrderAndRepetition() {
         long seed = System.nanoTime();
         System.out.println("CrashRecordTest seed " + seed);
         Random random = new Random(seed);
         for (int round = 0; round < ROUNDS; round++) {
-            List<CrashRecord> heard = new ArrayList<>();
+            List<CrashRecord> received = new ArrayList<>();
             CrashRecord record = CrashRecord.NONE;
             for (int step = random.nextInt(40); step >= 0; step--) {
                 boolean clears = random.nextInt(10) == 0;
@@ -36,13 +36,13 @@
                         clears
                                 ? record.cleared()
                                 : record.with(upstream(random.nextInt(UPSTREAMS)));
-                heard.add(record);
-                heard.add(CrashRecord.NONE.with(upstream(random.nextInt(UPSTREAMS))));
+                received.add(record);
+                received.add(CrashRecord.NONE.with(upstream(random.nextInt(UPSTREAMS))));
             }
-            CrashRecord one = merged(heard);
-            heard.addAll(List.copyOf(heard));
-            Collections.shuffle(heard, random);
-            assertEquals(merged(heard), one);
+            CrashRecord one = merged(received);
+            received.addAll(List.copyOf(received));
+            Collections.shuffle(received, random);
+            assertEquals(merged(received), one);
         }
     }
 
@@ -51,21 +51,21 @@
     }
 
     @Test
-    public void theSameEndToldByManyCountsOnce() {
+    public void theSameCrashReportedTwiceCountsOnce() {
         CrashRecord one = CrashRecord.NONE.with(upstream(1));
         assertEquals(one.merge(CrashRecord.NONE.with(upstream(1))).ended().size(), 1);
         assertEquals(one.merge(CrashRecord.NONE.with(upstream(2))).ended().size(), 2);
     }
 
     @Test
-    public void whatWasClearedIsNotBroughtBackByALateWord() {
+    public void aLateReportDoesNotUndoAClear() {
         CrashRecord held = CrashRecord.NONE.with(upstream(1)).with(upstream(2));
         assertEquals(held.cleared().merge(held).ended(), Set.of());
         assertEquals(held.cleared().with(upstream(3)).merge(held).ended(), Set.of(upstream(3)));
     }
 
     @Test
-    public void itIsReadBackAsWrittenAndForeignOnesAreRefused() {
+    public void recordsAreReadBackAsWrittenAndInvalidOnesAreRejected() {
         CrashRecord record = CrashRecord.NONE.with(upstream(2)).cleared().with(upstream(1));
         assertEquals(Json.read(Json.bytes(record), CrashRecord.class), record);
         assertThrows(
--- a/troutpier-daemon/src/test/java/org/troutpier/daemon/quarantine/QuarantineSettingsTest.java
+++ b/troutpier-daemon/src/test/java/org/troutpier/daemon/quarantine/QuarantineSettingsTest.java
@@ -10,7 +10,7 @@
 import org.troutpier.common.result.TroutpierException;
 import org.troutpier.common.settings.CheckedYaml;
 
-/** Which settings of the quarantine are taken. */
+/** Tests the validation of the quarantine's settings. */
 public final class QuarantineSettingsTest {
 
     private static QuarantineSettings parse(String yaml) {
@@ -18,14 +18,14 @@
     }
 
     @Test
-    public void theTokenMayBeLeftOutAndThenNobodyMayClear() {
+    public void withoutATokenNobodyMayClear() {
         QuarantineSettings settings = parse("crashes: 2\nseconds: 5\nknownMillis: 3000\n");
         assertEquals(settings.crashes(), 2);
         assertFalse(settings.mayClear(Tokens.hash("")));
     }
 
     @Test
-    public void whoHasTheTokenMayClear() {
+    public void onlyTheTokenMayClear() {
         QuarantineSettings settings =
                 new QuarantineSettings(3, 60, 3000, Tokens.hash("the operator's"));
         assertTrue(settings.mayClear(Tokens.hash("the operator's")));
@@ -33,7 +33,7 @@
     }
 
     @Test
-    public void wrongValuesAreRefusedWithTheirField() {
+    public void invalidValuesAreRejected() {
         for (String yaml :
                 new String[] {
                     "crashes: 0\nseconds: 5\nknownMillis: 3000\n",
--- a/troutpier-daemon/src/test/java/org/troutpier/daemon/quarantine/QuarantineTest.java
+++ b/troutpier-daemon/src/test/java/org/troutpier/daemon/quarantine/QuarantineTest.java
@@ -12,21 +12,21 @@
 import org.testng.annotations.Test;
 import org.troutpier.common.id.UpstreamIncarnation;
 
-/** When a request is no longer run, and for how long. */
+/** Tests when requests are quarantined, and for how long. */
 public final class QuarantineTest {
 
     private static final QuarantineSettings SETTINGS = new QuarantineSettings(3, 60, 3000, "");
 
     private long mNow;
-    private List<CrashReport> mTold;
+    private List<CrashReport> mReports;
     private Quarantine mQuarantine;
 
     @BeforeMethod
     void start() {
         mNow = 0;
-        mTold = new ArrayList<>();
+        mReports = new ArrayList<>();
         mQuarantine = quarantine();
-        mQuarantine.onLocalChange(mTold::add);
+        mQuarantine.onLocalChange(mReports::add);
     }
 
     private Quarantine quarantine() {
@@ -48,18 +48,18 @@
     }
 
     @Test
-    public void theThirdUpstreamThatEndsPutsARequestIntoQuarantine() {
+    public void theThirdCrashQuarantinesARequest() {
         assertTrue(mQuarantine.isEmpty());
         crash(1, 1, 2, 2);
         assertFalse(mQuarantine.isQuarantined(request(1)));
         crash(1, 3);
         assertTrue(mQuarantine.isQuarantined(request(1)));
         assertFalse(mQuarantine.isQuarantined(request(2)));
-        assertEquals(mTold.size(), 3);
+        assertEquals(mReports.size(), 3);
     }
 
     @Test
-    public void endsThatDifferentRoutersSawCountTogether() {
+    public void crashesSeenByDifferentRoutersAddUp() {
         crash(1, 1);
         Quarantine other = quarantine();
         other.recordCrash(request(1), upstream(2));
@@ -69,12 +69,12 @@
     }
 
     @Test
-    public void aRequestThatRanWholeIsClearedEverywhere() {
+    public void aCompletedRequestIsClearedAtAllRouters() {
         crash(1, 1, 2);
         Quarantine other = quarantine();
-        mTold.forEach(other::merge);
+        mReports.forEach(other::merge);
         mQuarantine.recordCompletion(request(1));
-        other.merge(mTold.get(mTold.size() - 1));
+        other.merge(mReports.get(mReports.size() - 1));
         other.recordCrash(request(1), upstream(3));
         crash(1, 3);
         assertEquals(other.records().get(request(1)).ended(), Set.of(upstream(3)));
@@ -82,15 +82,15 @@
     }
 
     @Test
-    public void aRequestThatRanWholeAndOfWhichNothingIsKnownIsNotTold() {
+    public void completingAnUnknownRequestReportsNothing() {
         crash(1, 1);
-        mTold.clear();
+        mReports.clear();
         mQuarantine.recordCompletion(request(2));
-        assertEquals(mTold, List.of());
+        assertEquals(mReports, List.of());
     }
 
     @Test
-    public void anOperatorClearsByTheNameInTheLines() {
+    public void anOperatorClearsByTheLoggedName() {
         crash(1, 1, 2, 3);
         assertEquals(mQuarantine.clear(""), 0);
         assertEquals(mQuarantine.clear(request(1).shortName().substring(1)), 0);
@@ -98,11 +98,11 @@
         assertEquals(mQuarantine.clear("no such name"), 0);
         assertEquals(mQuarantine.clear(request(1).shortName()), 1);
         assertFalse(mQuarantine.isQuarantined(request(1)));
-        assertEquals(mTold.get(mTold.size() - 1).record().ended(), Set.of());
+        assertEquals(mReports.get(mReports.size() - 1).record().ended(), Set.of());
     }
 
     @Test
-    public void theTimeInQuarantineEnds() {
+    public void quarantineExpires() {
         crash(1, 1, 2, 3);
         mNow = 60_000;
         assertTrue(mQuarantine.isQuarantined(request(1)));
@@ -112,7 +112,7 @@
     }
 
     @Test
-    public void aFloodOfSuspectsForgetsTheOldestAndNoneInQuarantine() {
+    public void manySuspectsEvictTheOldestButNoQuarantinedRequest() {
         crash(1, 1, 2, 3);
         for (int request = 2; request < 10_000; request++) {
             crash(request, request);
@@ -127,16 +127,16 @@
     }
 
     @Test
-    public void aFloodOfGuiltyOnesIsBounded() {
+    public void quarantinedRequestsAreBounded() {
         for (int request = 0; request < 1000; request++) {
             crash(request, 1, 2, 3);
         }
-        assertEquals(mQuarantine.records().size(), Quarantine.MOST_QUARANTINED);
+        assertEquals(mQuarantine.records().size(), Quarantine.MAX_QUARANTINED);
         assertTrue(mQuarantine.isQuarantined(request(999)));
     }
 
     @Test
-    public void whatTheStoreNoLongerHasIsForgotten() {
+    public void removedRequestsAreForgotten() {
         crash(1, 1, 2, 3);
         mQuarantine.remove(request(1));
         assertTrue(mQuarantine.isEmpty());
--- a/troutpier-daemon/src/test/java/org/troutpier/daemon/quarantine/RequestFingerprintTest.java
+++ b/troutpier-daemon/src/test/java/org/troutpier/daemon/quarantine/RequestFingerprintTest.java
@@ -8,7 +8,7 @@
 import java.nio.charset.StandardCharsets;
 import org.testng.annotations.Test;
 
-/** What makes two requests the same. */
+/** Tests which requests have the same fingerprint. */
 public final class RequestFingerprintTest {
 
     private static RequestFingerprint of(String host, String target, String body) {
@@ -21,7 +21,7 @@
     }
 
     @Test
-    public void eachPartCountsAndNoneRunsIntoTheNext() {
+    public void allPartsCountAndAreSeparated() {
         RequestFingerprint one = of("h", "/a", "body");
         assertNotEquals(of("i", "/a", "body"), one);
         assertNotEquals(of("h", "/b", "body"), one);
@@ -32,7 +32,7 @@
     }
 
     @Test
-    public void theOutlineLeavesOutTheBodyButForItsLength() {
+    public void theCoarseHashCoversOnlyTheLengthOfTheBody() {
         assertEquals(
                 of("h", "/a", "body").coarseHash(), RequestFingerprint.coarseHash("h", "/a", 4));
         assertEquals(of("h", "/a", "Body").coarseHash(), of("h", "/a", "body").coarseHash());
@@ -41,13 +41,13 @@
     }
 
     @Test
-    public void nothingOfTheRequestIsInItsName() {
+    public void theFingerprintRevealsNoContent() {
         assertFalse(of("h", "/a", "secret").value().contains("secret"));
         assertEquals(of("h", "/a", "secret").toString().length(), 8);
     }
 
     @Test
-    public void whatIsNoHashIsRefused() {
+    public void invalidHashesAreRejected() {
         assertThrows(IllegalArgumentException.class, () -> new RequestFingerprint("abc"));
         assertThrows(IllegalArgumentException.class, () -> new RequestFingerprint(null));
     }
