--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/role/EngineRoleClient.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/role/EngineRoleClient.java
@@ -4,45 +4,44 @@
 import org.troutpier.common.id.UpstreamIncarnation;
 import org.troutpier.daemon.directory.UpstreamEntry;
 
-/** Orders engines to change their role. Implementations are thread safe. */
+/**
+ * Client that reads the status of engines and orders role changes. Implementations are thread safe.
+ */
 public interface EngineRoleClient {
 
     /**
-     * Asks an engine how it stands.
+     * Requests the status of an engine.
      *
-     * @param engine the engine
-     * @return its report; fails where there is none
+     * @return its report; fails if there is none
      */
     CompletableFuture<EngineReport> report(UpstreamEntry engine);
 
     /**
      * Orders an engine to change its role.
      *
-     * @param engine the engine
-     * @param role what it is to do
-     * @param lease who orders, with which right
-     * @param expectedOrders how many orders it must have taken, so that a late order is void
-     * @return what is known of the order; never fails
+     * @param expectedOrders the number of orders that the engine must have accepted before, so that
+     *     a delayed order has no effect
+     * @return the outcome; never completes exceptionally
      */
     CompletableFuture<Outcome> changeRole(
             UpstreamEntry engine, UpstreamEntry.Role role, LeaseGrant lease, long expectedOrders);
 
     /**
-     * The right to order. Immutable and thread safe.
+     * Proof that a router holds the lease. Immutable and thread safe.
      *
      * @param holder the instance that holds the lease
-     * @param fencingToken rises with every holder
+     * @param fencingToken a token that increases with each holder
      */
     record LeaseGrant(String holder, long fencingToken) {}
 
     /**
-     * How an engine stands. Immutable and thread safe.
+     * Status of an engine. Immutable and thread safe.
      *
-     * @param incarnation which start of the engine reports; as far as it says so
-     * @param role what it does
-     * @param changing whether an order is being carried out
-     * @param orders how many orders it has taken
-     * @param usedTokens how much memory its runs took, a while ago
+     * @param incarnation the incarnation that reports, as far as the engine states it
+     * @param role the current role
+     * @param changing whether a role change is in progress
+     * @param orders the number of orders accepted so far
+     * @param usedTokens the memory used by its runs a short time ago
      */
     record EngineReport(
             UpstreamIncarnation incarnation,
@@ -51,15 +50,15 @@
             long orders,
             long usedTokens) {}
 
-    /** What is known of an order. */
+    /** Outcome of an order. */
     enum Outcome {
-        /** It is being carried out. */
+        /** The change is in progress. */
         TAKEN,
         /** The engine has the role already. */
         ALREADY,
-        /** It was refused and has no effect. */
+        /** The order was refused and has no effect. */
         REFUSED,
-        /** It may have been taken, or may be taken later. */
+        /** The order may have been accepted, or may be accepted later. */
         UNKNOWN
     }
 }
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/role/RoleController.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/role/RoleController.java
@@ -26,151 +26,131 @@
 import org.troutpier.daemon.rows.RowStore;
 
 /**
- * Keeps the engines' roles in step with the load. Confined to the control thread; {@link
- * #holdsLease()} and {@link #changingEngines()} are thread safe. Invariants: orders are given only
- * under the lease; all changes that are under way for a service began together and are to the same
- * role; an order whose fate is unknown is only ever repeated, never followed by another, until the
- * engine's report tells what came of it.
+ * Adapts the roles of engines to the load. Confined to the control thread; {@link #holdsLease()}
+ * and {@link #changingEngines()} are thread safe. Invariants: orders are given only under the
+ * lease; all changes in progress for a service were started together and have the same target role;
+ * an order with an unknown outcome is only ever repeated, never followed by a different one, until
+ * the engine's report resolves it.
  */
 public final class RoleController {
 
-    /** How often it is looked whether a change is due, milliseconds. */
-    private static final long TICK_MILLIS = 500;
+    private static final long TICK_INTERVAL_MILLIS = 500;
 
     /**
-     * The shortest term of the lease, milliseconds: it is renewed three times in a term, and looked
-     * after every tick.
+     * Shortest term of the lease, milliseconds: it is renewed three times per term and checked at
+     * each tick.
      */
-    private static final long SHORTEST_TERM_MILLIS = 3 * TICK_MILLIS;
+    private static final long MIN_TERM_MILLIS = 3 * TICK_INTERVAL_MILLIS;
 
-    /** How long after a change the load is watched before the next one, milliseconds. */
-    private static final long SETTLE_MILLIS = 4000;
+    /** How long the load is observed after a change before the next one, milliseconds. */
+    private static final long OBSERVATION_MILLIS = 4000;
 
     /**
-     * How long a change may take beyond the engine's own time for it, milliseconds: its runs come
-     * to their end first.
+     * How long a change may take beyond the engine's switching time, milliseconds: its runs are
+     * completed first.
      */
-    private static final long RUNS_MILLIS = 15_000;
+    private static final long DRAIN_ALLOWANCE_MILLIS = 15_000;
 
-    /** Logs each decision. */
     private static final Logger LOGGER = LogManager.getLogger(RoleController.class);
 
-    /** The router's identity, threads, clock and metrics. */
+    /** The identity, threads, clock and metrics of the router. */
     private final Node mNode;
 
-    /** The version in force. */
+    /** The configuration in force. */
     private final CurrentConfiguration mConfiguration;
 
-    /** The engines. */
     private final UpstreamDirectory mDirectory;
 
-    /** What the other routers said. */
+    /** Reports of the other routers. */
     private final PeerLoads mPeers;
 
-    /** What callers asked of this router lately, by service; thread safe. */
+    /** Recent demand at this router by service; thread safe. */
     private final Function<String, Demand> mOwnDemand;
 
-    /** Whether this router tries to get the lease. */
-    private final BooleanSupplier mContends;
+    /** Whether this router competes for the lease. */
+    private final BooleanSupplier mEligible;
 
-    /** Gives orders. */
-    private final EngineRoleClient mOrders;
+    private final EngineRoleClient mClient;
 
-    /** The right to give orders. */
     private final RoleLease mLease;
 
-    /** The state of each service. */
     private final Map<String, ServiceRoles> mServices = new HashMap<>();
 
     /** Whether this router holds the lease, for other threads. */
-    private volatile boolean mHolds;
+    private volatile boolean mHoldsLease;
 
-    /** The engines that are being changed, for other threads. */
-    private volatile Set<UpstreamIncarnation> mChanging = Set.of();
+    /** The engines whose role is changing, for other threads. */
+    private volatile Set<UpstreamIncarnation> mChangingEngines = Set.of();
 
-    /** Runs when they change. */
-    private Runnable mOnChanging = () -> {};
+    /** Called when the set of changing engines changes. */
+    private Runnable mOnChangingEngines = () -> {};
 
-    /** One service's state. */
+    /** State of one service. */
     private static final class ServiceRoles {
 
-        /** Weighs whether a change pays. */
-        private final RoleChangePolicy mInvestment = new RoleChangePolicy();
+        /** Decides whether a change pays off. */
+        private final RoleChangePolicy mPolicy = new RoleChangePolicy();
 
-        /** The changes that are under way. */
-        private final List<Change> mChanges = new ArrayList<>();
+        /** The changes in progress. */
+        private final List<RoleChange> mChanges = new ArrayList<>();
 
-        /** Whether all engines are being asked how they stand. */
-        private boolean mInspecting;
+        /** Whether the reports of all engines are being requested. */
+        private boolean mVerifyingIdle;
 
-        /** Before when no change is begun, milliseconds. */
+        /** Time before which no change is started, milliseconds. */
         private long mNotBefore;
     }
 
-    /** One engine's change. */
-    private static final class Change {
+    /** Role change of one engine. */
+    private static final class RoleChange {
 
-        /** The engine that is being changed. */
         private final UpstreamEntry mEngine;
 
-        /** What it is to do. */
+        /** The new role. */
         private final UpstreamEntry.Role mRole;
 
-        /** When the change was begun, milliseconds. */
-        private final long mBegan;
+        /** When the change was started, milliseconds. */
+        private final long mStartedAt;
 
-        /** When the change is given up, milliseconds. */
-        private final long mUntil;
+        /** When the change is abandoned, milliseconds. */
+        private final long mDeadline;
 
-        /** How many orders the engine had taken before; -1 for not yet known. */
+        /** Number of orders that the engine had accepted before; -1 if not known yet. */
         private long mOrdersBefore = -1;
 
-        /** Whether the order was taken for certain. */
-        private boolean mTaken;
+        /** Whether the order was certainly accepted. */
+        private boolean mAccepted;
 
-        /** Whether a call to the engine is under way. */
-        private boolean mCalling;
+        /** Whether a call to the engine is in flight. */
+        private boolean mCallPending;
 
-        /** Whether it is over. */
-        private boolean mOver;
+        private boolean mFinished;
 
-        /**
-         * Begins a change.
-         *
-         * @param engine the engine
-         * @param role what it is to do
-         * @param began when the change was begun, milliseconds
-         * @param until when it is given up, milliseconds
-         */
-        Change(UpstreamEntry engine, UpstreamEntry.Role role, long began, long until) {
+        /** Starts a change. */
+        RoleChange(UpstreamEntry engine, UpstreamEntry.Role role, long startedAt, long deadline) {
             mEngine = engine;
             mRole = role;
-            mBegan = began;
-            mUntil = until;
+            mStartedAt = startedAt;
+            mDeadline = deadline;
         }
     }
 
     /**
-     * How the right to decide is got. Immutable; thread safe if its parts are.
+     * Options of the lease under which a router orders role changes. Immutable; thread safe if its
+     * components are.
      *
-     * @param store where the lease is kept
+     * @param store the store of the lease
      * @param leaseMillis how long the lease lasts without renewal, milliseconds
-     * @param contends whether this router tries to get it now. Where all do, each start of a fleet
-     *     is four calls to the store for each router, and all but one of their writes are in
-     *     conflict; one router of each hall is enough
+     * @param eligible whether this router competes for the lease now. If all routers did, a start
+     *     of the fleet would cost four calls to the store per router, and all writes but one would
+     *     be in conflict; one router per hall is enough
      */
-    public record LeaseOptions(RowStore store, long leaseMillis, BooleanSupplier contends) {}
+    public record LeaseOptions(RowStore store, long leaseMillis, BooleanSupplier eligible) {}
 
     /**
      * Creates a controller.
      *
-     * @param node the router's identity, threads, clock and metrics
-     * @param configuration the version in force
-     * @param directory the engines
-     * @param peers what the other routers said
-     * @param ownDemand what callers asked of this router lately, by service; thread safe
-     * @param orders gives orders
-     * @param candidacy how the right to decide is got
+     * @param ownDemand recent demand at this router by service; thread safe
      */
     public RoleController(
             Node node,
@@ -178,50 +158,42 @@
             UpstreamDirectory directory,
             PeerLoads peers,
             Function<String, Demand> ownDemand,
-            EngineRoleClient orders,
-            LeaseOptions candidacy) {
-        mContends = candidacy.contends();
+            EngineRoleClient client,
+            LeaseOptions leaseOptions) {
+        mEligible = leaseOptions.eligible();
         mNode = node;
         mConfiguration = configuration;
         mDirectory = directory;
         mPeers = peers;
         mOwnDemand = ownDemand;
-        mOrders = orders;
-        long term = Math.max(candidacy.leaseMillis(), SHORTEST_TERM_MILLIS);
-        mLease = new RoleLease(node, candidacy.store(), term);
+        mClient = client;
+        long term = Math.max(leaseOptions.leaseMillis(), MIN_TERM_MILLIS);
+        mLease = new RoleLease(node, leaseOptions.store(), term);
     }
 
-    /** Starts to control. */
+    /** Starts the periodic control. */
     public void start() {
-        mNode.control().every(this::tick, TICK_MILLIS);
+        mNode.control().every(this::tick, TICK_INTERVAL_MILLIS);
     }
 
-    /**
-     * Returns whether this router decides engines' roles.
-     *
-     * @return whether it holds the lease
-     */
+    /** Returns whether this router decides the roles of engines. */
     public boolean holdsLease() {
-        return mHolds;
+        return mHoldsLease;
     }
 
-    /**
-     * Returns the engines that are being changed by this router's orders.
-     *
-     * @return their ids
-     */
+    /** Returns the engines whose role is changing by order of this router. */
     public Set<UpstreamIncarnation> changingEngines() {
-        return mChanging;
+        return mChangingEngines;
     }
 
-    /** Looks whether a change is due. */
+    /** Renews or requests the lease, and advances or starts role changes. */
     private void tick() {
         Optional<RoutingConfiguration> configuration = mConfiguration.current();
         if (configuration.isEmpty() || !mDirectory.isLoaded()) {
             return;
         }
-        mLease.tick(mPeers.hasRoleHolder(), mContends.getAsBoolean());
-        mHolds = mLease.held();
+        mLease.tick(mPeers.hasRoleHolder(), mEligible.getAsBoolean());
+        mHoldsLease = mLease.isHeld();
         if (mLease.mayOrder()) {
             configuration
                     .get()
@@ -230,9 +202,9 @@
                             (name, service) ->
                                     service.engine().ifPresent(engine -> control(name, engine)));
         } else {
-            mServices.forEach(this::watch);
+            mServices.forEach(this::observe);
         }
-        changingEngines(
+        setChangingEngines(
                 mServices.values().stream()
                         .flatMap(service -> service.mChanges.stream())
                         .filter(change -> change.mOrdersBefore >= 0)
@@ -241,124 +213,96 @@
     }
 
     /**
-     * Watches changes that this router ordered before it lost the lease. The engines go on with
-     * them and refuse runs, so the others are told of them until they are over; nothing is ordered.
-     *
-     * @param service the service
-     * @param roles its state
+     * Observes changes that this router ordered before it lost the lease. The engines continue with
+     * them and refuse runs, so they are reported to the other routers until the changes are
+     * finished; no orders are given.
      */
-    private void watch(String service, ServiceRoles roles) {
+    private void observe(String service, ServiceRoles roles) {
         if (!roles.mChanges.isEmpty()) {
             List<UpstreamEntry> engines = mDirectory.usable(service);
-            roles.mChanges.forEach(change -> look(roles, change, engines));
-            settle(roles);
+            roles.mChanges.forEach(change -> finishIfOver(roles, change, engines));
+            removeFinished(roles);
         }
     }
 
     /**
-     * Sets what runs when the engines that are being changed are others than before.
+     * Sets the action to run when the set of changing engines changes.
      *
      * @param action the action, run on the control thread
      */
     public void onChangingEngines(Runnable action) {
-        mNode.control().execute(() -> mOnChanging = action);
+        mNode.control().execute(() -> mOnChangingEngines = action);
     }
 
-    /**
-     * Takes which engines are being changed.
-     *
-     * @param changing their ids
-     */
-    private void changingEngines(Set<UpstreamIncarnation> changing) {
-        if (!changing.equals(mChanging)) {
-            mChanging = changing;
-            mOnChanging.run();
+    private void setChangingEngines(Set<UpstreamIncarnation> changing) {
+        if (!changing.equals(mChangingEngines)) {
+            mChangingEngines = changing;
+            mOnChangingEngines.run();
         }
     }
 
-    /**
-     * Looks whether a service's engines need a change.
-     *
-     * @param service the service
-     * @param traits what its engines can do
-     */
+    /** Advances the changes of a service, or checks whether one is due. */
     private void control(String service, EngineTraits traits) {
         ServiceRoles roles = mServices.computeIfAbsent(service, name -> new ServiceRoles());
         List<UpstreamEntry> engines = mDirectory.usable(service);
         if (!roles.mChanges.isEmpty()) {
-            roles.mChanges.forEach(change -> follow(roles, change, engines));
-            settle(roles);
+            roles.mChanges.forEach(change -> advance(roles, change, engines));
+            removeFinished(roles);
             return;
         }
-        int prefill = (int) engines.stream().filter(RoleController::reads).count();
+        int prefill = (int) engines.stream().filter(RoleController::isPrefill).count();
         Demand demand = mOwnDemand.apply(service).plus(mPeers.demand(service));
-        RoleChangePolicy.EnginePool staffing =
+        RoleChangePolicy.EnginePool enginePool =
                 new RoleChangePolicy.EnginePool(
                         prefill,
                         engines.size() - prefill,
                         traits.memoryTokens(),
                         traits.switchMillis(),
-                        decoding(engines));
+                        decodingTokens(engines));
         long now = mNode.millis();
-        RoleChangePolicy.Step step = roles.mInvestment.evaluate(now, staffing, demand);
-        if (step == RoleChangePolicy.Step.STAY || now < roles.mNotBefore || roles.mInspecting) {
+        RoleChangePolicy.Step step = roles.mPolicy.evaluate(now, enginePool, demand);
+        if (step == RoleChangePolicy.Step.STAY || now < roles.mNotBefore || roles.mVerifyingIdle) {
             return;
         }
         LOGGER.info(
                 "role change wanted service={} step={} engines={} staffing={} {} demand={}",
                 service,
                 step,
-                roles.mInvestment.engineCount(),
-                staffing,
-                roles.mInvestment.lossSummary(),
+                roles.mPolicy.engineCount(),
+                enginePool,
+                roles.mPolicy.lossSummary(),
                 demand);
-        inspect(roles, engines, step == RoleChangePolicy.Step.MORE_PREFILL, traits);
+        verifyIdle(roles, engines, step == RoleChangePolicy.Step.MORE_PREFILL, traits);
     }
 
-    /**
-     * Returns what the other routers have under way at engines that decode.
-     *
-     * @param engines the engines
-     * @return tokens
-     */
-    private long decoding(List<UpstreamEntry> engines) {
+    /** Returns the tokens that the other routers have in flight at decode engines. */
+    private long decodingTokens(List<UpstreamEntry> engines) {
         return engines.stream()
-                .filter(engine -> !reads(engine))
+                .filter(engine -> !isPrefill(engine))
                 .mapToLong(engine -> mPeers.upstreamUse(engine.incarnation()).tokens())
                 .sum();
     }
 
-    /**
-     * Returns whether an engine reads prompts.
-     *
-     * @param engine the engine
-     * @return whether it does
-     */
-    private static boolean reads(UpstreamEntry engine) {
+    private static boolean isPrefill(UpstreamEntry engine) {
         return engine.role() == UpstreamEntry.Role.PREFILL;
     }
 
     /**
-     * Asks all engines how they stand, so that no change is begun beside one that an earlier holder
-     * of the lease ordered.
-     *
-     * @param roles the service's state
-     * @param engines the engines
-     * @param toPrefill whether more engines are to read prompts
-     * @param traits what the engines can do
+     * Requests the reports of all engines, so that no change is started while one is in progress
+     * that an earlier holder of the lease ordered.
      */
-    private void inspect(
+    private void verifyIdle(
             ServiceRoles roles,
             List<UpstreamEntry> engines,
             boolean toPrefill,
             EngineTraits traits) {
-        roles.mInspecting = true;
-        int count = roles.mInvestment.engineCount();
+        roles.mVerifyingIdle = true;
+        int count = roles.mPolicy.engineCount();
         List<CompletableFuture<Boolean>> idle =
                 engines.stream()
                         .map(
                                 engine ->
-                                        mOrders.report(engine)
+                                        mClient.report(engine)
                                                 .handle(
                                                         (report, failure) ->
                                                                 failure != null
@@ -370,27 +314,19 @@
                                 mNode.control()
                                         .execute(
                                                 () -> {
-                                                    roles.mInspecting = false;
+                                                    roles.mVerifyingIdle = false;
                                                     if (idle.stream()
                                                             .allMatch(CompletableFuture::join)) {
-                                                        begin(
+                                                        startChanges(
                                                                 roles, engines, count, toPrefill,
                                                                 traits);
                                                     }
-                                                    settle(roles);
+                                                    removeFinished(roles);
                                                 }));
     }
 
-    /**
-     * Begins changes at the least used engines.
-     *
-     * @param roles the service's state
-     * @param engines the engines
-     * @param count how many are to change
-     * @param toPrefill whether they are to read prompts
-     * @param traits what the engines can do
-     */
-    private void begin(
+    /** Starts changes at the least used engines. */
+    private void startChanges(
             ServiceRoles roles,
             List<UpstreamEntry> engines,
             int count,
@@ -400,145 +336,123 @@
         UpstreamEntry.Role role =
                 toPrefill ? UpstreamEntry.Role.PREFILL : UpstreamEntry.Role.DECODE;
         engines.stream()
-                .filter(each -> reads(each) != toPrefill)
+                .filter(each -> isPrefill(each) != toPrefill)
                 .sorted(
                         Comparator.<UpstreamEntry>comparingLong(
                                         each -> mPeers.upstreamUse(each.incarnation()).tokens())
                                 .thenComparing(UpstreamEntry::incarnation))
                 .limit(count)
-                .map(each -> new Change(each, role, now, now + traits.switchMillis() + RUNS_MILLIS))
+                .map(
+                        each ->
+                                new RoleChange(
+                                        each,
+                                        role,
+                                        now,
+                                        now + traits.switchMillis() + DRAIN_ALLOWANCE_MILLIS))
                 .forEach(roles.mChanges::add);
-        roles.mChanges.forEach(this::report);
+        roles.mChanges.forEach(this::requestReport);
     }
 
-    /**
-     * Follows a change that was begun.
-     *
-     * @param roles the service's state
-     * @param change the change
-     * @param engines the service's engines as they are listed
-     */
-    private void follow(ServiceRoles roles, Change change, List<UpstreamEntry> engines) {
-        look(roles, change, engines);
-        if (!change.mOver && !change.mTaken && !change.mCalling) {
-            report(change);
+    /** Advances a change. */
+    private void advance(ServiceRoles roles, RoleChange change, List<UpstreamEntry> engines) {
+        finishIfOver(roles, change, engines);
+        if (!change.mFinished && !change.mAccepted && !change.mCallPending) {
+            requestReport(change);
         }
     }
 
-    /**
-     * Drops the changes that are over. After the last one the load is watched for a while.
-     *
-     * @param roles the service's state
-     */
-    private void settle(ServiceRoles roles) {
-        roles.mChanges.removeIf(change -> change.mOver);
+    /** Removes finished changes. After the last one, the load is observed for a while. */
+    private void removeFinished(ServiceRoles roles) {
+        roles.mChanges.removeIf(change -> change.mFinished);
         if (roles.mChanges.isEmpty()) {
-            roles.mInvestment.reset();
-            roles.mNotBefore = mNode.millis() + SETTLE_MILLIS;
+            roles.mPolicy.reset();
+            roles.mNotBefore = mNode.millis() + OBSERVATION_MILLIS;
         }
     }
 
-    /**
-     * Ends a change that is done or given up.
-     *
-     * @param roles the service's state
-     * @param change the change
-     * @param engines the service's engines as they are listed
-     */
-    private void look(ServiceRoles roles, Change change, List<UpstreamEntry> engines) {
+    /** Finishes a change that is complete, whose engine is no longer listed, or that timed out. */
+    private void finishIfOver(ServiceRoles roles, RoleChange change, List<UpstreamEntry> engines) {
         Optional<UpstreamEntry> listed =
                 engines.stream()
                         .filter(each -> each.incarnation().equals(change.mEngine.incarnation()))
                         .findFirst();
         boolean done = listed.isPresent() && listed.get().role() == change.mRole;
-        boolean ended = done || listed.isEmpty() || mNode.millis() > change.mUntil;
-        if (ended) {
+        boolean over = done || listed.isEmpty() || mNode.millis() > change.mDeadline;
+        if (over) {
             LOGGER.info(
                     "role change ended engine={} done={} listed={}",
                     change.mEngine.id(),
                     done,
                     listed.isPresent());
             if (done) {
-                roles.mInvestment.recordChange(mNode.millis() - change.mBegan);
+                roles.mPolicy.recordChange(mNode.millis() - change.mStartedAt);
             }
-            change.mOver = true;
+            change.mFinished = true;
         }
     }
 
-    /**
-     * Asks the engine how it stands, to order with what it says.
-     *
-     * @param change the change
-     */
-    private void report(Change change) {
-        change.mCalling = true;
+    /** Requests the engine's report, which an order must refer to. */
+    private void requestReport(RoleChange change) {
+        change.mCallPending = true;
         UpstreamEntry engine = change.mEngine;
-        mOrders.report(engine)
+        mClient.report(engine)
                 .whenComplete(
                         (report, failure) ->
                                 mNode.control()
                                         .execute(
                                                 () -> {
-                                                    change.mCalling = false;
-                                                    if (!change.mOver
+                                                    change.mCallPending = false;
+                                                    if (!change.mFinished
                                                             && failure == null
                                                             && report.incarnation()
                                                                     .mayBe(engine.incarnation())) {
-                                                        reported(change, report);
+                                                        onReport(change, report);
                                                     }
                                                 }));
     }
 
-    /**
-     * Orders, unless the engine changes already.
-     *
-     * @param change the change
-     * @param report how the engine stands
-     */
-    private void reported(Change change, EngineRoleClient.EngineReport report) {
-        boolean taken = change.mOrdersBefore >= 0 && report.orders() > change.mOrdersBefore;
-        if (taken || report.changing() || report.role() == change.mRole) {
-            change.mTaken = true;
+    /** Orders the change, unless the engine is already changing. */
+    private void onReport(RoleChange change, EngineRoleClient.EngineReport report) {
+        boolean accepted = change.mOrdersBefore >= 0 && report.orders() > change.mOrdersBefore;
+        if (accepted || report.changing() || report.role() == change.mRole) {
+            change.mAccepted = true;
             return;
         }
         if (!mLease.mayOrder()) {
             return;
         }
         change.mOrdersBefore = report.orders();
-        change.mCalling = true;
+        change.mCallPending = true;
         UpstreamEntry engine = change.mEngine;
-        EngineRoleClient.LeaseGrant right = mLease.right();
+        EngineRoleClient.LeaseGrant grant = mLease.grant();
         LOGGER.info(
                 "order engine={} role={} token={} ordersBefore={}",
                 engine.id(),
                 change.mRole,
-                right.fencingToken(),
+                grant.fencingToken(),
                 report.orders());
-        mOrders.changeRole(engine, change.mRole, right, report.orders())
+        mClient.changeRole(engine, change.mRole, grant, report.orders())
                 .thenAccept(
                         outcome ->
                                 mNode.control()
                                         .execute(
                                                 () -> {
-                                                    change.mCalling = false;
-                                                    if (!change.mOver) {
-                                                        ordered(change, outcome);
+                                                    change.mCallPending = false;
+                                                    if (!change.mFinished) {
+                                                        onOutcome(change, outcome);
                                                     }
                                                 }));
     }
 
     /**
-     * Takes what is known of the order. What was refused is over, and dropped with the next look.
-     *
-     * @param change the change
-     * @param outcome what is known
+     * Records the outcome of an order. A refused change is finished, and removed at the next tick.
      */
-    private void ordered(Change change, EngineRoleClient.Outcome outcome) {
+    private void onOutcome(RoleChange change, EngineRoleClient.Outcome outcome) {
         LOGGER.info("order engine={} outcome={}", change.mEngine.id(), outcome);
         switch (outcome) {
-            case TAKEN, ALREADY -> change.mTaken = true;
-            case REFUSED -> change.mOver = true;
-            default -> change.mTaken = false;
+            case TAKEN, ALREADY -> change.mAccepted = true;
+            case REFUSED -> change.mFinished = true;
+            default -> change.mAccepted = false;
         }
     }
 }
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/role/RoleLease.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/role/RoleLease.java
@@ -15,257 +15,224 @@
 import org.troutpier.daemon.rows.StoreVersion;
 
 /**
- * The lease of the one router that orders engines: a row that its holder renews. Confined to the
+ * Lease of the one router that orders role changes: a row that its holder renews. Confined to the
  * control thread. Invariants: a router believes that it holds the lease only until one term after
- * it sent the last renewal that was acknowledged, on the monotonic clock; another takes it only
- * after the row has not changed for a term and a margin, and then orders nothing for one more term,
- * since engines do not check who orders; the fencing token is the row's version at the acquisition,
- * so it rises, also where the store comes back from a copy. A router that finds its own row in a
- * copy waits like any other.
+ * it sent the last acknowledged renewal, on the monotonic clock; another router takes the lease
+ * over only after the row has not changed for a term and a margin, and then gives no orders for one
+ * more term, since engines do not verify who orders; the fencing token is the version of the row at
+ * the acquisition, so it increases, even if the store is restored from a copy. A router that finds
+ * its own row in a restored copy waits like any other.
  */
 final class RoleLease {
 
-    /** The table. */
     private static final String TABLE = "troutpier_leases";
 
-    /** The row's key. */
     private static final String KEY = "engine-roles";
 
-    /** How often a holder renews within a term. */
-    private static final int RENEWALS = 3;
+    private static final int RENEWALS_PER_TERM = 3;
 
-    /** How much longer than a term the row must rest before it is taken over, milliseconds. */
-    private static final long MARGIN_MILLIS = 1000;
+    /**
+     * How much longer than a term the row must be unchanged before it is taken over, milliseconds.
+     */
+    private static final long TAKEOVER_MARGIN_MILLIS = 1000;
 
-    /** How often a router that does not hold the lease looks at the row, milliseconds. */
-    private static final long LOOK_MILLIS = 1500;
+    /** How often a router that does not hold the lease reads the row, milliseconds. */
+    private static final long READ_INTERVAL_MILLIS = 1500;
 
-    /** Logs gain and loss. */
     private static final Logger LOGGER = LogManager.getLogger(RoleLease.class);
 
-    /** The router's identity, threads, clock and metrics. */
+    /** The identity, threads, clock and metrics of the router. */
     private final Node mNode;
 
-    /** The store. */
     private final RowStore mStore;
 
-    /** Tells of rows that cannot be read. */
-    private final RowDecoder mFaults;
+    /** Reports rows that cannot be decoded. */
+    private final RowDecoder mDecoder;
 
     /** How long the lease lasts without renewal, milliseconds. */
     private final long mTermMillis;
 
-    /** The row's version as it was seen last; 0 for no row. */
+    /** Last seen version of the row; 0 if there is no row. */
     private long mVersion;
 
     /** When that version was first seen, milliseconds. */
-    private long mSeenAt;
+    private long mVersionSince;
 
-    /** Whether the row was read at least once. */
-    private boolean mSeen;
+    /** Whether the row was read since the last failure or conflict. */
+    private boolean mRead;
 
     /** The fencing token; 0 while the lease is not held. */
     private long mToken;
 
-    /** Until when the lease is held, milliseconds. */
+    /** When the lease expires, milliseconds. */
     private long mValidUntil;
 
-    /** From when orders may be given, milliseconds. */
-    private long mOrdersFrom;
+    /** When orders may first be given, milliseconds. */
+    private long mMayOrderFrom;
 
-    /** When a call is due, milliseconds. */
+    /** When the next call is due, milliseconds. */
     private long mNextCall;
 
-    /** Whether a call is under way. */
-    private boolean mCalling;
+    /** Whether a call to the store is in flight. */
+    private boolean mCallPending;
 
-    /** The store's era when the row was read last. */
+    /** The era of the store when the row was last read. */
     private long mEra;
 
-    /** Counts renewals, so that each changes the row. */
+    /** Counts renewals, so that each one changes the row. */
     private long mRenewals;
 
     /**
-     * What the row says.
+     * Content of the row.
      *
      * @param holder the instance that holds the lease
-     * @param renewals counts its renewals
-     * @param era the store's era when it was written, as far as its writer knew; a row of an era
-     *     before is from a copy, and another may have held the lease since
+     * @param renewals the number of its renewals
+     * @param era the era of the store as known to the writer. A row of an earlier era comes from a
+     *     restored copy, and another router may have held the lease since
      */
     record Holder(String holder, long renewals, long era) {}
 
     /**
      * Creates a lease that is not held.
      *
-     * @param node the router's identity, threads, clock and metrics
-     * @param store the store
      * @param termMillis how long the lease lasts without renewal, milliseconds
      */
     RoleLease(Node node, RowStore store, long termMillis) {
-        mFaults = new RowDecoder(node.metrics(), node::millis);
+        mDecoder = new RowDecoder(node.metrics(), node::millis);
         mNode = node;
         mStore = store;
         mTermMillis = termMillis;
     }
 
-    /**
-     * Returns whether this router holds the lease.
-     *
-     * @return whether it does
-     */
-    boolean held() {
+    boolean isHeld() {
         return mToken != 0 && mNode.millis() < mValidUntil;
     }
 
     /**
-     * Returns whether this router may give orders.
-     *
-     * @return whether it holds the lease and has waited out the one before it
+     * Returns whether this router may give orders: it holds the lease, and the term of the previous
+     * holder has passed.
      */
     boolean mayOrder() {
-        return held() && mNode.millis() >= mOrdersFrom;
+        return isHeld() && mNode.millis() >= mMayOrderFrom;
     }
 
-    /**
-     * Returns the right to order.
-     *
-     * @return the right; only to be used while {@link #mayOrder()}
-     */
-    EngineRoleClient.LeaseGrant right() {
-        return new EngineRoleClient.LeaseGrant(instance(), mToken);
+    /** Returns the proof of the lease; only valid while {@link #mayOrder()}. */
+    EngineRoleClient.LeaseGrant grant() {
+        return new EngineRoleClient.LeaseGrant(instanceName(), mToken);
     }
 
     /**
-     * Renews the lease, or tries to get it.
+     * Renews the lease, or tries to acquire it.
      *
-     * @param otherHolds whether another router said lately that it holds the lease
-     * @param contends whether this router tries to get it; one that holds it keeps it all the same
+     * @param otherHolds whether another router recently reported that it holds the lease
+     * @param eligible whether this router competes for the lease; a holder keeps it regardless
      */
-    void tick(boolean otherHolds, boolean contends) {
-        if (mToken != 0 && !held()) {
+    void tick(boolean otherHolds, boolean eligible) {
+        if (mToken != 0 && !isHeld()) {
             LOGGER.warn("role lease lapsed token={}", mToken);
             mToken = 0;
         }
-        if (mCalling || mNode.millis() < mNextCall) {
+        if (mCallPending || mNode.millis() < mNextCall) {
             return;
         }
-        if (held()) {
+        if (isHeld()) {
             write(mVersion, true);
-        } else if (contends && (!otherHolds || !mSeen)) {
-            look();
+        } else if (eligible && (!otherHolds || !mRead)) {
+            read();
         }
     }
 
-    /** Reads the row. */
-    private void look() {
-        mCalling = true;
-        mNextCall = mNode.millis() + LOOK_MILLIS;
+    private void read() {
+        mCallPending = true;
+        mNextCall = mNode.millis() + READ_INTERVAL_MILLIS;
         mStore.read(TABLE, "")
                 .whenComplete(
-                        (page, failure) -> mNode.control().execute(() -> looked(page, failure)));
+                        (page, failure) -> mNode.control().execute(() -> onRead(page, failure)));
     }
 
     /**
-     * Takes the row.
+     * Evaluates the row, and writes it if the lease is free.
      *
-     * @param page what was read, or null
+     * @param page the rows that were read, or null
      * @param failure why nothing was read, or null
      */
-    private void looked(RowPage page, Throwable failure) {
-        mCalling = false;
+    private void onRead(RowPage page, Throwable failure) {
+        mCallPending = false;
         if (failure != null) {
-            mSeen = false;
+            mRead = false;
             return;
         }
         List<Row> rows = page.rows().stream().filter(row -> row.key().equals(KEY)).toList();
         long version = rows.isEmpty() ? 0 : rows.get(0).version();
-        if (!mSeen || version != mVersion) {
-            mSeen = true;
+        if (!mRead || version != mVersion) {
+            mRead = true;
             mVersion = version;
-            mSeenAt = mNode.millis();
+            mVersionSince = mNode.millis();
         }
         mEra = StoreVersion.era(page.version());
-        boolean own = !rows.isEmpty() && holder(rows.get(0)).filter(this::own).isPresent();
-        boolean rested = mNode.millis() - mSeenAt >= mTermMillis + MARGIN_MILLIS;
-        if (version == 0 || own || rested) {
-            mOrdersFrom = own ? mNode.millis() : mNode.millis() + mTermMillis;
+        boolean own = !rows.isEmpty() && holder(rows.get(0)).filter(this::isOwn).isPresent();
+        boolean unchangedForTerm =
+                mNode.millis() - mVersionSince >= mTermMillis + TAKEOVER_MARGIN_MILLIS;
+        if (version == 0 || own || unchangedForTerm) {
+            mMayOrderFrom = own ? mNode.millis() : mNode.millis() + mTermMillis;
             write(version, false);
         }
     }
 
-    /**
-     * Writes the row on the condition that nobody else did.
-     *
-     * @param version the version that it must have
-     * @param renewal whether the lease is held already
-     */
+    /** Writes the row, provided that nobody else has changed it. */
     private void write(long version, boolean renewal) {
-        mCalling = true;
+        mCallPending = true;
         long sentAt = mNode.millis();
-        mNextCall = sentAt + mTermMillis / RENEWALS;
-        byte[] value = Json.bytes(new Holder(instance(), ++mRenewals, mEra));
+        mNextCall = sentAt + mTermMillis / RENEWALS_PER_TERM;
+        byte[] value = Json.bytes(new Holder(instanceName(), ++mRenewals, mEra));
         mStore.write(new Row(TABLE, "", KEY, value, 0, false), version)
                 .thenAccept(
-                        write -> mNode.control().execute(() -> written(write, sentAt, renewal)));
+                        write -> mNode.control().execute(() -> onWritten(write, sentAt, renewal)));
     }
 
     /**
-     * Takes what is known of a write.
+     * Evaluates the result of a write.
      *
-     * @param write what is known
-     * @param sentAt when it was sent, milliseconds
-     * @param renewal whether the lease was held already
+     * @param sentAt when the write was sent, milliseconds
      */
-    private void written(WriteResult write, long sentAt, boolean renewal) {
-        mCalling = false;
+    private void onWritten(WriteResult write, long sentAt, boolean renewal) {
+        mCallPending = false;
         if (write.outcome() == Outcome.WRITTEN) {
             mVersion = write.version();
-            mSeenAt = mNode.millis();
+            mVersionSince = mNode.millis();
             mValidUntil = sentAt + mTermMillis;
             if (!renewal || mToken == 0) {
                 mToken = write.version();
                 LOGGER.info(
                         "role lease acquired token={} ordersInMillis={}",
                         mToken,
-                        mOrdersFrom - mNode.millis());
+                        mMayOrderFrom - mNode.millis());
             }
         } else if (write.outcome() == Outcome.CONFLICT || write.outcome() == Outcome.OUTDATED) {
             if (mToken != 0) {
                 LOGGER.warn("role lease lost token={} rowVersion={}", mToken, write.version());
             }
             mToken = 0;
-            mSeen = false;
+            mRead = false;
         }
     }
 
     /**
-     * Reads who holds the lease.
+     * Decodes the row.
      *
-     * @param row the row
-     * @return the holder; empty for a row that another writer left, which is waited out like
-     *     another holder's
+     * @return the content; empty if another writer left it unreadable, in which case it is waited
+     *     out like the row of another holder
      */
     private Optional<Holder> holder(Row row) {
-        return mFaults.decode(row, each -> Json.read(each.value(), Holder.class));
+        return mDecoder.decode(row, each -> Json.read(each.value(), Holder.class));
     }
 
-    /**
-     * Returns whether this instance holds the lease by its row.
-     *
-     * @param holder what the row holds
-     * @return whether it names this instance and was not brought back by a copy
-     */
-    private boolean own(Holder holder) {
-        return holder.holder().equals(instance()) && holder.era() == mEra;
+    /** Returns whether the row names this instance and does not come from a restored copy. */
+    private boolean isOwn(Holder holder) {
+        return holder.holder().equals(instanceName()) && holder.era() == mEra;
     }
 
-    /**
-     * Returns this instance's name.
-     *
-     * @return the name
-     */
-    private String instance() {
+    private String instanceName() {
         return mNode.incarnation().instance().value();
     }
 }
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/role/package-info.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/role/package-info.java
@@ -1,2 +1,2 @@
-/** Decides how many engines read prompts and how many make tokens, and orders changes. */
+/** Decides how many engines prefill and how many decode, and orders role changes. */
 package org.troutpier.daemon.role;
--- a/troutpier-daemon/src/test/java/org/troutpier/daemon/role/RoleControllerTest.java
+++ b/troutpier-daemon/src/test/java/org/troutpier/daemon/role/RoleControllerTest.java
@@ -29,7 +29,7 @@
 import org.troutpier.daemon.rows.FakeRowStore;
 import org.troutpier.standins.platform.VersionedRows;
 
-/** What is told of engines that change their role. */
+/** Tests which engines are reported as changing, and which orders are given. */
 public final class RoleControllerTest {
 
     private static final String SERVICE = "notes";
@@ -40,23 +40,26 @@
     private ManualTime mTime;
     private FakeRowStore mStore;
     private UpstreamDirectory mDirectory;
-    private FakeOrders mOrders;
+    private FakeRoleClient mClient;
     private RoleController mController;
 
-    /** Engines that take each order and then take their time. */
-    private static final class FakeOrders implements EngineRoleClient {
+    /** A client whose engines accept each order and then stay in the change. */
+    private static final class FakeRoleClient implements EngineRoleClient {
         final List<UpstreamIncarnation> mOrdered = new ArrayList<>();
         final List<Long> mExpected = new ArrayList<>();
 
-        /** Who speaks in place of the engine that is asked; null for itself. */
-        UpstreamIncarnation mSpeaks;
+        /**
+         * The incarnation that answers in place of the requested engine; null for the engine
+         * itself.
+         */
+        UpstreamIncarnation mReportsAs;
 
         @Override
         public CompletableFuture<EngineReport> report(UpstreamEntry engine) {
             boolean changing = mOrdered.contains(engine.incarnation());
             return CompletableFuture.completedFuture(
                     new EngineReport(
-                            mSpeaks == null ? engine.incarnation() : mSpeaks,
+                            mReportsAs == null ? engine.incarnation() : mReportsAs,
                             engine.role(),
                             changing,
                             changing ? 1 : 0,
@@ -80,7 +83,7 @@
         mTime = new ManualTime();
         mStore = new FakeRowStore(new VersionedRows());
         mDirectory = new UpstreamDirectory(mTime.control(), mTime::millis);
-        mOrders = new FakeOrders();
+        mClient = new FakeRoleClient();
         Node node = TestNode.of("router", mTime.control(), mTime::nanos);
         CurrentConfiguration configuration = new CurrentConfiguration();
         EngineTraits traits = new EngineTraits(10, 90_000, 4, 2000, 500, SWITCH);
@@ -101,12 +104,14 @@
                         mDirectory,
                         new PeerLoads(),
                         service -> Demand.NONE,
-                        mOrders,
+                        mClient,
                         new RoleController.LeaseOptions(mStore, TERM, () -> true));
         mController.start();
     }
 
-    /** Lists four engines; a third is to read prompts before anything is measured. */
+    /**
+     * Lists four engines. Before any demand is measured, one third of the engines are to prefill.
+     */
     private void list(UpstreamEntry.Role first) {
         mDirectory.replaceAll(
                 List.of(
@@ -129,12 +134,12 @@
 
     private void orderOne() {
         mTime.pass(4 * TERM);
-        assertEquals(mOrders.mOrdered, List.of(UpstreamIncarnation.of("e1")));
+        assertEquals(mClient.mOrdered, List.of(UpstreamIncarnation.of("e1")));
         assertEquals(mController.changingEngines(), Set.of(UpstreamIncarnation.of("e1")));
     }
 
     @Test
-    public void anEngineThatWasOrderedIsToldUntilItIsListedInItsNewRole() {
+    public void aChangingEngineIsReportedUntilListedInItsNewRole() {
         orderOne();
         list(UpstreamEntry.Role.DECODE);
         mTime.pass(1000);
@@ -142,7 +147,7 @@
     }
 
     @Test
-    public void anEngineThatWasOrderedIsStillToldWhenTheLeaseIsLost() {
+    public void aChangingEngineIsStillReportedAfterTheLeaseIsLost() {
         orderOne();
         mStore.mAway = true;
         mTime.pass(2 * TERM);
@@ -151,20 +156,22 @@
         list(UpstreamEntry.Role.DECODE);
         mTime.pass(1000);
         assertTrue(mController.changingEngines().isEmpty());
-        assertEquals(mOrders.mOrdered.size(), 1);
+        assertEquals(mClient.mOrdered.size(), 1);
     }
 
     @Test
-    public void anEngineThatNeverChangesIsNotToldForEver() {
+    public void aChangeThatNeverCompletesTimesOut() {
         orderOne();
         mStore.mAway = true;
         mTime.pass(CHANGE_AT_MOST);
         assertTrue(mController.changingEngines().isEmpty());
     }
 
-    /** Its orders are counted from the start, so the next one expects none before it. */
+    /**
+     * A restarted engine counts its orders from zero, so the next order must expect none before it.
+     */
     @Test
-    public void anEngineThatStartedAgainIsOrderedAnew() {
+    public void aRestartedEngineIsOrderedAgain() {
         orderOne();
         UpstreamEntry again = engine("e1~2", UpstreamEntry.Role.PREFILL);
         mDirectory.update(again.id(), Optional.of(engine("e1~1", UpstreamEntry.Role.PREFILL)));
@@ -172,19 +179,19 @@
         mTime.pass(1000);
         assertTrue(mController.changingEngines().isEmpty());
         mTime.pass(4 * TERM);
-        assertEquals(mOrders.mOrdered.get(1), again.incarnation());
-        assertEquals(mOrders.mExpected, List.of(0L, 0L));
+        assertEquals(mClient.mOrdered.get(1), again.incarnation());
+        assertEquals(mClient.mExpected, List.of(0L, 0L));
     }
 
     @Test
-    public void whatAnotherStartReportsIsNotOrderedBy() {
-        mOrders.mSpeaks = UpstreamIncarnation.of("e1~1");
+    public void aReportOfAnotherIncarnationIsIgnored() {
+        mClient.mReportsAs = UpstreamIncarnation.of("e1~1");
         UpstreamEntry again = engine("e1~2", UpstreamEntry.Role.PREFILL);
         mDirectory.update(again.id(), Optional.of(again));
         mTime.pass(4 * TERM);
-        assertTrue(mOrders.mOrdered.isEmpty());
-        mOrders.mSpeaks = null;
+        assertTrue(mClient.mOrdered.isEmpty());
+        mClient.mReportsAs = null;
         mTime.pass(1000);
-        assertEquals(mOrders.mOrdered, List.of(again.incarnation()));
+        assertEquals(mClient.mOrdered, List.of(again.incarnation()));
     }
 }
--- a/troutpier-daemon/src/test/java/org/troutpier/daemon/role/RoleLeaseTest.java
+++ b/troutpier-daemon/src/test/java/org/troutpier/daemon/role/RoleLeaseTest.java
@@ -19,7 +19,7 @@
 import org.troutpier.standins.platform.VersionedRows;
 import org.troutpier.standins.platform.VersionedRows.Key;
 
-/** The lease of the router that orders engines. */
+/** Tests the lease of the router that orders role changes. */
 public final class RoleLeaseTest {
 
     private static final long TERM = 3000;
@@ -28,28 +28,28 @@
     private ManualTime mTime;
     private VersionedRows mRows;
 
-    /** One router's view of the lease. */
+    /** A router that competes for the lease. */
     private final class Contender {
         final ManualTime.PausableControl mControl = mTime.control();
         final FakeRowStore mStore = new FakeRowStore(mRows);
         final RoleLease mLease;
         boolean mOtherHolds;
-        boolean mContends = true;
+        boolean mEligible = true;
         long mSuspendedMillis;
 
         Contender(String name) {
             LongSupplier clock = new ElapsedClock(this::monotonicNanos, mTime::millis);
             Node node = TestNode.of(name, mControl, clock);
             mLease = new RoleLease(node, mStore, TERM);
-            mControl.every(() -> mLease.tick(mOtherHolds, mContends), TICK);
+            mControl.every(() -> mLease.tick(mOtherHolds, mEligible), TICK);
         }
 
-        /** The system's monotonic clock, which stands still while the machine is suspended. */
+        /** The monotonic clock of the system, which stops while the machine is suspended. */
         private long monotonicNanos() {
             return mTime.nanos() - TimeUnit.MILLISECONDS.toNanos(mSuspendedMillis);
         }
 
-        /** Has the machine suspended while time passes for the others. */
+        /** Suspends the machine while time passes for the others. */
         void suspend(long millis) {
             mControl.pause(true);
             mTime.pass(millis);
@@ -64,7 +64,7 @@
     }
 
     @Test
-    public void aRouterThatFindsItsOwnRowInACopyWaitsLikeAnyOther() {
+    public void aRouterWaitsEvenIfARestoredRowIsItsOwn() {
         Contender first = new Contender("a");
         mTime.pass(3 * TERM);
         VersionedRows.Copy copy = mRows.copy();
@@ -72,19 +72,19 @@
         Contender second = new Contender("b");
         mTime.pass(4 * TERM);
         assertTrue(second.mLease.mayOrder());
-        long token = second.mLease.right().fencingToken();
+        long token = second.mLease.grant().fencingToken();
         mRows.restore(copy);
         Contender again = new Contender("a");
         mTime.pass(TERM);
         assertFalse(again.mLease.mayOrder(), "another has held it since the copy was made");
         mTime.pass(3 * TERM);
         assertTrue(again.mLease.mayOrder());
-        assertFalse(second.mLease.held());
-        assertTrue(again.mLease.right().fencingToken() > token, "tokens rise over eras");
+        assertFalse(second.mLease.isHeld());
+        assertTrue(again.mLease.grant().fencingToken() > token, "tokens rise over eras");
     }
 
     @Test
-    public void twoRoutersNeverOrderAtTheSameTimeOverReturnsOfTheStore() {
+    public void twoRoutersNeverOrderAtOnceAcrossStoreRestores() {
         Contender first = new Contender("a");
         mTime.pass(2 * TERM);
         VersionedRows.Copy copy = mRows.copy();
@@ -103,10 +103,10 @@
     }
 
     @Test
-    public void theFirstRouterGetsItAndWaitsATermBeforeItOrders() {
+    public void theFirstHolderWaitsATermBeforeItOrders() {
         Contender only = new Contender("a");
         mTime.pass(2 * TICK);
-        assertTrue(only.mLease.held());
+        assertTrue(only.mLease.isHeld());
         assertFalse(only.mLease.mayOrder());
         mTime.pass(TERM);
         assertTrue(only.mLease.mayOrder());
@@ -114,9 +114,12 @@
         assertTrue(only.mLease.mayOrder());
     }
 
-    /** With the system's monotonic clock alone it believed so for the rest of its term. */
+    /**
+     * Guards against using only the monotonic clock of the system, with which a suspended holder
+     * believed in its lease for the rest of the term.
+     */
     @Test
-    public void aHolderWhoseMachineWasSuspendedDoesNotBelieveThatItStillHoldsIt() {
+    public void aHolderWhoseMachineWasSuspendedKnowsThatItsLeaseExpired() {
         Contender first = new Contender("a");
         mTime.pass(3 * TERM);
         assertTrue(first.mLease.mayOrder());
@@ -126,65 +129,65 @@
         assertFalse(first.mLease.mayOrder());
         first.mControl.pause(false);
         mTime.pass(2 * TERM);
-        assertFalse(first.mLease.held());
+        assertFalse(first.mLease.isHeld());
         assertTrue(second.mLease.mayOrder());
     }
 
-    /** Before, each router that started tried to get the lease. */
+    /** Guards against every starting router trying to acquire the lease. */
     @Test
-    public void aRouterThatDoesNotContendLeavesTheRowAlone() {
+    public void anIneligibleRouterDoesNotWriteTheRow() {
         Contender only = new Contender("a");
-        only.mContends = false;
+        only.mEligible = false;
         mTime.pass(10 * TERM);
-        assertFalse(only.mLease.held());
+        assertFalse(only.mLease.isHeld());
         assertEquals(mRows.version(), 0);
     }
 
     @Test
-    public void aHolderThatNoLongerContendsKeepsIt() {
+    public void anIneligibleHolderKeepsTheLease() {
         Contender first = new Contender("a");
         mTime.pass(2 * TERM);
-        first.mContends = false;
+        first.mEligible = false;
         Contender second = new Contender("b");
         mTime.pass(10 * TERM);
         assertTrue(first.mLease.mayOrder());
-        assertFalse(second.mLease.held());
+        assertFalse(second.mLease.isHeld());
     }
 
     @Test
     public void aHolderThatCannotRenewStopsWithinATerm() {
         Contender only = new Contender("a");
         mTime.pass(2 * TERM);
-        long token = only.mLease.right().fencingToken();
+        long token = only.mLease.grant().fencingToken();
         only.mStore.mAway = true;
         mTime.pass(TERM);
-        assertFalse(only.mLease.held());
+        assertFalse(only.mLease.isHeld());
         only.mStore.mAway = false;
         mTime.pass(2 * TERM);
         assertTrue(only.mLease.mayOrder());
-        assertTrue(only.mLease.right().fencingToken() > token);
+        assertTrue(only.mLease.grant().fencingToken() > token);
     }
 
     @Test
-    public void anotherTakesItAfterAHolderThatStandsStill() {
+    public void anotherRouterTakesOverFromAPausedHolder() {
         Contender first = new Contender("a");
         mTime.pass(2 * TERM);
         assertTrue(first.mLease.mayOrder());
         Contender second = new Contender("b");
         mTime.pass(2 * TERM);
-        assertFalse(second.mLease.held());
+        assertFalse(second.mLease.isHeld());
         first.mControl.pause(true);
         mTime.pass(5 * TERM);
         assertTrue(second.mLease.mayOrder());
         assertFalse(first.mLease.mayOrder());
         first.mControl.pause(false);
         mTime.pass(5 * TERM);
-        assertFalse(first.mLease.held());
+        assertFalse(first.mLease.isHeld());
         assertTrue(second.mLease.mayOrder());
     }
 
     @Test
-    public void aRenewalThatIsDoneButNotAnsweredDoesNotExtendTheLease() {
+    public void anUnacknowledgedRenewalDoesNotExtendTheLease() {
         Contender only = new Contender("a");
         mTime.pass(2 * TERM);
         only.mStore.mCarrier =
@@ -192,11 +195,11 @@
                     work.run();
                 };
         mTime.pass(TERM);
-        assertFalse(only.mLease.held());
+        assertFalse(only.mLease.isHeld());
     }
 
     @Test
-    public void atRandomNoTwoEverOrderWithinATermOfEachOther() {
+    public void underRandomFaultsNoTwoOrderWithinATerm() {
         long seed = System.nanoTime();
         System.out.println("RoleLeaseTest seed " + seed);
         Random random = new Random(seed);
@@ -224,7 +227,7 @@
                 if (!contender.mLease.mayOrder()) {
                     continue;
                 }
-                long token = contender.mLease.right().fencingToken();
+                long token = contender.mLease.grant().fencingToken();
                 assertTrue(token >= lastToken, "a lower token, seed " + seed);
                 if (last != contender) {
                     boolean apart = last == null || mTime.millis() - lastAt >= TERM;
@@ -261,11 +264,11 @@
     }
 
     @Test
-    public void aRowOfAnotherWriterIsWaitedOutAndReplaced() {
+    public void anUnreadableRowIsWaitedOutAndReplaced() {
         mRows.put(new Key("troutpier_leases", "", "engine-roles"), "no JSON");
         Contender one = new Contender("one");
         mTime.pass(TERM / 2);
-        assertFalse(one.mLease.held());
+        assertFalse(one.mLease.isHeld());
         mTime.pass(3 * TERM);
         assertTrue(one.mLease.mayOrder());
     }
