--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/RequestExecution.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/RequestExecution.java
@@ -298,7 +298,7 @@
     /**
      * Takes one extra call from the budget if it allows one.
      *
-     * @return whether the call may be acquired
+     * @return whether the call may be made
      */
     protected boolean tryAcquireExtraCall() {
         boolean acquired =
