--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/PromptMetadata.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/PromptMetadata.java
@@ -4,7 +4,7 @@
 import org.troutpier.common.settings.Check;
 
 /**
- * What the request's headers tell of its prompt. Immutable and thread safe.
+ * Metadata of a prompt, as declared by the request's headers. Immutable and thread safe.
  *
  * @param model the requested model
  * @param promptTokens the prompt's length
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/RequestExecution.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/RequestExecution.java
@@ -360,7 +360,7 @@
      * Finishes the request with a refusal that holds for all its attempts.
      *
      * @param preferred the code that fits the last step
-     * @param retryAfterMillis when the caller should retry, milliseconds; not told where a retry is
+     * @param retryAfterMillis when the caller should retry, milliseconds; omitted where a retry is
      *     not safe
      */
     protected void refuse(ResultCode preferred, String detail, long retryAfterMillis) {
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/ReservationAllocator.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/ReservationAllocator.java
@@ -29,8 +29,8 @@
 public final class ReservationAllocator {
 
     /**
-     * How long this router waits before it asks an engine again that refused, milliseconds: with a
-     * few dozen requests leaving an engine each second, memory becomes free about that often.
+     * How long this router waits before it retries an engine that refused, milliseconds: with a few
+     * dozen requests leaving an engine each second, memory becomes free about that often.
      */
     private static final long FULL_RETRY_MILLIS = 30;
 
@@ -200,7 +200,7 @@
         /** Orders searches by age. */
         private final long mSequence = mNextSequence++;
 
-        /** The engines that were asked in the current round. */
+        /** The engines that were tried in the current round. */
         private final Set<UpstreamIncarnation> mTriedEngines = new HashSet<>();
 
         /**
@@ -232,7 +232,7 @@
             tryNextEngine();
         }
 
-        /** Asks the next engine of the round, or waits for the next round. */
+        /** Tries the next engine of the round, or waits for the next round. */
         private void tryNextEngine() {
             if (mEnded) {
                 return;
--- a/troutpier-daemon/src/test/java/org/troutpier/daemon/serving/DecisionLogTest.java
+++ b/troutpier-daemon/src/test/java/org/troutpier/daemon/serving/DecisionLogTest.java
@@ -46,7 +46,7 @@
     }
 
     @Test
-    public void failuresHaveTheirLinesWithinTheBound() {
+    public void failureLinesAreRateLimited() {
         for (int request = 0; request < 250; request++) {
             mLog.requestEnded(trace(), "TP-128");
         }
--- a/troutpier-daemon/src/test/java/org/troutpier/daemon/serving/EventRelayTest.java
+++ b/troutpier-daemon/src/test/java/org/troutpier/daemon/serving/EventRelayTest.java
@@ -27,7 +27,7 @@
     }
 
     @Test
-    public void onlyWholeEventsAreHandedOn() {
+    public void onlyCompleteEventsAreRelayed() {
         EventRelay relay = new EventRelay(mCaller, OptionalLong.empty());
         relay.feed(bytes("id: 1\ndata: a\n\nid: 2\nda"));
         assertEquals(mCaller.text(), "id: 1\ndata: a\n\n");
@@ -38,7 +38,7 @@
     }
 
     @Test
-    public void anotherRunGoesOnAfterTheLastWholeEvent() {
+    public void nextRunContinuesAfterTheLastCompleteEvent() {
         EventRelay relay = new EventRelay(mCaller, OptionalLong.empty());
         relay.feed(bytes("id: 1\ndata: a\n\nid: 2\nda"));
         relay.startRun();
@@ -47,7 +47,7 @@
     }
 
     @Test
-    public void anEventOutOfOrderIsNotHandedOn() {
+    public void outOfOrderEventIsNotRelayed() {
         EventRelay relay = new EventRelay(mCaller, OptionalLong.of(4));
         assertThrows(TroutpierException.class, () -> relay.feed(bytes("id: 6\ndata: a\n\n")));
         EventRelay again = new EventRelay(mCaller, OptionalLong.of(4));
@@ -64,7 +64,7 @@
     }
 
     @Test
-    public void atRandomAnyCutOfTheBytesGivesTheSameEvents() {
+    public void anySplitOfTheBytesYieldsTheSameEvents() {
         long seed = System.nanoTime();
         System.out.println("EventRelayTest seed " + seed);
         Random random = new Random(seed);
--- a/troutpier-daemon/src/test/java/org/troutpier/daemon/serving/ExecutionTest.java
+++ b/troutpier-daemon/src/test/java/org/troutpier/daemon/serving/ExecutionTest.java
@@ -192,7 +192,7 @@
     }
 
     @Test
-    public void aPromptThatWasReadIsUsedElsewhereWhenItsEngineCannotBeReached() {
+    public void storedPromptIsUsedAtAnotherEngineIfTheFirstIsUnreachable() {
         UpstreamEntry prefill = TestUpstreams.prefill("p");
         mDirectory.replaceAll(
                 List.of(prefill, TestUpstreams.decode("a"), TestUpstreams.decode("b")));
@@ -208,7 +208,7 @@
     }
 
     @Test
-    public void aPrefillEngineThatIsSilentIsGivenUpByTheTimeItShouldTake() {
+    public void silentPrefillTimesOutByItsPredictedDuration() {
         mContext.extraCallBudget().setLimits(0, 1);
         for (int reading = 0; reading < 3; reading++) {
             mContext.demandMeter().recordPrefill("service", 5000, 100, mTime.millis());
@@ -228,7 +228,7 @@
     }
 
     @Test
-    public void aPromptWhoseReadingWasLostIsReadByTheDecodeEngineWhenNoExtraCallIsLeft() {
+    public void lostPrefillIsLeftToTheDecodeEngineWhenNoExtraCallIsLeft() {
         mDirectory.replaceAll(
                 List.of(
                         TestUpstreams.prefill("p"),
@@ -243,7 +243,7 @@
     }
 
     @Test
-    public void aPromptThatIsNotUsedIsFreed() {
+    public void unusedStoredPromptIsDiscarded() {
         UpstreamEntry prefill = TestUpstreams.prefill("p");
         mDirectory.replaceAll(List.of(prefill, TestUpstreams.decode("a")));
         stream();
@@ -257,7 +257,7 @@
     }
 
     @Test
-    public void anEngineThatWasReplacedIsNoAttemptAndItsPromptIsUsedElsewhere() {
+    public void replacedEngineIsNoAttemptAndItsStoredPromptIsReused() {
         mContext.extraCallBudget().setLimits(0, 1);
         UpstreamEntry prefill = TestUpstreams.prefill("p");
         mDirectory.replaceAll(
@@ -285,7 +285,7 @@
     }
 
     @Test
-    public void aRunThatMayHaveBegunIsNeverSentElsewhere() {
+    public void possiblyStartedRunIsNeverRetried() {
         mDirectory.replaceAll(List.of(TestUpstreams.decode("a"), TestUpstreams.decode("b")));
         stream();
         mPort.mRuns.get(0).mListener.onFailure(AttemptEnd.lost("reset"));
@@ -294,7 +294,7 @@
     }
 
     @Test
-    public void aRunWhoseAnswerWasLostGoesOnWhereItsPromptIs() {
+    public void lostRunIsResumedAtTheEngineThatHasItsPrompt() {
         mContext.extraCallBudget().setLimits(0, 10);
         UpstreamEntry prefill = TestUpstreams.prefill("p");
         mDirectory.replaceAll(
@@ -313,7 +313,7 @@
     }
 
     @Test
-    public void aStreamThatGoesOnNeedsRoomForWhatWasMadeToo() {
+    public void resumedStreamReservesMemoryForItsEarlierOutput() {
         mContext.extraCallBudget().setLimits(0, 10);
         mDirectory.replaceAll(List.of(TestUpstreams.decode("a"), TestUpstreams.decode("b")));
         stream(Route.Kind.RESUMABLE_STREAM);
@@ -330,7 +330,7 @@
     }
 
     @Test
-    public void aPromptThatASilentEngineMayNeverHaveFetchedIsReadElsewhere() {
+    public void promptOfASilentEngineIsPrefilledAgain() {
         mContext.extraCallBudget().setLimits(0, 10);
         UpstreamEntry prefill = TestUpstreams.prefill("p");
         mDirectory.replaceAll(
@@ -346,7 +346,7 @@
     }
 
     @Test
-    public void anEngineThatLosesEveryAnswerIsLeft() {
+    public void resumesAtAnEngineThatLosesEveryAnswerAreLimited() {
         mContext.extraCallBudget().setLimits(0, 10);
         mDirectory.replaceAll(List.of(TestUpstreams.decode("a"), TestUpstreams.decode("b")));
         stream(Route.Kind.RESUMABLE_STREAM);
@@ -359,7 +359,7 @@
     }
 
     @Test
-    public void aLostRunIsNotRepeatedWithoutAnExtraCall() {
+    public void lostRunIsNotResumedWithoutAnExtraCall() {
         mDirectory.replaceAll(List.of(TestUpstreams.decode("a"), TestUpstreams.decode("b")));
         stream(Route.Kind.RESUMABLE_STREAM);
         mPort.mRuns.get(0).mListener.onFailure(AttemptEnd.lost("reset"));
@@ -368,7 +368,7 @@
     }
 
     @Test
-    public void aLostRunEndsTruthfullyWhereItsEngineIsGone() {
+    public void lostRunThatCannotBeResumedEndsWithOutcomeUnknown() {
         mContext.extraCallBudget().setLimits(0, 10);
         mDirectory.replaceAll(List.of(TestUpstreams.decode("a")));
         stream(Route.Kind.RESUMABLE_STREAM);
@@ -394,7 +394,7 @@
     }
 
     @Test
-    public void aRefusalWithProofIsAnAttemptAndToldAsNotRun() {
+    public void provenRefusalIsAnAttemptAndReportedAsNotRun() {
         mDirectory.replaceAll(
                 List.of(TestUpstreams.plain("a", "hall-a"), TestUpstreams.plain("b", "hall-a")));
         plain();
@@ -405,7 +405,7 @@
     }
 
     @Test
-    public void aCallerThatLeavesEndsTheRunAndFreesTheMemory() {
+    public void callerDisconnectAbortsTheRunAndFreesMemory() {
         mDirectory.replaceAll(List.of(TestUpstreams.decode("a")));
         stream();
         assertEquals(mContext.loads().usage().size(), 1);
@@ -415,7 +415,7 @@
     }
 
     @Test
-    public void aCallerThatLeavesBeforeTheLoadOfOthersIsKnownReachesNobody() {
+    public void callerDisconnectBeforeAFreshLoadViewSendsNothing() {
         mDirectory.replaceAll(List.of(TestUpstreams.decode("a"), TestUpstreams.plain("b", "hall")));
         mDeferredDecisions = new ArrayList<>();
         stream();
@@ -429,7 +429,7 @@
     }
 
     @Test
-    public void aRequestWhoseDeadlinePassesBeforeTheLoadOfOthersIsKnownIsRefusedAsNotRun() {
+    public void deadlineBeforeAFreshLoadViewIsRefusedAsNotRun() {
         mDirectory.replaceAll(List.of(TestUpstreams.plain("b", "hall")));
         mDeferredDecisions = new ArrayList<>();
         plain();
@@ -440,7 +440,7 @@
     }
 
     @Test
-    public void aStreamThatEndsInsideAnEventIsCut() {
+    public void streamThatEndsInsideAnEventIsAborted() {
         mDirectory.replaceAll(List.of(TestUpstreams.decode("a")));
         stream();
         UpstreamPort.RunListener run = mPort.mRuns.get(0).mListener;
@@ -453,7 +453,7 @@
     }
 
     @Test
-    public void theBudgetsPartsOfAllRoutersStayWithinTheWhole() {
+    public void extraCallSharesOfAllRoutersStayWithinTheBudget() {
         for (int routers = 1; routers < 200; routers++) {
             assertTrue(routers * ExtraCallBudget.routerShare(routers) <= 1, "routers " + routers);
             assertTrue(
@@ -472,7 +472,7 @@
     }
 
     @Test
-    public void aOnceOnlyRequestOfAnEarlierStartEndsTruthfullyAtOnce() {
+    public void onceOnlyRequestEndsWithOutcomeUnknownWhenItsUpstreamRestarts() {
         UpstreamEntry upstream = started(TestUpstreams.plain("a", "hall-a"));
         mDirectory.replaceAll(List.of(upstream, TestUpstreams.plain("b", "hall-a")));
         mDirectory.update(new UpstreamId("b"), Optional.empty());
@@ -486,7 +486,7 @@
     }
 
     @Test
-    public void aRepeatableRequestOfAnEarlierStartGoesOnElsewhereAtOnce() {
+    public void repeatableRequestIsRetriedWhenItsUpstreamRestarts() {
         mContext.extraCallBudget().setLimits(0, 10);
         UpstreamEntry upstream = started(TestUpstreams.plain("a", "hall-a"));
         mDirectory.replaceAll(List.of(upstream));
@@ -499,7 +499,7 @@
     }
 
     @Test
-    public void aStreamOfAnEarlierStartGoesOnElsewhereAndReadsItsPromptAnew() {
+    public void streamIsResumedWithANewPrefillWhenItsEngineRestarts() {
         mContext.extraCallBudget().setLimits(0, 10);
         UpstreamEntry prefill = TestUpstreams.prefill("p");
         UpstreamEntry engine = started(TestUpstreams.decode("a"));
@@ -519,7 +519,7 @@
     }
 
     @Test
-    public void aPromptThatAnEarlierStartReadIsNotAskedForByItsHandle() {
+    public void storedPromptOfARestartedEngineIsNotUsed() {
         mContext.extraCallBudget().setLimits(0, 10);
         UpstreamEntry prefill = started(TestUpstreams.prefill("p"));
         mDirectory.replaceAll(
@@ -532,7 +532,7 @@
     }
 
     @Test
-    public void whatIsToldOfAnEarlierStartEndsNothing() {
+    public void reportsOfAnEarlierStartAreIgnored() {
         UpstreamEntry upstream = started(TestUpstreams.plain("a", "hall-a"));
         mDirectory.replaceAll(List.of(upstream));
         plain();
@@ -551,7 +551,7 @@
      * new requests.
      */
     @Test
-    public void aRunDoesNotGoToAnEngineThatLeftWhileItsPromptWasRead() {
+    public void runIsNotSentToAnEngineThatLeftDuringThePrefill() {
         UpstreamEntry prefill = TestUpstreams.prefill("p");
         mDirectory.replaceAll(List.of(prefill, TestUpstreams.decode("a")));
         stream();
@@ -561,13 +561,13 @@
         assertEquals(mPort.mRuns.size(), 1);
         assertEquals(mPort.mRuns.get(0).mUpstream, TestUpstreams.decode("b"));
         assertEquals(mPort.mRuns.get(0).mPlan.prompt(), Optional.of(prompt));
-        assertEquals(mPort.mReleased, List.of("place at a"));
+        assertEquals(mPort.mReleased, List.of("reservation at a"));
         assertEquals(mContext.loads().tokens(TestUpstreams.decode("a")), 0);
         assertEquals(mPort.mPrefills.size(), 1);
     }
 
     @Test
-    public void aRequestWhoseOnlyEngineLeftWhileItsPromptWasReadIsRefusedAtOnce() {
+    public void requestIsRefusedWhenItsOnlyEngineLeftDuringThePrefill() {
         UpstreamEntry prefill = TestUpstreams.prefill("p");
         mDirectory.replaceAll(List.of(prefill, TestUpstreams.decode("a")));
         stream();
@@ -597,10 +597,10 @@
 
     @Test
     public void aRequestGoesToAnUpstreamThatIsNotAtItsRate() {
-        UpstreamEntry need = TestUpstreams.plain("need", "hall-a");
+        UpstreamEntry limited = TestUpstreams.plain("limited", "hall-a");
         UpstreamEntry other = TestUpstreams.plain("other", "hall-b");
-        mDirectory.replaceAll(List.of(need, other));
-        exhaustRate(need);
+        mDirectory.replaceAll(List.of(limited, other));
+        exhaustRate(limited);
         for (int call = 0; call < 5; call++) {
             plain();
         }
@@ -610,9 +610,9 @@
 
     @Test
     public void whereAllUpstreamsAreAtTheirRatesARequestIsRefusedAtOnce() {
-        UpstreamEntry need = TestUpstreams.plain("need", "hall-a");
-        mDirectory.replaceAll(List.of(need));
-        exhaustRate(need);
+        UpstreamEntry limited = TestUpstreams.plain("limited", "hall-a");
+        mDirectory.replaceAll(List.of(limited));
+        exhaustRate(limited);
         plain();
         assertEquals(mPort.mRuns.size(), 0);
         assertEquals(mCaller.mRefusal, ResultCode.UPSTREAM_RATE);
@@ -623,10 +623,10 @@
     @Test
     public void aSilentCallIsKeptWhereTheOtherUpstreamIsAtItsRate() {
         UpstreamEntry silent = TestUpstreams.plain("silent", "hall-a");
-        UpstreamEntry need = TestUpstreams.plain("need", "hall-b");
+        UpstreamEntry limited = TestUpstreams.plain("limited", "hall-b");
         mContext.extraCallBudget().setLimits(0, 1);
-        mDirectory.replaceAll(List.of(silent, need));
-        exhaustRate(need);
+        mDirectory.replaceAll(List.of(silent, limited));
+        exhaustRate(limited);
         repeatable();
         mTime.pass(1801);
         assertEquals(mPort.mRuns.size(), 1);
@@ -635,10 +635,10 @@
     }
 
     @Test
-    public void aPromptIsReadAtAnEngineThatIsNotAtItsRate() {
-        UpstreamEntry need = TestUpstreams.prefill("need");
-        mDirectory.replaceAll(List.of(need, TestUpstreams.decode("d")));
-        exhaustRate(need);
+    public void prefillEngineAtItsRateIsNotUsed() {
+        UpstreamEntry limited = TestUpstreams.prefill("limited");
+        mDirectory.replaceAll(List.of(limited, TestUpstreams.decode("d")));
+        exhaustRate(limited);
         stream();
         assertEquals(mPort.mPrefills.size(), 0);
         assertEquals(mPort.mRuns.size(), 1, "the decode engine reads it");
--- a/troutpier-daemon/src/test/java/org/troutpier/daemon/serving/FakePort.java
+++ b/troutpier-daemon/src/test/java/org/troutpier/daemon/serving/FakePort.java
@@ -76,7 +76,7 @@
         } else if (mFullEngines.contains(upstream.incarnation())) {
             listener.onFailure(AttemptEnd.refused(false, "full"));
         } else {
-            listener.onResult(new Reservation("place at " + upstream.id()));
+            listener.onResult(new Reservation("reservation at " + upstream.id()));
         }
         return new Sent(upstream, null, null);
     }
@@ -87,8 +87,8 @@
     }
 
     @Override
-    public void release(UpstreamEntry upstream, Reservation place) {
-        mReleased.add(place.token());
+    public void release(UpstreamEntry upstream, Reservation reservation) {
+        mReleased.add(reservation.token());
     }
 
     @Override
--- a/troutpier-daemon/src/test/java/org/troutpier/daemon/serving/RecentRefusalsTest.java
+++ b/troutpier-daemon/src/test/java/org/troutpier/daemon/serving/RecentRefusalsTest.java
@@ -10,8 +10,8 @@
 public final class RecentRefusalsTest {
 
     @Test
-    public void aRequestThatWasRefusedIsKnownForAWhile() {
-        RecentRefusals returning = new RecentRefusals();
+    public void refusedRequestIsRecognisedForALimitedTime() {
+        RecentRefusals refusals = new RecentRefusals();
         PromptMetadata prompt =
                 new PromptMetadata(
                         "m",
@@ -20,22 +20,22 @@
                         List.of(
                                 new PromptMetadata.Part("shared", 100),
                                 new PromptMetadata.Part("own", 200)));
-        assertFalse(returning.isReturning(prompt, 1000));
-        returning.recordRefusal(prompt, 1000);
-        assertTrue(returning.isReturning(prompt, 5000));
-        assertFalse(returning.isReturning(prompt, 60_000));
+        assertFalse(refusals.isReturning(prompt, 1000));
+        refusals.recordRefusal(prompt, 1000);
+        assertTrue(refusals.isReturning(prompt, 5000));
+        assertFalse(refusals.isReturning(prompt, 60_000));
     }
 
     @Test
-    public void refusalsOfOtherRoutersAreKnownAndOldOnesForgotten() {
-        RecentRefusals returning = new RecentRefusals();
+    public void peerRefusalsAreRecognisedAndExpire() {
+        RecentRefusals refusals = new RecentRefusals();
         PromptMetadata prompt =
                 new PromptMetadata("m", 300, 10, List.of(new PromptMetadata.Part("own", 300)));
-        returning.recordPeerRefusal("own", 1000);
-        assertTrue(returning.isReturning(prompt, 1001));
+        refusals.recordPeerRefusal("own", 1000);
+        assertTrue(refusals.isReturning(prompt, 1001));
         for (int other = 0; other < 100; other++) {
-            returning.recordPeerRefusal("other" + other, 20_000);
+            refusals.recordPeerRefusal("other" + other, 20_000);
         }
-        assertFalse(returning.isReturning(prompt, 20_000));
+        assertFalse(refusals.isReturning(prompt, 20_000));
     }
 }
--- a/troutpier-daemon/src/test/java/org/troutpier/daemon/serving/ReservationAllocatorTest.java
+++ b/troutpier-daemon/src/test/java/org/troutpier/daemon/serving/ReservationAllocatorTest.java
@@ -99,7 +99,7 @@
                 new ReservationAllocator.Listener() {
                     @Override
                     public void onGranted(
-                            UpstreamEntry engine, Optional<UpstreamPort.Reservation> place) {
+                            UpstreamEntry engine, Optional<UpstreamPort.Reservation> reservation) {
                         mGranted = engine;
                     }
 
@@ -183,13 +183,13 @@
     }
 
     @Test
-    public void aRouterThatHearsNobodyReservesTheMostOutputToo() {
+    public void routerWithoutPeerReportsReservesTheMaximumOutputToo() {
         find(200);
         assertEquals(mPort.mReserveTokens, List.of(MAX_TOKENS));
     }
 
     @Test
-    public void aFullEngineIsFollowedByTheNext() {
+    public void nextEngineIsAskedAfterAFullOne() {
         mPort.mFullEngines.add(mFirst.incarnation());
         mLoads.begin(mSecond, 1);
         find(200);
@@ -209,7 +209,7 @@
     }
 
     @Test
-    public void aPlaceThatComesAfterTheSearchWasStoppedIsGivenBack() {
+    public void reservationGrantedAfterCancellationIsReleased() {
         mPort.mDefersReservations = true;
         ReservationAllocator.Search search = find(200);
         search.cancel();
@@ -236,7 +236,7 @@
     }
 
     @Test
-    public void whoCanBeInTimeGoesBeforeAStreamThatBrokeOffAndThatBeforeWhoIsLate() {
+    public void inTimeRequestsPrecedeContinuedStreamsAndThosePrecedeLateRequests() {
         mPort.mFullEngines.addAll(Set.of(mFirst.incarnation(), mSecond.incarnation()));
         List<QueueTier> order = new ArrayList<>();
         for (QueueTier standing : List.of(QueueTier.LATE, QueueTier.CONTINUED, QueueTier.IN_TIME)) {
@@ -254,7 +254,8 @@
                     new ReservationAllocator.Listener() {
                         @Override
                         public void onGranted(
-                                UpstreamEntry engine, Optional<UpstreamPort.Reservation> place) {
+                                UpstreamEntry engine,
+                                Optional<UpstreamPort.Reservation> reservation) {
                             order.add(standing);
                         }
 
@@ -272,7 +273,7 @@
 
     /** One organisation sends ten requests to an engine with room for one prompt at a time. */
     @Test
-    public void aFloodOfOneOrganisationTakesNoTurnOfAnother() {
+    public void burstOfOneOrganisationDoesNotDelayAnother() {
         mPort.mFullEngines.add(mFirst.incarnation());
         List<String> order = new ArrayList<>();
         for (int request = 0; request < 10; request++) {
@@ -300,7 +301,7 @@
                 new ReservationAllocator.Listener() {
                     @Override
                     public void onGranted(
-                            UpstreamEntry engine, Optional<UpstreamPort.Reservation> place) {
+                            UpstreamEntry engine, Optional<UpstreamPort.Reservation> reservation) {
                         order.add(organisation);
                     }
 
@@ -310,7 +311,7 @@
     }
 
     @Test
-    public void anEngineAtItsRateIsNotAskedAndARefusedPlaceCounts() {
+    public void engineAtItsRateIsNotAskedAndARefusedReservationCounts() {
         for (int call = 0; call < 20; call++) {
             mRates.tryAcquire(mFirst, ASKER);
         }
