--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/table/Table.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/table/Table.java
@@ -18,7 +18,8 @@
 
 /**
  * The platform's table service. Implementations are thread safe. Reads fail with {@link
- * ResultCode#TABLE_UNAVAILABLE}; writes never fail but tell what is known of them.
+ * ResultCode#TABLE_UNAVAILABLE}; a write does not fail but reports its outcome as far as it is
+ * known.
  */
 public interface Table {
 
@@ -26,99 +27,85 @@
      * Reads a row.
      *
      * @param key the row's key
-     * @return the row, or empty where there is none
+     * @return the row; empty if it does not exist
      */
     CompletableFuture<Optional<Row>> read(String key);
 
-    /**
-     * Lists the rows under a prefix.
-     *
-     * @param prefix the start of their keys
-     * @return the rows
-     */
+    /** Returns the rows whose keys start with a prefix. */
     CompletableFuture<List<Row>> scan(String prefix);
 
     /**
-     * Writes a row that must not be there yet.
+     * Writes a row that must not exist yet.
      *
      * @param key the row's key
-     * @param value its value
-     * @return what is known of the write
      */
     CompletableFuture<WriteResult> insert(String key, JsonNode value);
 
     /**
-     * Writes a row that must be there as it was read.
+     * Replaces a row if it has not changed.
      *
      * @param key the row's key
-     * @param tag the tag that it was read with
-     * @param value its value
-     * @return what is known of the write
+     * @param tag the tag with which the row was read
+     * @param value the new value
      */
     CompletableFuture<WriteResult> replace(String key, String tag, JsonNode value);
 
     /**
-     * Deletes a row that must be there as it was read.
+     * Deletes a row if it has not changed.
      *
      * @param key the row's key
-     * @param tag the tag that it was read with
-     * @return what is known of the write
+     * @param tag the tag with which the row was read
      */
     CompletableFuture<WriteResult> delete(String key, String tag);
 
     /**
      * A row as it was read. Immutable and thread safe.
      *
-     * @param key its key
-     * @param tag names this state of it
-     * @param value its value
+     * @param tag the entity tag of this version of the row
      */
     record Row(String key, String tag, JsonNode value) {}
 
-    /** What is known of a write. */
+    /** Outcome of a write. */
     enum Outcome {
-        /** It took effect. */
+        /** The write took effect. */
         WRITTEN,
-        /** Its condition failed; it took no effect. */
+        /** The condition failed; the write had no effect. */
         CONFLICT,
-        /** It was not sent and took no effect. */
+        /** The write was not sent and had no effect. */
         NOT_SENT,
-        /** It may have taken effect, now or later. */
+        /** The write may have taken effect, or may still do so. */
         UNKNOWN
     }
 
     /**
-     * A write and what is known of it. Immutable and thread safe.
+     * What is known about a write. Immutable and thread safe.
      *
-     * @param outcome what is known
-     * @param tag names the state written, null unless it was
+     * @param tag the entity tag of the row that was written; null unless the write took effect
      */
     record WriteResult(Outcome outcome, String tag) {}
 
-    /** The table over HTTP, with {@code ETag} and {@code If-Match}. Thread safe. */
+    /**
+     * Accesses the table over HTTP, with {@code ETag} and {@code If-Match} for conditional writes.
+     * Thread safe.
+     */
     final class OverHttp implements Table {
 
-        /** The status of a missing row. */
-        private static final int MISSING = 404;
+        private static final int NOT_FOUND = 404;
 
-        /** The status of a failed condition. */
-        private static final int FAILED_CONDITION = 412;
+        private static final int PRECONDITION_FAILED = 412;
 
-        /** Sends the requests. */
         private final HttpCalls mCalls;
 
-        /** The service's URL. */
         private final String mUrl;
 
-        /** How long one call may take, milliseconds. */
         private final int mTimeoutMillis;
 
         /**
-         * Creates a table.
+         * Creates a client.
          *
          * @param calls sends the requests
-         * @param url the service's URL
-         * @param timeoutMillis how long one call may take
+         * @param url the URL of the service
+         * @param timeoutMillis time limit of a call, milliseconds
          */
         public OverHttp(HttpCalls calls, String url, int timeoutMillis) {
             mCalls = calls;
@@ -126,13 +113,12 @@
             mTimeoutMillis = timeoutMillis;
         }
 
-        /** {@inheritDoc} */
         @Override
         public CompletableFuture<Optional<Row>> read(String key) {
             return mCalls.call(row("GET", key))
                     .handle(
                             (reply, failure) -> {
-                                if (failure == null && reply.status() == MISSING) {
+                                if (failure == null && reply.status() == NOT_FOUND) {
                                     return Optional.empty();
                                 }
                                 requireRead(reply, failure);
@@ -142,7 +128,6 @@
                             });
         }
 
-        /** {@inheritDoc} */
         @Override
         public CompletableFuture<List<Row>> scan(String prefix) {
             HttpCall call =
@@ -163,51 +148,32 @@
                             });
         }
 
-        /** {@inheritDoc} */
         @Override
         public CompletableFuture<WriteResult> insert(String key, JsonNode value) {
             return write(row("PUT", key).withJson(value).withHeader("If-None-Match", "*"));
         }
 
-        /** {@inheritDoc} */
         @Override
         public CompletableFuture<WriteResult> replace(String key, String tag, JsonNode value) {
             return write(row("PUT", key).withJson(value).withHeader("If-Match", tag));
         }
 
-        /** {@inheritDoc} */
         @Override
         public CompletableFuture<WriteResult> delete(String key, String tag) {
             return write(row("DELETE", key).withHeader("If-Match", tag));
         }
 
-        /**
-         * Starts a call about one row.
-         *
-         * @param method the HTTP method
-         * @param key the row's key
-         * @return the call
-         */
         private HttpCall row(String method, String key) {
             return HttpCall.of(method, mUrl + "/rows/" + key).withTimeout(mTimeoutMillis);
         }
 
-        /**
-         * Sends a write.
-         *
-         * @param call the write
-         * @return what is known of it
-         */
         private CompletableFuture<WriteResult> write(HttpCall call) {
             return mCalls.call(call).handle(OverHttp::outcome);
         }
 
         /**
-         * Tells what is known of a write.
-         *
-         * @param reply the answer, or null
-         * @param failure why there is none, or null
-         * @return what is known
+         * Derives the outcome of a write from its answer, or from the failure to get one. Any
+         * answer other than success and a failed condition leaves the outcome unknown.
          */
         private static WriteResult outcome(HttpReply reply, Throwable failure) {
             if (failure != null) {
@@ -217,16 +183,11 @@
             if (reply.ok()) {
                 return new WriteResult(Outcome.WRITTEN, reply.headers().get("ETag"));
             }
-            boolean conflict = reply.status() == FAILED_CONDITION;
+            boolean conflict = reply.status() == PRECONDITION_FAILED;
             return new WriteResult(conflict ? Outcome.CONFLICT : Outcome.UNKNOWN, null);
         }
 
-        /**
-         * Checks that a read was answered.
-         *
-         * @param reply the answer, or null
-         * @param failure why there is none, or null
-         */
+        /** Throws {@link ResultCode#TABLE_UNAVAILABLE} unless a read was answered with success. */
         private static void requireRead(HttpReply reply, Throwable failure) {
             if (failure != null) {
                 throw new TroutpierException(
@@ -234,159 +195,124 @@
             }
             if (!reply.ok()) {
                 throw new TroutpierException(
-                        ResultCode.TABLE_UNAVAILABLE, "the table answers " + reply.status());
+                        ResultCode.TABLE_UNAVAILABLE,
+                        "table answered with status " + reply.status());
             }
         }
     }
 
     /**
-     * Spares callers the wait for a table that is away: after some failures in a row it says so at
-     * once for a while, but for one probe at a time. One failure is not enough: a lost
-     * acknowledgement must still be settled by reading back. Thread safe.
+     * Circuit breaker: after {@link #FAILURE_THRESHOLD} failures in a row, calls fail at once
+     * instead of waiting for a time-out, except for one probe per {@link #OPEN_NANOS}. A single
+     * failure does not open it, since after a lost acknowledgement the row must be read back.
+     * Thread safe.
      */
     final class WithCircuitBreaker implements Table {
 
-        /** How long a failure is believed, nanoseconds. */
-        private static final long BELIEVED_NANOS = 500_000_000L;
+        /** Time for which the breaker stays open after a failure or a probe. */
+        private static final long OPEN_NANOS = 500_000_000L;
 
-        /** How many failures in a row mean that the table is away. */
-        private static final int FAILURES = 3;
+        /** Number of consecutive failures that open the breaker. */
+        private static final int FAILURE_THRESHOLD = 3;
 
-        /** The table itself. */
         private final Table mTable;
 
-        /** The monotonic clock. */
         private final LongSupplier mNanos;
 
-        /** How many failures there were in a row. */
+        /** Consecutive failures. */
         private final AtomicInteger mFailures = new AtomicInteger();
 
-        /** Until when the table is taken to be away; 0 for not. */
-        private final AtomicLong mAwayUntil = new AtomicLong();
+        /**
+         * Time until which the breaker is open, nanoseconds on the monotonic clock; 0 if it is
+         * closed.
+         */
+        private final AtomicLong mOpenUntil = new AtomicLong();
 
         /**
-         * Creates a breaker.
+         * Creates a circuit breaker.
          *
-         * @param table the table itself
-         * @param nanos the monotonic clock
+         * @param nanos the monotonic clock, nanoseconds
          */
         public WithCircuitBreaker(Table table, LongSupplier nanos) {
             mTable = table;
             mNanos = nanos;
         }
 
-        /** {@inheritDoc} */
         @Override
         public CompletableFuture<Optional<Row>> read(String key) {
-            return away() ? failed() : watched(mTable.read(key));
+            return isOpen() ? failed() : observed(mTable.read(key));
         }
 
-        /** {@inheritDoc} */
         @Override
         public CompletableFuture<List<Row>> scan(String prefix) {
-            return away() ? failed() : watched(mTable.scan(prefix));
+            return isOpen() ? failed() : observed(mTable.scan(prefix));
         }
 
-        /** {@inheritDoc} */
         @Override
         public CompletableFuture<WriteResult> insert(String key, JsonNode value) {
-            return away() ? notSent() : watchedWrite(mTable.insert(key, value));
+            return isOpen() ? notSent() : observedWrite(mTable.insert(key, value));
         }
 
-        /** {@inheritDoc} */
         @Override
         public CompletableFuture<WriteResult> replace(String key, String tag, JsonNode value) {
-            return away() ? notSent() : watchedWrite(mTable.replace(key, tag, value));
+            return isOpen() ? notSent() : observedWrite(mTable.replace(key, tag, value));
         }
 
-        /** {@inheritDoc} */
         @Override
         public CompletableFuture<WriteResult> delete(String key, String tag) {
-            return away() ? notSent() : watchedWrite(mTable.delete(key, tag));
+            return isOpen() ? notSent() : observedWrite(mTable.delete(key, tag));
         }
 
         /**
-         * Returns whether the table is taken to be away; lets one caller through now and then.
-         *
-         * @return whether to say so at once
+         * Returns whether to fail a call at once. Once the breaker has been open for {@link
+         * #OPEN_NANOS}, a single caller gets {@code false} and probes the table, and the time
+         * starts again.
          */
-        private boolean away() {
-            long until = mAwayUntil.get();
+        private boolean isOpen() {
+            long until = mOpenUntil.get();
             if (until == 0) {
                 return false;
             }
             long now = mNanos.getAsLong();
-            return now - until < 0 || !mAwayUntil.compareAndSet(until, now + BELIEVED_NANOS);
+            return now - until < 0 || !mOpenUntil.compareAndSet(until, now + OPEN_NANOS);
         }
 
-        /**
-         * Watches a read.
-         *
-         * @param future the read
-         * @param <T> what it reads
-         * @return the same read
-         */
-        private <T> CompletableFuture<T> watched(CompletableFuture<T> future) {
-            return future.whenComplete((value, failure) -> heard(failure == null));
+        private <T> CompletableFuture<T> observed(CompletableFuture<T> future) {
+            return future.whenComplete((value, failure) -> recordResult(failure == null));
         }
 
-        /**
-         * Watches a write.
-         *
-         * @param future the write
-         * @return the same write
-         */
-        private CompletableFuture<WriteResult> watchedWrite(CompletableFuture<WriteResult> future) {
+        private CompletableFuture<WriteResult> observedWrite(
+                CompletableFuture<WriteResult> future) {
             return future.whenComplete(
                     (write, failure) ->
-                            heard(
+                            recordResult(
                                     write != null
                                             && (write.outcome() == Outcome.WRITTEN
                                                     || write.outcome() == Outcome.CONFLICT)));
         }
 
-        /**
-         * Takes note of an answer or a failure.
-         *
-         * @param well whether the table answered
-         */
-        private void heard(boolean well) {
-            if (well) {
+        private void recordResult(boolean answered) {
+            if (answered) {
                 mFailures.set(0);
-                mAwayUntil.set(0);
-            } else if (mFailures.incrementAndGet() >= FAILURES) {
-                mAwayUntil.set(mNanos.getAsLong() + BELIEVED_NANOS);
+                mOpenUntil.set(0);
+            } else if (mFailures.incrementAndGet() >= FAILURE_THRESHOLD) {
+                mOpenUntil.set(mNanos.getAsLong() + OPEN_NANOS);
             }
         }
 
-        /**
-         * Returns a read that failed at once.
-         *
-         * @param <T> what it would read
-         * @return the failure
-         */
         private static <T> CompletableFuture<T> failed() {
             return CompletableFuture.failedFuture(
                     new TroutpierException(
-                            ResultCode.TABLE_UNAVAILABLE, "the table was away a moment ago"));
+                            ResultCode.TABLE_UNAVAILABLE,
+                            "table unavailable: circuit breaker is open"));
         }
 
-        /**
-         * Returns a write that was not sent.
-         *
-         * @return the outcome
-         */
         private static CompletableFuture<WriteResult> notSent() {
             return CompletableFuture.completedFuture(new WriteResult(Outcome.NOT_SENT, null));
         }
     }
 
-    /**
-     * Turns a value into JSON for a row.
-     *
-     * @param value the value
-     * @return its JSON
-     */
+    /** Converts a value to the JSON of a row. */
     static JsonNode toJson(Object value) {
         return Json.mapper().valueToTree(value);
     }
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/table/package-info.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/table/package-info.java
@@ -1,2 +1,2 @@
-/** The platform's table service, where hard facts are kept. */
+/** The platform's table service, which holds the state that all routers must agree on. */
 package org.troutpier.daemon.table;
