--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/route/CurrentConfiguration.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/route/CurrentConfiguration.java
@@ -4,21 +4,23 @@
 import org.apache.logging.log4j.LogManager;
 import org.apache.logging.log4j.Logger;
 
-/** The version in force at this router. Thread safe. Invariant: the version only rises. */
+/**
+ * The routing configuration in force at this router. Thread safe. Invariant: the version only
+ * increases.
+ */
 public final class CurrentConfiguration {
 
-    /** Logs each adopted version. */
     private static final Logger LOGGER = LogManager.getLogger(CurrentConfiguration.class);
 
-    /** The version in force, or null before the first. */
+    /** Null before the first version. */
     private volatile RoutingConfiguration mCurrent;
 
     /**
-     * Takes a version if it is newer than the one in force.
+     * Puts a configuration in force if its version is newer.
      *
-     * @param offered the version
-     * @param source where it came from, for the log
-     * @return whether it was taken
+     * @param offered the configuration
+     * @param source its origin, for the log
+     * @return whether it was put in force
      */
     public boolean adoptIfNewer(RoutingConfiguration offered, String source) {
         synchronized (this) {
@@ -31,20 +33,12 @@
         return true;
     }
 
-    /**
-     * Returns the version in force.
-     *
-     * @return the configuration, or empty before the first
-     */
+    /** Returns the configuration in force, or empty before the first. */
     public Optional<RoutingConfiguration> current() {
         return Optional.ofNullable(mCurrent);
     }
 
-    /**
-     * Returns the number of the version in force.
-     *
-     * @return the version, or -1 before the first
-     */
+    /** Returns the version in force, or -1 before the first. */
     public long version() {
         RoutingConfiguration current = mCurrent;
         return current == null ? -1 : current.version();
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/route/EngineTraits.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/route/EngineTraits.java
@@ -3,14 +3,14 @@
 import org.troutpier.common.settings.Check;
 
 /**
- * What the model engines of a service can do. Immutable and thread safe.
+ * Properties of the model engines of a service. Immutable and thread safe.
  *
- * @param slots how many requests run at once
- * @param memoryTokens how many tokens the KV cache holds
- * @param eventTokens how many tokens an event of a stream carries at most
- * @param reservationMillis how long a reserved place may be kept; 0 where places cannot be reserved
- * @param kvHandleMillis how long a prefill's result is kept
- * @param switchMillis how long a change of role takes once the engine is empty
+ * @param slots number of requests that run concurrently
+ * @param memoryTokens capacity of the KV cache, tokens
+ * @param eventTokens maximum number of tokens in one event of a stream
+ * @param reservationMillis maximum duration of a reservation; 0 if the engines take none
+ * @param kvHandleMillis how long the KV data of a prefill is kept
+ * @param switchMillis duration of a role change once the engine is idle
  */
 public record EngineTraits(
         int slots,
@@ -20,7 +20,7 @@
         int kvHandleMillis,
         int switchMillis) {
 
-    /** Checks the fields. */
+    /** Validates the components. */
     public EngineTraits {
         Check.range("slots", slots, 1, Integer.MAX_VALUE);
         Check.range("eventTokens", eventTokens, 1, Integer.MAX_VALUE);
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/route/Organisation.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/route/Organisation.java
@@ -7,18 +7,19 @@
 import org.troutpier.common.settings.Check;
 
 /**
- * A partner as the routing configuration knows it: who may ask in its name, and how much. Immutable
- * and thread safe. It may have no key, and then nobody asks in its name.
+ * A partner in the routing configuration: the keys that authenticate its requests, and its limit.
+ * Immutable and thread safe. Without keys, no request can be made on its behalf.
  *
  * @param id the partner
- * @param keys the hashes of its callers' keys
- * @param priority the rank of its requests, before their routes' rank; empty for their routes'
- * @param limit what it may use over all routers
+ * @param keys hashes of its callers' API keys
+ * @param priority priority of its requests, which overrides that of their routes; empty for no
+ *     override
+ * @param limit its usage limit across all routers
  */
 public record Organisation(
         PartnerId id, Set<KeyHash> keys, OptionalInt priority, UsageLimit limit) {
 
-    /** Checks the fields and copies the keys. */
+    /** Validates the components and copies the keys. */
     public Organisation {
         Check.present("id", id);
         Check.present("priority", priority);
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/route/Route.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/route/Route.java
@@ -4,19 +4,19 @@
 import org.troutpier.common.settings.Check;
 
 /**
- * One route: which requests it takes and what may be done with them. Immutable and thread safe.
+ * A route: which requests it matches, and how they are executed. Immutable and thread safe.
  *
  * @param name the route's name
- * @param host the host it belongs to, in lower case
- * @param pathPrefix the start of the paths it takes; begins and ends with a slash
- * @param kind what may be repeated
- * @param timeoutMillis how long a request may be held
- * @param targetMillis within which time an answer, or a stream's first event, is due
- * @param eventGapMillis the longest pause between events that is still in time; 0 for none set
- * @param priority the rank, 0 is the most urgent
- * @param maxAttempts the most upstreams that one request may be sent to
- * @param services where requests go, by weight; not empty
- * @param open whether it asks for no key
+ * @param host the host name, in lower case
+ * @param pathPrefix the prefix of matching paths; starts and ends with a slash
+ * @param kind which requests may be repeated
+ * @param timeoutMillis time limit of a request
+ * @param targetMillis target latency of an answer, or of the first event of a stream
+ * @param eventGapMillis maximum gap between events that still counts as on time; 0 if not set
+ * @param priority the priority; 0 is the most urgent
+ * @param maxAttempts maximum number of upstreams that a request is sent to
+ * @param services the target services with their weights; not empty
+ * @param open whether requests need no API key
  */
 public record Route(
         String name,
@@ -31,7 +31,7 @@
         List<WeightedService> services,
         boolean open) {
 
-    /** What may be repeated on a route. */
+    /** How requests on a route may be repeated. */
     public enum Kind {
         /** A request may run more than once. */
         REPEATABLE,
@@ -39,29 +39,21 @@
         ONCE,
         /** A stream that runs at most once. */
         STREAM,
-        /** A stream that may be continued by another run from its last event. */
+        /** A stream that another run may resume after its last event. */
         RESUMABLE_STREAM;
 
-        /**
-         * Returns whether the answer is a stream of events.
-         *
-         * @return whether it is
-         */
+        /** Returns whether the answer is a stream of events. */
         public boolean isStreaming() {
             return this == STREAM || this == RESUMABLE_STREAM;
         }
 
-        /**
-         * Returns whether a request may run a second time.
-         *
-         * @return whether it may
-         */
+        /** Returns whether a request may run more than once. */
         public boolean repeatable() {
             return this == REPEATABLE || this == RESUMABLE_STREAM;
         }
     }
 
-    /** Checks the fields and copies the services. */
+    /** Validates the components and copies the services. */
     public Route {
         Check.present("name", name);
         Check.present("host", host);
@@ -76,9 +68,9 @@
     }
 
     /**
-     * Chooses a service by weight.
+     * Selects a service by weight.
      *
-     * @param random a number from 0 to below 1
+     * @param random a random number, at least 0 and less than 1
      * @return the service's name
      */
     public String selectService(double random) {
@@ -94,14 +86,14 @@
     }
 
     /**
-     * A service and its share of a route's requests. Immutable and thread safe.
+     * A service with its share of a route's requests. Immutable and thread safe.
      *
      * @param service the service's name
-     * @param weight its share, relative to the others
+     * @param weight its share, relative to the other weights of the route
      */
     public record WeightedService(String service, double weight) {
 
-        /** Checks the fields. */
+        /** Validates the components. */
         public WeightedService {
             Check.present("service", service);
             Check.that("weight", weight >= 0, "must not be negative but is " + weight);
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/route/RoutingConfiguration.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/route/RoutingConfiguration.java
@@ -18,44 +18,38 @@
 import org.troutpier.common.settings.Check;
 
 /**
- * One version of all routes, services, organisations and callers' limits. Immutable and thread
- * safe. Invariant: the routes of a host are kept with the longest prefix first, so the first match
- * is the route.
+ * One version of all routes, services, organisations and limits of callers. Immutable and thread
+ * safe. Invariant: the routes of a host are sorted by descending length of their prefixes, so that
+ * the first match is the most specific.
  */
 public final class RoutingConfiguration {
 
-    /** The version; a later one is higher. */
     private final long mVersion;
 
-    /** The routes of each host, the longest prefix first. */
+    /** The routes of each host, longest prefix first. */
     private final Map<String, List<Route>> mRoutes;
 
-    /** The services by name. */
     private final Map<String, Service> mServices;
 
-    /** The organisations by name. */
     private final Map<PartnerId, Organisation> mOrganisations;
 
-    /** Whose each key is. */
     private final Map<KeyHash, Organisation> mKeys;
 
-    /** What callers are held to. */
     private final ServerLimits mLimits;
 
-    /** The configuration as the operator wrote it, without callers' keys. */
     private final byte[] mEncoded;
 
     /**
-     * Creates a version. It fails with {@link ResultCode#INVALID_DECLARATION} where two
-     * organisations have one name or one key.
+     * Creates a version. Fails with {@link ResultCode#INVALID_DECLARATION} if two organisations
+     * share a name or a key.
      *
-     * @param version the version
+     * @param version the version, which increases with each change
      * @param routes all routes
      * @param services all services
-     * @param organisations all organisations; empty where requests need no key
-     * @param limits what callers are held to
-     * @param encoded the configuration as the operator wrote it, for other routers; it holds no
-     *     callers' keys, only their hashes
+     * @param organisations all organisations; empty if requests need no API key
+     * @param limits the limits of callers
+     * @param encoded the configuration as the operator wrote it, for other routers; contains hashes
+     *     of the callers' keys, but no keys
      */
     public RoutingConfiguration(
             long version,
@@ -78,55 +72,35 @@
         mRoutes = routes.stream().sorted(longestFirst).collect(Collectors.groupingBy(Route::host));
     }
 
-    /**
-     * Adds an organisation.
-     *
-     * @param organisation the organisation
-     */
     private void add(Organisation organisation) {
         if (mOrganisations.put(organisation.id(), organisation) != null) {
-            throw invalid("two organisations are named " + organisation.id());
+            throw invalid("duplicate organisation " + organisation.id());
         }
         for (KeyHash key : organisation.keys()) {
             Organisation other = mKeys.put(key, organisation);
             if (other != null) {
-                throw invalid(key + " is of " + other.id() + " and of " + organisation.id());
+                throw invalid(key + " belongs to both " + other.id() + " and " + organisation.id());
             }
         }
     }
 
-    /**
-     * Makes the failure of a version that contradicts itself.
-     *
-     * @param detail what is wrong
-     * @return the failure
-     */
     private static TroutpierException invalid(String detail) {
         return new TroutpierException(ResultCode.INVALID_DECLARATION, detail);
     }
 
-    /**
-     * Returns the version.
-     *
-     * @return the version
-     */
+    /** Returns the version. */
     public long version() {
         return mVersion;
     }
 
-    /**
-     * Returns what callers are held to.
-     *
-     * @return the limits
-     */
+    /** Returns the limits of callers. */
     public ServerLimits limits() {
         return mLimits;
     }
 
     /**
-     * Returns the configuration as the operator wrote it, with hashes in place of callers' keys.
-     *
-     * @return a copy of the bytes
+     * Returns a copy of the configuration as the operator wrote it, with hashes of the callers'
+     * keys.
      */
     public byte[] encoded() {
         return mEncoded.clone();
@@ -136,8 +110,8 @@
      * Finds the route of a request.
      *
      * @param host the host as the caller sent it, with or without a port
-     * @param path the path, without the query
-     * @return the route with the longest prefix, or empty for none
+     * @param path the path without the query
+     * @return the matching route with the longest prefix; empty if none matches
      */
     public Optional<Route> findRoute(String host, String path) {
         int colon = host.indexOf(':');
@@ -150,46 +124,32 @@
     /**
      * Finds a service.
      *
-     * @param name its name
-     * @return the service, or empty for none
+     * @return the service; empty if it does not exist
      */
     public Optional<Service> findService(String name) {
         return Optional.ofNullable(mServices.get(name));
     }
 
-    /**
-     * Returns the services by name.
-     *
-     * @return all services
-     */
+    /** Returns all services by name. */
     public Map<String, Service> services() {
         return mServices;
     }
 
-    /**
-     * Returns whether requests need a key, unless their route is open.
-     *
-     * @return whether there is any organisation
-     */
+    /** Returns whether requests need an API key, except on open routes. */
     public boolean requiresKeys() {
         return !mOrganisations.isEmpty();
     }
 
     /**
-     * Finds who has a key.
+     * Finds the organisation that a key belongs to.
      *
-     * @param key the key
-     * @return the organisation, or empty for a key that is not known
+     * @return the organisation; empty if the key is unknown
      */
     public Optional<Organisation> findOrganisation(KeyHash key) {
         return Optional.ofNullable(mKeys.get(key));
     }
 
-    /**
-     * Returns the organisations by name.
-     *
-     * @return all organisations, in the operator's order
-     */
+    /** Returns all organisations by name, in the operator's order. */
     public Map<PartnerId, Organisation> organisations() {
         return Collections.unmodifiableMap(mOrganisations);
     }
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/route/UsageLimit.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/route/UsageLimit.java
@@ -4,27 +4,27 @@
 import org.troutpier.common.settings.Check;
 
 /**
- * What an organisation may use, over all routers. Immutable and thread safe.
+ * Usage limit of an organisation across all routers. Immutable and thread safe.
  *
- * @param unit what use is counted in
- * @param uncountedTokens what a request costs that does not say how many tokens it takes, tokens
- * @param perSecond what may be used a second, in the unit; 0 for no limit
- * @param burst what may be used in a window beyond that, in the unit
+ * @param unit the unit of usage
+ * @param uncountedTokens cost of a request that does not state its number of tokens, tokens
+ * @param perSecond usage allowed per second, in the unit; 0 for no limit
+ * @param burst usage allowed in a window beyond that, in the unit
  */
 public record UsageLimit(Unit unit, long uncountedTokens, double perSecond, double burst) {
 
     /** No limit. */
     public static final UsageLimit NONE = new UsageLimit(Unit.REQUESTS, 0, 0, 0);
 
-    /** What use is counted in. */
+    /** Unit of usage. */
     public enum Unit {
-        /** Each request counts as one. */
+        /** Each request costs 1. */
         REQUESTS,
-        /** A request counts as its prompt's tokens and the most that come out. */
+        /** A request costs the tokens of its prompt plus the maximum number of output tokens. */
         TOKENS
     }
 
-    /** Checks the fields. */
+    /** Validates the components. */
     public UsageLimit {
         Check.present("unit", unit);
         Check.range("uncountedTokens", uncountedTokens, 0, Integer.MAX_VALUE);
@@ -32,30 +32,27 @@
         Check.that("burst", burst >= 0, "must not be negative but is " + burst);
     }
 
-    /**
-     * Returns whether there is a limit.
-     *
-     * @return whether use is bounded
-     */
+    /** Returns whether usage is limited. */
     public boolean isLimited() {
         return perSecond > 0;
     }
 
     /**
-     * Returns what a request counts as.
+     * Returns the cost of a request.
      *
-     * @param tokens its prompt's tokens and the most that come out, where it says so
-     * @return its cost in the unit
+     * @param tokens the tokens of its prompt plus the maximum number of output tokens, if the
+     *     request states them
+     * @return the cost, in the unit
      */
     public double cost(OptionalLong tokens) {
         return unit == Unit.REQUESTS ? 1 : tokens.orElse(uncountedTokens);
     }
 
     /**
-     * Returns what may be used within a time.
+     * Returns the usage that is allowed in a period.
      *
-     * @param seconds the time
-     * @return use in the unit
+     * @param seconds length of the period
+     * @return the usage, in the unit
      */
     public double allowance(double seconds) {
         return perSecond * seconds + burst;
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/route/package-info.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/route/package-info.java
@@ -1,2 +1,2 @@
-/** Routes by host and path, the services behind them, and the versions of both. */
+/** Routes by host and path, the services behind them, and versions of the routing configuration. */
 package org.troutpier.daemon.route;
--- a/troutpier-daemon/src/test/java/org/troutpier/daemon/route/RoutingConfigurationTest.java
+++ b/troutpier-daemon/src/test/java/org/troutpier/daemon/route/RoutingConfigurationTest.java
@@ -19,7 +19,7 @@
 import org.troutpier.common.result.TroutpierException;
 import org.troutpier.common.settings.FieldException;
 
-/** Which route takes a request. */
+/** Selection of routes, look-up of organisations by key, and validation of configurations. */
 public final class RoutingConfigurationTest {
 
     private static Route route(String name, String host, String prefix) {
@@ -46,7 +46,7 @@
     }
 
     @Test
-    public void theLongestPrefixOfTheHostTakesTheRequest() {
+    public void theLongestPrefixOfTheHostMatches() {
         RoutingConfiguration configuration =
                 version(
                         1,
@@ -119,7 +119,7 @@
     }
 
     @Test
-    public void versionsOnlyRise() {
+    public void versionsOnlyIncrease() {
         CurrentConfiguration current = new CurrentConfiguration();
         assertEquals(current.version(), -1);
         assertTrue(current.adoptIfNewer(version(5), "test"));
