--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/directory/UpstreamDirectory.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/directory/UpstreamDirectory.java
@@ -23,12 +23,11 @@
 /**
  * Holds the upstreams that the platform lists. Changes are confined to the control thread; {@link
  * #usable}, {@link #hasRestarted}, {@link #isLoaded()}, {@link #ageMillis()} and {@link
- * #missingCount()} are thread safe. Invariant: an upstream whose entry is draining, unreadable or
- * no longer listed is not usable, with one exception: an entry that disappeared while no router
- * read the store stays usable until {@link #MISSING_GRACE_MILLIS} after reading resumed, since
- * entries of live upstreams lapse while the store is unavailable. If another router read without
- * interruption, the store was available, and a missing entry is removed at once. An upstream that
- * has announced that it is leaving is not usable, whatever its entry says, until it restarts.
+ * #missingCount()} are thread safe. Invariant: an upstream is usable only if its entry is listed,
+ * readable and not draining, and the upstream has not announced that it is leaving. Exception: an
+ * entry that disappeared while no router read the store stays usable until {@link
+ * #MISSING_GRACE_MILLIS} after reading resumed, since entries of live upstreams lapse while the
+ * store is unavailable.
  */
 public final class UpstreamDirectory {
 
@@ -193,7 +192,8 @@
 
     /**
      * Records that the entries are confirmed to be those of the store. Called before the changes
-     * that came with the confirmation.
+     * that came with the confirmation. If another router has read without interruption, the store
+     * was available, and the grace period of missing entries is over at once.
      *
      * @param own whether this router read the store itself, rather than another one that shared its
      *     state
--- a/troutpier-daemon/src/test/java/org/troutpier/daemon/directory/UpstreamDirectoryTest.java
+++ b/troutpier-daemon/src/test/java/org/troutpier/daemon/directory/UpstreamDirectoryTest.java
@@ -51,21 +51,21 @@
         assertEquals(mDirectory.usable("web"), List.of(entry("c", false)));
     }
 
-    private boolean announceLeaving(String start) {
-        return mDirectory.markLeaving(UpstreamIncarnation.of(start));
+    private boolean announceLeaving(String incarnation) {
+        return mDirectory.markLeaving(UpstreamIncarnation.of(incarnation));
     }
 
     @Test
     public void anUpstreamThatAnnouncedLeavingIsNotUsableWhateverItsEntrySays() {
         mDirectory.replaceAll(List.of(entry("a", false), entry("b", false)));
         assertTrue(announceLeaving("a"));
-        assertFalse(announceLeaving("a"), "it is known");
+        assertFalse(announceLeaving("a"), "already known");
         assertEquals(mDirectory.usable("web"), List.of(entry("b", false)));
         mDirectory.update(new UpstreamId("a"), Optional.of(entry("a", false)));
         assertEquals(usable(), 1);
         mDirectory.update(new UpstreamId("a"), Optional.empty());
         mDirectory.replaceAll(List.of(entry("a", false), entry("b", false)));
-        assertEquals(usable(), 1, "its entry went and came back");
+        assertEquals(usable(), 1, "its entry was removed and listed again");
     }
 
     @Test
@@ -115,7 +115,7 @@
         mDirectory.replaceAll(List.of(entry("a", false), entry("b", false)));
         assertEquals(usable(), 1);
         mDirectory.update(new UpstreamId("a"), Optional.of(entry("a", false)));
-        assertEquals(usable(), 2, "it runs");
+        assertEquals(usable(), 2, "its entry has changed");
     }
 
     /** The entries are confirmed without interruption from now on. */
@@ -232,8 +232,8 @@
     }
 
     private void report(String incarnation, boolean draining) {
-        UpstreamEntry told = entry(incarnation, draining);
-        mDirectory.update(told.id(), Optional.of(told));
+        UpstreamEntry reported = entry(incarnation, draining);
+        mDirectory.update(reported.id(), Optional.of(reported));
     }
 
     private static UpstreamIncarnation incarnation(String text) {
@@ -276,15 +276,15 @@
 
     @Test
     public void theListenerReceivesTheListedIncarnations() {
-        Set<UpstreamIncarnation> told = new HashSet<>();
+        Set<UpstreamIncarnation> reported = new HashSet<>();
         mDirectory.setListener(
                 listed -> {
-                    told.clear();
-                    told.addAll(listed);
+                    reported.clear();
+                    reported.addAll(listed);
                 });
         report("a~1", false);
         report("b", false);
         report("a~2", false);
-        assertEquals(told, Set.of(incarnation("a~2"), incarnation("b")));
+        assertEquals(reported, Set.of(incarnation("a~2"), incarnation("b")));
     }
 }
--- a/troutpier-daemon/src/test/java/org/troutpier/daemon/peer/MembershipTest.java
+++ b/troutpier-daemon/src/test/java/org/troutpier/daemon/peer/MembershipTest.java
@@ -46,14 +46,14 @@
     }
 
     @Test
-    public void aRouterIsGoneOnceItIsMissingAndSilentForTheGrace() {
+    public void aRouterIsGoneOnceItIsMissingAndSilentForTheGracePeriod() {
         mMembership.updateListed(List.of(listed("router-2~b", "live")));
         mMembership.recordContact(member("router-2~b"));
         assertFalse(gone("router-2~b"));
         mNow += 10 * SECOND;
         assertFalse(gone("router-2~b"), "the list still shows it");
         mMembership.updateListed(List.of(listed("router-2~b", "gone")));
-        assertFalse(gone("router-2~b"), "the grace has begun");
+        assertFalse(gone("router-2~b"), "the grace period has begun");
         mNow += 3 * SECOND;
         assertTrue(gone("router-2~b"));
     }
@@ -69,7 +69,7 @@
     }
 
     @Test
-    public void anEarlierStartIsGoneWhenALaterOneRuns() {
+    public void anEarlierIncarnationIsGoneOnceALaterOneRuns() {
         mMembership.updateListed(List.of(listed("router-2~c", "live")));
         assertFalse(gone("router-2~b"));
         mNow += 3 * SECOND;
@@ -78,7 +78,7 @@
     }
 
     @Test
-    public void theLaterStartOfAnInstanceCounts() {
+    public void theLaterIncarnationOfAnInstanceCounts() {
         mMembership.updateListed(List.of(listed("router-2~b", "live")));
         mMembership.recordContact(member("router-2~c"));
         assertEquals(
@@ -106,9 +106,9 @@
         for (int subject = 0; subject < 300; subject++) {
             Incarnation before = CoordinatorSelector.select("engine-" + subject, three);
             Incarnation after = CoordinatorSelector.select("engine-" + subject, two);
-            boolean itsCoordinatorWent = before.value().equals("router-2~b");
-            assertTrue(itsCoordinatorWent || before.equals(after));
-            moved += itsCoordinatorWent ? 1 : 0;
+            boolean coordinatorGone = before.value().equals("router-2~b");
+            assertTrue(coordinatorGone || before.equals(after));
+            moved += coordinatorGone ? 1 : 0;
         }
         assertTrue(moved > 60 && moved < 140, moved + " of 300 moved");
     }
--- a/troutpier-daemon/src/test/java/org/troutpier/daemon/peer/PeerMeshTest.java
+++ b/troutpier-daemon/src/test/java/org/troutpier/daemon/peer/PeerMeshTest.java
@@ -179,7 +179,7 @@
                     new Member(mOther.mSelf.incarnation(), HALL, proxy.address().toString(), false);
             await("connected", () -> connected(behind));
             proxy.fault(LinkFault.FORGET, 1, 0).join();
-            String late = "told on a new connection";
+            String late = "sent on a new connection";
             await(
                     "heard again",
                     () -> {
--- a/troutpier-daemon/src/test/java/org/troutpier/daemon/rows/TableFollowerTest.java
+++ b/troutpier-daemon/src/test/java/org/troutpier/daemon/rows/TableFollowerTest.java
@@ -197,7 +197,7 @@
         put("d");
         mTime.pass(3 * PAUSE);
         assertEquals(mReceived, List.of("a", "b", "c", "restored", "a", "d"));
-        assertTrue(mSince >= returned, "the reading was broken");
+        assertTrue(mSince >= returned, "reading was interrupted");
     }
 
     @Test
@@ -287,7 +287,7 @@
         assertTrue(mFollower.stateSince(version - 1).orElseThrow().whole());
         mStore.mSilent = true;
         mTime.pass(SHARED);
-        assertTrue(mFollower.stateSince(version).isEmpty(), "too old to be told");
+        assertTrue(mFollower.stateSince(version).isEmpty(), "too old to be sent");
     }
 
     @Test
