--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/peer/PeerCodec.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/peer/PeerCodec.java
@@ -18,13 +18,14 @@
 /** Encodes and decodes peer messages as MessagePack. Stateless and thread safe. */
 final class PeerCodec extends MessageToMessageCodec<ByteBuf, PeerMessage> {
 
+    /** Never reconfigured after construction, and so thread safe. */
     private static final ObjectMapper MAPPER =
             new ObjectMapper(new MessagePackFactory())
                     .disable(DeserializationFeature.FAIL_ON_UNKNOWN_PROPERTIES);
 
     /**
      * Messages without fields and their encodings. Two per second arrive on each connection;
-     * encoding them each time took 7 % of the CPU time of a router with little traffic.
+     * encoding them each time took 7 % of the work of a router with little traffic.
      */
     private static final List<FieldlessMessage> FIELDLESS_MESSAGES =
             List.of(
