--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/cluster/LoadReport.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/cluster/LoadReport.java
@@ -34,7 +34,7 @@
         long waitingTokens,
         Set<UpstreamIncarnation> changing,
         Set<UpstreamIncarnation> refusing,
-        Map<UpstreamIncarnation, UpstreamUse> uses,
+        Map<UpstreamIncarnation, UpstreamUsage> uses,
         Map<String, Demand> demands,
         UsageReport organisations,
         Map<UpstreamIncarnation, RateReport> rates) {
@@ -167,7 +167,7 @@
         long waiting = waitingTokens;
         Set<UpstreamIncarnation> changed = new HashSet<>(changing);
         Set<UpstreamIncarnation> refused = new HashSet<>(refusing);
-        Map<UpstreamIncarnation, UpstreamUse> allUses = new HashMap<>(uses);
+        Map<UpstreamIncarnation, UpstreamUsage> allUses = new HashMap<>(uses);
         Map<String, Demand> allDemands = new HashMap<>(demands);
         List<UsageReport> allUse = new ArrayList<>();
         Map<UpstreamIncarnation, RateReport> allRates = new HashMap<>(rates);
@@ -177,7 +177,7 @@
             waiting += other.waitingTokens;
             changed.addAll(other.changing);
             refused.addAll(other.refusing);
-            other.uses.forEach((id, use) -> allUses.merge(id, use, UpstreamUse::plus));
+            other.uses.forEach((id, use) -> allUses.merge(id, use, UpstreamUsage::plus));
             other.demands.forEach((name, demand) -> allDemands.merge(name, demand, Demand::plus));
             allUse.add(other.organisations);
             other.rates.forEach((id, rate) -> allRates.merge(id, rate, RateReport::plus));
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/cluster/LoadReporter.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/cluster/LoadReporter.java
@@ -52,7 +52,7 @@
     private final PeerExchange mExchange;
 
     /** The use that was reported last. */
-    private Map<UpstreamIncarnation, UpstreamUse> mReported = new HashMap<>();
+    private Map<UpstreamIncarnation, UpstreamUsage> mReported = new HashMap<>();
 
     /** When it is looked what changed. */
     private final ReportPace mPace;
@@ -115,7 +115,7 @@
 
     /** Reports if there is something new to tell. */
     private void look() {
-        Map<UpstreamIncarnation, UpstreamUse> uses = mLoads.usage();
+        Map<UpstreamIncarnation, UpstreamUsage> uses = mLoads.usage();
         if (!uses.equals(mReported) || mRates.hasUnreportedChanges()) {
             report(uses);
         }
@@ -141,7 +141,7 @@
      *
      * @param uses what is under way
      */
-    private void report(Map<UpstreamIncarnation, UpstreamUse> uses) {
+    private void report(Map<UpstreamIncarnation, UpstreamUsage> uses) {
         mPace.reported();
         mReported = uses;
         mConfiguration.current().ifPresent(mOrganisations::applyConfiguration);
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/cluster/LoadView.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/cluster/LoadView.java
@@ -28,7 +28,7 @@
      * time; a decision waits for {@link #MOST_MILLIS} at most, and is made by what was told before
      * where the answer is not there by then.
      */
-    final class Refreshing implements LoadView {
+    final class ForDecisions implements LoadView {
 
         /**
          * How old a view may be, milliseconds: under half of the pause in which routers report
@@ -76,7 +76,7 @@
          * @param question asks, and runs what it is given once the answer is there, on any thread
          * @param metrics counts questions
          */
-        public Refreshing(TrafficLoop loop, Consumer<Runnable> question, MetricRegistry metrics) {
+        public ForDecisions(TrafficLoop loop, Consumer<Runnable> question, MetricRegistry metrics) {
             mLoop = loop;
             mQuestion = question;
             mAsked = metrics.counter("view.asked");
@@ -128,7 +128,7 @@
             mFreshUntil = mLoop.millis() + FRESH_MILLIS;
             List<Runnable> waiting = mWaiting;
             mWaiting = new ArrayList<>();
-            waiting.forEach(Refreshing::decide);
+            waiting.forEach(ForDecisions::decide);
         }
 
         /**
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/cluster/MemberRegistry.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/cluster/MemberRegistry.java
@@ -120,7 +120,7 @@
      * the row of a router that started again was in conflict with the one of its earlier start.
      */
     public void start() {
-        TableExchange.PageSharer pages = new TableExchange.PageSharer(mExchange.tables(), TABLE);
+        TableExchange.ForPages pages = new TableExchange.ForPages(mExchange.tables(), TABLE);
         pages.follow(mNode, mStore, PACE, this, pages);
     }
 
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/cluster/PeerLoads.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/cluster/PeerLoads.java
@@ -19,7 +19,7 @@
 
 /**
  * What the other routers said of their load and demand. Changes are confined to the control thread;
- * {@link #upstreamUse}, {@link #demand}, {@link #organisations()}, {@link #rate}, {@link
+ * {@link #upstreamUsage}, {@link #demand}, {@link #organisations()}, {@link #rate}, {@link
  * #isChangingRole}, {@link #isRefusing}, {@link #waitingTokens()}, {@link #peerCount()} and {@link
  * #hasRoleHolder()} are thread safe and answer as of the last {@link #aggregate}. Invariants: a
  * report counts until {@link #REPORT_TTL_MILLIS} after it was heard; only reports of the scopes
@@ -31,7 +31,7 @@
     public static final long REPORT_TTL_MILLIS = 1500;
 
     /** What routers used that have fallen silent. */
-    private final RetainedUse mRetained;
+    private final RetainedUsage mRetained;
 
     /** The latest report of each router. */
     private final Map<Incarnation, Heard> mHeard = new HashMap<>();
@@ -60,7 +60,7 @@
      * @param report the report
      * @param at when it came, milliseconds
      */
-    private record Heard(RetainedUse.Source source, LoadReport report, long at) {
+    private record Heard(RetainedUsage.Source source, LoadReport report, long at) {
 
         /**
          * Returns whose load it tells of.
@@ -93,7 +93,7 @@
      * @param use how long organisations' use counts
      */
     public PeerLoads(UsageSettings use) {
-        mRetained = new RetainedUse(use.windowMillis());
+        mRetained = new RetainedUsage(use.windowMillis());
     }
 
     /**
@@ -115,7 +115,7 @@
         }
         boolean own = scope == ReportScope.OWN;
         String name = own ? from.instance().value() : hall.value();
-        RetainedUse.Source source = new RetainedUse.Source(scope, name);
+        RetainedUsage.Source source = new RetainedUsage.Source(scope, name);
         boolean started = own && report.organisations().forgotten() > 0;
         boolean remembered = started && mRetained.keeps(source);
         if (!started) {
@@ -214,7 +214,7 @@
      * @param source the hall's group, or a router's own load, of which no other tells
      * @return whether one does
      */
-    private boolean tellsOfGroup(RetainedUse.Source source) {
+    private boolean tellsOfGroup(RetainedUsage.Source source) {
         return source.scope() == ReportScope.GROUP
                 && mHeard.values().stream().anyMatch(heard -> heard.source().equals(source));
     }
@@ -262,8 +262,8 @@
      * @param upstream the upstream
      * @return the sum
      */
-    public UpstreamUse upstreamUse(UpstreamIncarnation upstream) {
-        return mSum.report().uses().getOrDefault(upstream, UpstreamUse.NONE);
+    public UpstreamUsage upstreamUsage(UpstreamIncarnation upstream) {
+        return mSum.report().uses().getOrDefault(upstream, UpstreamUsage.NONE);
     }
 
     /**
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/cluster/QuarantineTable.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/cluster/QuarantineTable.java
@@ -117,13 +117,13 @@
 
     /** Follows the table, and tells what this router finds out from now on. */
     public void start() {
-        TableExchange.PageSharer pages = new TableExchange.PageSharer(mExchange.tables(), TABLE);
+        TableExchange.ForPages pages = new TableExchange.ForPages(mExchange.tables(), TABLE);
         pages.follow(
                 mNode,
                 mStore,
                 TablePollTimings.quarantine(mSettings.knownMillis()),
                 this,
-                new TableExchange.RequestingSharer(pages));
+                new TableExchange.ForWholeTable(pages));
         mQuarantine.onLocalChange(report -> mNode.control().execute(() -> found(report)));
         mQuarantine.onMergedChange(report -> mNode.control().execute(() -> store(report)));
         mNode.control().every(this::clean, CLEAN_MILLIS);
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/cluster/RetainedUse.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/cluster/RetainedUsage.java
@@ -13,7 +13,7 @@
  * lies in the window of limits. Confined to the control thread. Invariant: what one source used is
  * kept once, and fades to nothing within the window.
  */
-final class RetainedUse {
+final class RetainedUsage {
 
     /** How long the window is, milliseconds. */
     private final long mWindowMillis;
@@ -42,7 +42,7 @@
      *
      * @param windowMillis how long the window is, milliseconds
      */
-    RetainedUse(long windowMillis) {
+    RetainedUsage(long windowMillis) {
         mWindowMillis = windowMillis;
     }
 
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/cluster/TableExchange.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/cluster/TableExchange.java
@@ -79,7 +79,7 @@
      * @param exchange the exchange
      * @param table the table
      */
-    public record PageSharer(TableExchange exchange, String table)
+    public record ForPages(TableExchange exchange, String table)
             implements TableFollower.ChangePublisher {
 
         /** {@inheritDoc} */
@@ -118,7 +118,7 @@
      *
      * @param pages shares the pages
      */
-    public record RequestingSharer(PageSharer pages) implements TableFollower.ChangePublisher {
+    public record ForWholeTable(ForPages pages) implements TableFollower.ChangePublisher {
 
         /** {@inheritDoc} */
         @Override
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/cluster/UpstreamUse.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/cluster/UpstreamUsage.java
@@ -12,10 +12,10 @@
  * @param succeeded calls that went well lately
  */
 @JsonFormat(shape = JsonFormat.Shape.ARRAY)
-public record UpstreamUse(int calls, long tokens, int failed, int succeeded) {
+public record UpstreamUsage(int calls, long tokens, int failed, int succeeded) {
 
     /** Nothing under way. */
-    public static final UpstreamUse NONE = new UpstreamUse(0, 0, 0, 0);
+    public static final UpstreamUsage NONE = new UpstreamUsage(0, 0, 0, 0);
 
     /**
      * Creates the use of an upstream of whose calls none has ended lately.
@@ -24,8 +24,8 @@
      * @param tokens the tokens of these calls
      * @return the use
      */
-    public static UpstreamUse of(int calls, long tokens) {
-        return new UpstreamUse(calls, tokens, 0, 0);
+    public static UpstreamUsage of(int calls, long tokens) {
+        return new UpstreamUsage(calls, tokens, 0, 0);
     }
 
     /**
@@ -34,8 +34,8 @@
      * @param other the other's
      * @return the sum
      */
-    public UpstreamUse plus(UpstreamUse other) {
-        return new UpstreamUse(
+    public UpstreamUsage plus(UpstreamUsage other) {
+        return new UpstreamUsage(
                 calls + other.calls,
                 tokens + other.tokens,
                 failed + other.failed,
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/role/RoleController.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/role/RoleController.java
@@ -324,7 +324,7 @@
     private long decoding(List<UpstreamEntry> engines) {
         return engines.stream()
                 .filter(engine -> !reads(engine))
-                .mapToLong(engine -> mPeers.upstreamUse(engine.incarnation()).tokens())
+                .mapToLong(engine -> mPeers.upstreamUsage(engine.incarnation()).tokens())
                 .sum();
     }
 
@@ -403,7 +403,7 @@
                 .filter(each -> reads(each) != toPrefill)
                 .sorted(
                         Comparator.<UpstreamEntry>comparingLong(
-                                        each -> mPeers.upstreamUse(each.incarnation()).tokens())
+                                        each -> mPeers.upstreamUsage(each.incarnation()).tokens())
                                 .thenComparing(UpstreamEntry::incarnation))
                 .limit(count)
                 .map(each -> new Change(each, role, now, now + traits.switchMillis() + RUNS_MILLIS))
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/UpstreamLoads.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/UpstreamLoads.java
@@ -15,7 +15,7 @@
 import org.troutpier.common.id.HallId;
 import org.troutpier.common.id.UpstreamIncarnation;
 import org.troutpier.daemon.cluster.PeerLoads;
-import org.troutpier.daemon.cluster.UpstreamUse;
+import org.troutpier.daemon.cluster.UpstreamUsage;
 import org.troutpier.daemon.decision.FailureRate;
 import org.troutpier.daemon.decision.SlidingWindowSum;
 import org.troutpier.daemon.directory.UpstreamEntry;
@@ -308,7 +308,7 @@
      */
     long toldTokens(UpstreamEntry engine) {
         return load(engine.incarnation()).mTokens
-                + mPeers.upstreamUse(engine.incarnation()).tokens();
+                + mPeers.upstreamUsage(engine.incarnation()).tokens();
     }
 
     /**
@@ -333,7 +333,7 @@
      */
     public int calls(UpstreamEntry upstream) {
         return load(upstream.incarnation()).mCalls
-                + mPeers.upstreamUse(upstream.incarnation()).calls();
+                + mPeers.upstreamUsage(upstream.incarnation()).calls();
     }
 
     /**
@@ -504,7 +504,7 @@
      * @param now the clock, milliseconds
      */
     private void judge(UpstreamEntry upstream, long now) {
-        UpstreamUse others = mPeers.upstreamUse(upstream.incarnation());
+        UpstreamUsage others = mPeers.upstreamUsage(upstream.incarnation());
         Load load = load(upstream.incarnation());
         int failed = others.failed() + (int) Math.round(load.mFailedLately.sum(now));
         if (failed == 0) {
@@ -616,9 +616,9 @@
      *
      * @return the use of each upstream that is used or failed lately
      */
-    public Map<UpstreamIncarnation, UpstreamUse> usage() {
+    public Map<UpstreamIncarnation, UpstreamUsage> usage() {
         long now = mLoop.millis();
-        Map<UpstreamIncarnation, UpstreamUse> uses = new HashMap<>();
+        Map<UpstreamIncarnation, UpstreamUsage> uses = new HashMap<>();
         mLoads.forEach(
                 (id, load) -> {
                     long learnt = load.mUnknownTold ? unknown(load) : 0;
@@ -626,7 +626,7 @@
                     if (load.mCalls > 0 || learnt > 0 || failed > 0) {
                         int succeeded = (int) Math.round(load.mSucceededLately.sum(now));
                         long tokens = load.mTokens + learnt;
-                        uses.put(id, new UpstreamUse(load.mCalls, tokens, failed, succeeded));
+                        uses.put(id, new UpstreamUsage(load.mCalls, tokens, failed, succeeded));
                     }
                 });
         return uses;
--- a/troutpier-daemon/src/test/java/org/troutpier/daemon/cluster/LoadViewTest.java
+++ b/troutpier-daemon/src/test/java/org/troutpier/daemon/cluster/LoadViewTest.java
@@ -24,7 +24,7 @@
         mQuestions = new ArrayList<>();
         mDecisions = 0;
         mMetrics = new MetricRegistry();
-        mView = new LoadView.Refreshing(mTime.loop(), mQuestions::add, mMetrics);
+        mView = new LoadView.ForDecisions(mTime.loop(), mQuestions::add, mMetrics);
     }
 
     private void decide(int count) {
@@ -60,7 +60,7 @@
     public void aFreshViewIsNotAskedForAgain() {
         decide(1);
         mQuestions.get(0).run();
-        mTime.pass(LoadView.Refreshing.FRESH_MILLIS);
+        mTime.pass(LoadView.ForDecisions.FRESH_MILLIS);
         decide(1);
         assertEquals(mDecisions, 2);
         mTime.pass(1);
@@ -71,7 +71,7 @@
     @Test
     public void withoutAnAnswerADecisionIsMadeInTime() {
         decide(1);
-        mTime.pass(LoadView.Refreshing.MOST_MILLIS);
+        mTime.pass(LoadView.ForDecisions.MOST_MILLIS);
         assertEquals(mDecisions, 1);
         assertEquals(mMetrics.counter("view.unanswered").getCount(), 1);
     }
@@ -79,7 +79,7 @@
     @Test
     public void anAnswerThatComesTooLateEndsNoLaterQuestion() {
         decide(1);
-        mTime.pass(LoadView.Refreshing.MOST_MILLIS + LoadView.Refreshing.FRESH_MILLIS + 1);
+        mTime.pass(LoadView.ForDecisions.MOST_MILLIS + LoadView.ForDecisions.FRESH_MILLIS + 1);
         decide(1);
         mQuestions.get(0).run();
         mTime.pass(1);
--- a/troutpier-daemon/src/test/java/org/troutpier/daemon/cluster/PeerExchangeTest.java
+++ b/troutpier-daemon/src/test/java/org/troutpier/daemon/cluster/PeerExchangeTest.java
@@ -172,7 +172,7 @@
                             0,
                             Set.of(),
                             Set.of(),
-                            Map.of(ENGINE, UpstreamUse.of(mCalls, 10)),
+                            Map.of(ENGINE, UpstreamUsage.of(mCalls, 10)),
                             Map.of(),
                             mUse,
                             mRates));
@@ -193,8 +193,7 @@
         /** Follows a table whose store answers this router, or does not. */
         private void follow(VersionedRows rows) {
             mStore = new FakeRowStore(rows);
-            TableExchange.PageSharer pages =
-                    new TableExchange.PageSharer(mExchange.tables(), TABLE);
+            TableExchange.ForPages pages = new TableExchange.ForPages(mExchange.tables(), TABLE);
             TableFollower follower =
                     new TableFollower(
                             mControl,
@@ -202,7 +201,7 @@
                             TABLE,
                             new TableFollower.PollTiming(1, 700, 1050, 400),
                             mKeys,
-                            new TableExchange.RequestingSharer(pages),
+                            new TableExchange.ForWholeTable(pages),
                             mTime::millis);
             mExchange.tables().follow(TABLE, follower);
             follower.start();
@@ -291,7 +290,9 @@
             int others = living.size() - 1;
             assertEquals(router.mLoads.peerCount(), others, "routers at " + router.mSelf);
             assertEquals(
-                    router.mLoads.upstreamUse(ENGINE).calls(), others, "calls at " + router.mSelf);
+                    router.mLoads.upstreamUsage(ENGINE).calls(),
+                    others,
+                    "calls at " + router.mSelf);
         }
     }
 
@@ -407,7 +408,7 @@
         for (Router router : living()) {
             int calls = router == changed ? MANY - 1 : MANY - 2 + changed.mCalls;
             assertEquals(
-                    router.mLoads.upstreamUse(ENGINE).calls(), calls, "calls at " + router.mSelf);
+                    router.mLoads.upstreamUsage(ENGINE).calls(), calls, "calls at " + router.mSelf);
         }
     }
 
@@ -422,7 +423,7 @@
         for (Router router : mates) {
             int calls = MANY - 2 + changed.mCalls;
             assertEquals(
-                    router.mLoads.upstreamUse(ENGINE).calls(), calls, "calls at " + router.mSelf);
+                    router.mLoads.upstreamUsage(ENGINE).calls(), calls, "calls at " + router.mSelf);
         }
     }
 
@@ -511,7 +512,7 @@
         List<Row> rows = List.of(new Row(TABLE, "", "k", new byte[0], 2, false));
         all.forEach(
                 router ->
-                        new TableExchange.PageSharer(router.mExchange.tables(), TABLE)
+                        new TableExchange.ForPages(router.mExchange.tables(), TABLE)
                                 .publish(1, 2, 0, rows));
         mTime.pass(100);
         for (int number = 0; number < MANY; number++) {
--- a/troutpier-daemon/src/test/java/org/troutpier/daemon/serving/ReportedUseTest.java
+++ b/troutpier-daemon/src/test/java/org/troutpier/daemon/serving/ReportedUseTest.java
@@ -14,7 +14,7 @@
 import org.troutpier.daemon.cluster.LoadReport;
 import org.troutpier.daemon.cluster.PeerLoads;
 import org.troutpier.daemon.cluster.ReportScope;
-import org.troutpier.daemon.cluster.UpstreamUse;
+import org.troutpier.daemon.cluster.UpstreamUsage;
 import org.troutpier.daemon.directory.UpstreamDirectory;
 import org.troutpier.daemon.directory.UpstreamEntry;
 import org.troutpier.daemon.node.ManualTime;
@@ -93,10 +93,10 @@
         learn(forOthers(true));
         mTime.pass(500);
         mLoads.begin(mEngine, 5000);
-        assertEquals(mLoads.usage().get(mEngine.incarnation()), UpstreamUse.of(1, 35_000));
+        assertEquals(mLoads.usage().get(mEngine.incarnation()), UpstreamUsage.of(1, 35_000));
         assertEquals(mLoads.tokens(mEngine), 35_000);
         mTime.pass(15_000);
-        assertEquals(mLoads.usage().get(mEngine.incarnation()), UpstreamUse.of(1, 5000));
+        assertEquals(mLoads.usage().get(mEngine.incarnation()), UpstreamUsage.of(1, 5000));
     }
 
     @Test
@@ -124,7 +124,7 @@
                         0,
                         Set.of(),
                         Set.of(),
-                        Map.of(mEngine.incarnation(), UpstreamUse.of(1, tokens)),
+                        Map.of(mEngine.incarnation(), UpstreamUsage.of(1, tokens)),
                         Map.of(),
                         UsageReport.NONE,
                         Map.of());
--- a/troutpier-daemon/src/test/java/org/troutpier/daemon/serving/ReservationAllocatorTest.java
+++ b/troutpier-daemon/src/test/java/org/troutpier/daemon/serving/ReservationAllocatorTest.java
@@ -20,7 +20,7 @@
 import org.troutpier.daemon.cluster.LoadReport;
 import org.troutpier.daemon.cluster.PeerLoads;
 import org.troutpier.daemon.cluster.ReportScope;
-import org.troutpier.daemon.cluster.UpstreamUse;
+import org.troutpier.daemon.cluster.UpstreamUsage;
 import org.troutpier.daemon.decision.QueueTier;
 import org.troutpier.daemon.directory.UpstreamEntry;
 import org.troutpier.daemon.limit.FlowKey;
@@ -112,8 +112,8 @@
                         Set.of(),
                         Set.of(),
                         Map.of(
-                                mFirst.incarnation(), UpstreamUse.of(1, first),
-                                mSecond.incarnation(), UpstreamUse.of(1, second)),
+                                mFirst.incarnation(), UpstreamUsage.of(1, first),
+                                mSecond.incarnation(), UpstreamUsage.of(1, second)),
                         Map.of(),
                         UsageReport.NONE,
                         Map.of());
--- a/troutpier-daemon/src/test/java/org/troutpier/daemon/serving/UpstreamLoadsTest.java
+++ b/troutpier-daemon/src/test/java/org/troutpier/daemon/serving/UpstreamLoadsTest.java
@@ -15,7 +15,7 @@
 import org.troutpier.daemon.cluster.LoadReport;
 import org.troutpier.daemon.cluster.PeerLoads;
 import org.troutpier.daemon.cluster.ReportScope;
-import org.troutpier.daemon.cluster.UpstreamUse;
+import org.troutpier.daemon.cluster.UpstreamUsage;
 import org.troutpier.daemon.directory.UpstreamEntry;
 import org.troutpier.daemon.node.ManualTime;
 import org.troutpier.daemon.organisation.UsageReport;
@@ -61,7 +61,7 @@
                         0,
                         Set.of(),
                         Set.of(),
-                        Map.of(mNear.incarnation(), UpstreamUse.of(5, 0)),
+                        Map.of(mNear.incarnation(), UpstreamUsage.of(5, 0)),
                         Map.of(),
                         UsageReport.NONE,
                         Map.of());
