--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/cluster/ConfigurationDecoder.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/cluster/ConfigurationDecoder.java
@@ -2,11 +2,11 @@
 
 import org.troutpier.daemon.route.RoutingConfiguration;
 
-/** Reads a configuration as the operator wrote it. Implementations are thread safe. */
+/** Decodes configurations in the operator's encoding. Implementations are thread safe. */
 public interface ConfigurationDecoder {
 
     /**
-     * Reads a configuration.
+     * Decodes a configuration.
      *
      * @param encoded the operator's bytes
      * @return the configuration
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/cluster/Demand.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/cluster/Demand.java
@@ -3,17 +3,17 @@
 import com.fasterxml.jackson.annotation.JsonFormat;
 
 /**
- * What callers asked of one model service lately, as decaying sums that add up over routers.
- * Immutable and thread safe.
+ * The recent demand for a model service, as exponentially decaying sums that can be added over
+ * routers. Immutable and thread safe.
  *
- * @param promptTokens prompt tokens of the requests that came, each request once
- * @param requests requests that came; one that comes back after a refusal is not counted again
- * @param memoryTime memory that completed runs took, each for as long as it ran, in tokens times
- *     milliseconds
- * @param runMillis time that completed runs took
- * @param outputTokens what completed runs made
+ * @param promptTokens prompt tokens of the requests that arrived, each request counted once
+ * @param requests requests that arrived; one that returns after a refusal is not counted again
+ * @param memoryTime engine memory of completed runs multiplied by their duration,
+ *     token-milliseconds
+ * @param runMillis duration of completed runs
+ * @param outputTokens output tokens of completed runs
  * @param runs completed runs
- * @param reading how fast prefill engines read
+ * @param reading samples of prefill time
  */
 @JsonFormat(shape = JsonFormat.Shape.ARRAY)
 public record Demand(
@@ -29,58 +29,39 @@
     public static final Demand NONE = new Demand(0, 0, 0, 0, 0, 0, PrefillLatencyModel.NONE);
 
     /**
-     * After which time a sum has decayed to 1/e, milliseconds: two bursts, so that one burst alone
-     * does not outweigh what came before.
+     * Time in which a sum decays to 1/e, milliseconds: the length of two bursts, so that one burst
+     * does not outweigh everything before it.
      */
     public static final double DECAY_MILLIS = 10_000;
 
-    /** How many completed runs make a measurement. */
-    private static final double LEAST_RUNS = 5;
+    /** Number of completed runs from which means are used. */
+    private static final double MIN_RUNS = 5;
 
-    /**
-     * Makes the demand of one request.
-     *
-     * @param promptTokens its prompt's length
-     * @return the sums
-     */
     static Demand ofRequest(double promptTokens) {
         return new Demand(promptTokens, 1, 0, 0, 0, 0, PrefillLatencyModel.NONE);
     }
 
     /**
-     * Makes the demand that one completed run shows.
-     *
-     * @param run the run
-     * @return the sums
+     * Returns the demand of one completed run. Its memory grows from the prompt to prompt and
+     * output, so the mean is the prompt and half the output.
      */
     static Demand ofRun(DemandMeter.CompletedRun run) {
-        double mean = run.promptTokens() + run.outputTokens() / 2.0;
+        double meanTokens = run.promptTokens() + run.outputTokens() / 2.0;
         return new Demand(
                 0,
                 0,
-                mean * run.millis(),
+                meanTokens * run.millis(),
                 run.millis(),
                 run.outputTokens(),
                 1,
                 PrefillLatencyModel.NONE);
     }
 
-    /**
-     * Makes the demand that one reading shows.
-     *
-     * @param reading the reading
-     * @return the sums
-     */
-    static Demand ofReading(PrefillLatencyModel reading) {
-        return new Demand(0, 0, 0, 0, 0, 0, reading);
+    static Demand ofPrefill(PrefillLatencyModel prefill) {
+        return new Demand(0, 0, 0, 0, 0, 0, prefill);
     }
 
-    /**
-     * Returns the demand of two routers together.
-     *
-     * @param other the other's
-     * @return the sum
-     */
+    /** Returns the sum of this demand and another. */
     public Demand plus(Demand other) {
         return new Demand(
                 promptTokens + other.promptTokens,
@@ -93,37 +74,28 @@
     }
 
     /**
-     * Returns the demand after some time without anything new.
+     * Returns this demand decayed by a time without new requests.
      *
      * @param millis the time
-     * @return the decayed sums
      */
-    public Demand after(double millis) {
-        double left = Math.exp(-millis / DECAY_MILLIS);
+    public Demand decayed(double millis) {
+        double factor = Math.exp(-millis / DECAY_MILLIS);
         return new Demand(
-                promptTokens * left,
-                requests * left,
-                memoryTime * left,
-                runMillis * left,
-                outputTokens * left,
-                runs * left,
-                reading.times(left));
+                promptTokens * factor,
+                requests * factor,
+                memoryTime * factor,
+                runMillis * factor,
+                outputTokens * factor,
+                runs * factor,
+                reading.scaled(factor));
     }
 
-    /**
-     * Returns whether enough runs were completed to go by what they took.
-     *
-     * @return whether runs are measured
-     */
+    /** Returns whether enough runs were completed for their means to be used. */
     public boolean hasEnoughRuns() {
-        return runs >= LEAST_RUNS;
+        return runs >= MIN_RUNS;
     }
 
-    /**
-     * Returns how many requests come.
-     *
-     * @return requests a millisecond
-     */
+    /** Returns the rate of requests, per millisecond. */
     public double requestsPerMilli() {
         return requests / DECAY_MILLIS;
     }
@@ -138,16 +110,16 @@
     }
 
     /**
-     * Returns what a run takes of a decode engine: memory times time.
+     * Returns the mean memory-time that a run takes at a decode engine.
      *
-     * @return tokens times milliseconds; 0 for unknown
+     * @return token-milliseconds; 0 for unknown
      */
     public double meanMemoryTime() {
         return runs > 0 ? memoryTime / runs : 0;
     }
 
     /**
-     * Returns how long a run takes.
+     * Returns the mean duration of a run.
      *
      * @return milliseconds; 0 for unknown
      */
@@ -156,7 +128,7 @@
     }
 
     /**
-     * Returns what a run makes.
+     * Returns the mean output of a run.
      *
      * @return tokens; 0 for unknown
      */
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/cluster/DemandMeter.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/cluster/DemandMeter.java
@@ -4,37 +4,35 @@
 import java.util.Map;
 
 /**
- * Measures demand by service. Confined to the traffic loop, except {@link #published}, which is
- * thread safe.
+ * Measures the demand for each service. Confined to the traffic loop, except {@link #published},
+ * which is thread safe.
  */
 public final class DemandMeter {
 
-    /** The shortest prompt whose reading tells an engine's pace, tokens. */
-    private static final int LEAST_PACED = 1000;
+    /** Shortest prompt whose prefill is a sample of an engine's speed, tokens. */
+    private static final int MIN_SAMPLE_TOKENS = 1000;
 
-    /** The demand of each service when it last changed. */
-    private final Map<String, Demand> mDemand = new HashMap<>();
+    /** The demand for each service as of its last update. */
+    private final Map<String, Demand> mDemands = new HashMap<>();
 
-    /** When each service's demand last changed, milliseconds. */
-    private final Map<String, Long> mChanged = new HashMap<>();
+    /** When the demand for each service was last updated, milliseconds. */
+    private final Map<String, Long> mUpdatedMillis = new HashMap<>();
 
-    /** The demand of each service as it was published last. */
     private volatile Map<String, Demand> mPublished = Map.of();
 
     /**
-     * A run that was completed. Immutable and thread safe.
+     * A completed run. Immutable and thread safe.
      *
-     * @param promptTokens its prompt's length
-     * @param outputTokens what it made
-     * @param millis how long it ran
+     * @param promptTokens the length of its prompt
+     * @param outputTokens the length of its output
+     * @param millis its duration
      */
     public record CompletedRun(long promptTokens, long outputTokens, long millis) {}
 
     /**
-     * Records a request that came for the first time.
+     * Records a request at its first arrival.
      *
-     * @param service its service
-     * @param promptTokens its prompt's length
+     * @param promptTokens the length of its prompt
      * @param now the monotonic clock, milliseconds
      */
     public void recordRequest(String service, long promptTokens, long now) {
@@ -42,10 +40,8 @@
     }
 
     /**
-     * Records a run that was completed.
+     * Records a completed run.
      *
-     * @param service its service
-     * @param run the run
      * @param now the monotonic clock, milliseconds
      */
     public void recordRun(String service, CompletedRun run, long now) {
@@ -53,63 +49,42 @@
     }
 
     /**
-     * Records a prompt that was read without anything waiting before it.
+     * Records a prefill that did not wait behind other prompts.
      *
-     * @param service its service
-     * @param tokens its length
-     * @param millis how long it took
+     * @param tokens the length of the prompt
+     * @param millis its duration
      * @param now the monotonic clock, milliseconds
      */
     public void recordPrefill(String service, long tokens, long millis, long now) {
-        if (tokens >= LEAST_PACED && millis > 0) {
-            add(service, Demand.ofReading(PrefillLatencyModel.of(tokens, millis)), now);
+        if (tokens >= MIN_SAMPLE_TOKENS && millis > 0) {
+            add(service, Demand.ofPrefill(PrefillLatencyModel.of(tokens, millis)), now);
         }
     }
 
     /**
-     * Publishes the demand of each service.
+     * Publishes the current demand for each service.
      *
      * @param now the monotonic clock, milliseconds
-     * @return the demand by service
      */
     public Map<String, Demand> publish(long now) {
         Map<String, Demand> current = new HashMap<>();
-        mDemand.keySet().forEach(service -> current.put(service, at(service, now)));
+        mDemands.keySet().forEach(service -> current.put(service, demandAt(service, now)));
         mPublished = Map.copyOf(current);
         return mPublished;
     }
 
-    /**
-     * Returns a service's demand as it was published last.
-     *
-     * @param service the service
-     * @return the demand
-     */
+    /** Returns the demand for a service as last published. */
     public Demand published(String service) {
         return mPublished.getOrDefault(service, Demand.NONE);
     }
 
-    /**
-     * Adds to a service's demand.
-     *
-     * @param service the service
-     * @param more what is added
-     * @param now the monotonic clock, milliseconds
-     */
     private void add(String service, Demand more, long now) {
-        mDemand.put(service, at(service, now).plus(more));
-        mChanged.put(service, now);
+        mDemands.put(service, demandAt(service, now).plus(more));
+        mUpdatedMillis.put(service, now);
     }
 
-    /**
-     * Returns a service's demand.
-     *
-     * @param service the service
-     * @param now the monotonic clock, milliseconds
-     * @return the demand now
-     */
-    private Demand at(String service, long now) {
-        Demand before = mDemand.getOrDefault(service, Demand.NONE);
-        return before.after(now - mChanged.getOrDefault(service, now));
+    private Demand demandAt(String service, long now) {
+        Demand last = mDemands.getOrDefault(service, Demand.NONE);
+        return last.decayed(now - mUpdatedMillis.getOrDefault(service, now));
     }
 }
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/cluster/LoadRelay.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/cluster/LoadRelay.java
@@ -15,80 +15,67 @@
 import org.troutpier.daemon.quarantine.CrashReport;
 
 /**
- * Tells other routers of this one's load and, where the {@link RelayPlan} makes this router a
- * relay, hands on the loads and refusals of others: to the other relays when they change, to those
- * that report to it when they ask and now and then. Confined to the control thread. Invariants:
- * nobody is told of its own load; what is told of a group is this router's load and those that
- * report to it, so that no router counts twice.
+ * Sends this router's load to others and, where the {@link RelayPlan} makes it a relay, forwards
+ * the loads and notices of others: to the other relays when they change, to the members of its
+ * group on request and periodically. Confined to the control thread. Invariants: no router receives
+ * its own load; a group's report covers this router and its members, so that no router is counted
+ * twice.
  */
 final class LoadRelay {
 
     /**
-     * The shortest pause between two times that a relay hands on what changed, milliseconds: half
-     * the age that loads may have.
+     * Minimum interval between two forwards of changes, milliseconds: half the age that loads may
+     * have.
      */
-    private static final long RELAY_MILLIS = 50;
+    private static final long MIN_RELAY_MILLIS = 50;
 
     /**
-     * After how long a relay tells its hall of the others, asked or not, and the other relays of
-     * what has not changed, milliseconds: the second tick after it last did.
+     * Interval at which a relay sends unchanged reports to the other relays, and to its group even
+     * without a request, milliseconds: the second tick after the last report.
      */
-    private static final long UNCHANGED_MILLIS =
+    private static final long MAX_RELAY_MILLIS =
             2 * PeerExchange.TICK_MILLIS - PeerExchange.TICK_MILLIS / 2;
 
-    /** How long it is waited for more of what mostly comes together, milliseconds. */
-    static final long GATHER_MILLIS = 5;
+    /** Time for which changes that usually come together are collected, milliseconds. */
+    static final long BATCH_MILLIS = 5;
 
-    /** The router's identity, threads, clock and metrics. */
     private final Node mNode;
 
-    /** Connections to the others. */
     private final PeerLinks mLinks;
 
-    /** What the others said. */
     private final PeerLoads mLoads;
 
-    /** To whom this router tells what. */
     private final Supplier<RelayPlan> mPlan;
 
-    /** Keys of requests that were refused. */
-    private final NoticeOutbox<String> mRefused = new NoticeOutbox<>(PeerMessage.Refused::new);
+    /** Keys of refused requests. */
+    private final NoticeOutbox<String> mRefusals = new NoticeOutbox<>(PeerMessage.Refused::new);
 
-    /** Requests under which upstreams ended. */
-    private final NoticeOutbox<CrashReport> mCrashed = new NoticeOutbox<>(PeerMessage.Crashed::new);
+    /** Requests during which upstreams crashed. */
+    private final NoticeOutbox<CrashReport> mCrashes = new NoticeOutbox<>(PeerMessage.Crashed::new);
 
-    /** Upstreams that have announced that they leave. */
     private final NoticeOutbox<UpstreamIncarnation> mLeaving =
             new NoticeOutbox<>(PeerMessage.Leaving::new);
 
-    /** This router's latest report. */
-    private LoadReport mOwn = LoadReport.NONE;
+    private LoadReport mOwnReport = LoadReport.NONE;
 
-    /** When that was made, milliseconds. */
-    private long mOwnAt;
+    private long mOwnReportMillis;
 
-    /** Whether there is something to tell the other relays. */
-    private boolean mChanged;
+    /** Whether the group's load changed since it was last sent to the other relays. */
+    private boolean mGroupChanged;
 
-    /** Whether it is about to be told. */
-    private boolean mRelaying;
+    private boolean mRelayScheduled;
 
-    /** When it was last looked for something to tell, milliseconds. */
-    private long mRelayedAt;
+    private long mLastRelayMillis;
 
-    /** When the other relays were last told of this group, milliseconds. */
-    private long mGroupToldAt;
+    private long mGroupSentMillis;
 
-    /** When those that report to this router were last told of the others, milliseconds. */
-    private long mRestToldAt;
+    private long mRestSentMillis;
 
     /**
      * Creates a relay.
      *
-     * @param node the router's identity, threads, clock and metrics
-     * @param links connections to the others
-     * @param loads what the others said
-     * @param plan to whom this router tells what; asked each time
+     * @param loads the others' reports
+     * @param plan supplies the current plan
      */
     LoadRelay(Node node, PeerLinks links, PeerLoads loads, Supplier<RelayPlan> plan) {
         mNode = node;
@@ -97,134 +84,118 @@
         mPlan = plan;
     }
 
-    /**
-     * Returns all whom this router tells what everybody should know.
-     *
-     * @return who they are
-     */
-    Set<Incarnation> audience() {
-        Set<Incarnation> audience =
-                incarnations(mPlan.get().direct() ? mPlan.get().wanted() : mPlan.get().relays());
-        mPlan.get().reportTo().ifPresent(relay -> audience.add(relay.incarnation()));
-        audience.addAll(locals());
-        return audience;
+    /** Returns the routers to which this router sends notices that all routers must receive. */
+    Set<Incarnation> broadcastTargets() {
+        Set<Incarnation> targets =
+                incarnations(
+                        mPlan.get().direct()
+                                ? mPlan.get().connectionTargets()
+                                : mPlan.get().relays());
+        mPlan.get().reportTo().ifPresent(relay -> targets.add(relay.incarnation()));
+        targets.addAll(groupMembers());
+        return targets;
     }
 
     /**
      * Returns the routers of this hall that report to this relay.
      *
-     * @return who they are
+     * @return the routers; empty if this router is not a relay
      */
-    Set<Incarnation> locals() {
-        return mPlan.get().relay() ? mLoads.reporters(ReportScope.OWN) : Set.of();
+    Set<Incarnation> groupMembers() {
+        return mPlan.get().isRelay() ? mLoads.reporters(ReportScope.OWN) : Set.of();
     }
 
-    /**
-     * Tells the others of this router's load.
-     *
-     * @param report what to tell
-     */
-    void tell(LoadReport report) {
-        boolean news = !report.sameLoad(mOwn);
-        mOwn = report;
-        mOwnAt = mNode.millis();
-        if (news) {
-            changed();
+    void publish(LoadReport report) {
+        boolean changed = !report.hasSameLoad(mOwnReport);
+        mOwnReport = report;
+        mOwnReportMillis = mNode.millis();
+        if (changed) {
+            onGroupChanged();
         }
         PeerMessage.Load load = new PeerMessage.Load(ReportScope.OWN, report);
         if (mPlan.get().direct()) {
-            mLinks.sendAll(incarnations(mPlan.get().wanted()), load);
+            mLinks.sendAll(incarnations(mPlan.get().connectionTargets()), load);
         } else {
             mPlan.get().reportTo().ifPresent(relay -> mLinks.send(relay.incarnation(), load));
         }
     }
 
-    /** Tells what has not been told for long. */
-    void repeat() {
-        if (!mPlan.get().relay()) {
+    /** Resends reports that were last sent {@link #MAX_RELAY_MILLIS} ago or earlier. */
+    void resendUnchanged() {
+        if (!mPlan.get().isRelay()) {
             return;
         }
-        if (mNode.millis() - mGroupToldAt >= UNCHANGED_MILLIS) {
-            tellGroup();
+        if (mNode.millis() - mGroupSentMillis >= MAX_RELAY_MILLIS) {
+            sendGroup();
         }
-        if (mNode.millis() - mRestToldAt >= UNCHANGED_MILLIS) {
-            mRestToldAt = mNode.millis();
-            locals().forEach(this::tellRest);
+        if (mNode.millis() - mRestSentMillis >= MAX_RELAY_MILLIS) {
+            mRestSentMillis = mNode.millis();
+            groupMembers().forEach(this::sendRest);
         }
     }
 
-    /**
-     * Tells one that reports to this router of the others, as they are now.
-     *
-     * @param from who asked
-     */
-    void asked(Incarnation from) {
-        if (mPlan.get().relay()) {
-            tellRest(from);
+    /** Answers a member's request for the load of all other routers. */
+    void onLoadRequest(Incarnation from) {
+        if (mPlan.get().isRelay()) {
+            sendRest(from);
         }
     }
 
-    /** Has what changed handed on: soon, or once the shortest pause is over. */
-    private void relaySoon() {
-        if (!mRelaying) {
-            mRelaying = true;
-            long left = RELAY_MILLIS - (mNode.millis() - mRelayedAt);
-            mNode.control().later(this::relay, Math.max(GATHER_MILLIS, left));
+    /**
+     * Schedules forwarding changes, after {@link #BATCH_MILLIS} or the rest of the minimum
+     * interval.
+     */
+    private void scheduleRelay() {
+        if (!mRelayScheduled) {
+            mRelayScheduled = true;
+            long remaining = MIN_RELAY_MILLIS - (mNode.millis() - mLastRelayMillis);
+            mNode.control().later(this::relay, Math.max(BATCH_MILLIS, remaining));
         }
     }
 
-    /** Hands on what changed. */
+    /** Forwards changes. */
     private void relay() {
-        mRelaying = false;
-        mRelayedAt = mNode.millis();
-        mRefused.tell(mLinks, audience(), locals());
-        if (mPlan.get().relay() && mChanged) {
-            tellGroup();
+        mRelayScheduled = false;
+        mLastRelayMillis = mNode.millis();
+        mRefusals.flush(mLinks, broadcastTargets(), groupMembers());
+        if (mPlan.get().isRelay() && mGroupChanged) {
+            sendGroup();
         }
     }
 
-    /** Tells the other relays of this router's group. */
-    private void tellGroup() {
-        mChanged = false;
-        mGroupToldAt = mNode.millis();
+    /** Sends the load of this router's group to the other relays. */
+    private void sendGroup() {
+        mGroupChanged = false;
+        mGroupSentMillis = mNode.millis();
         LoadReport group =
-                own().plus(mLoads.reports(EnumSet.of(ReportScope.OWN), null, mNode.millis()));
+                ownReport().plus(mLoads.reports(EnumSet.of(ReportScope.OWN), null, mNode.millis()));
         mLinks.sendAll(otherRelays(), new PeerMessage.Load(ReportScope.GROUP, group));
     }
 
-    /**
-     * Tells one that reports to this router of all others.
-     *
-     * @param local whom to tell
-     */
-    private void tellRest(Incarnation local) {
-        LoadReport rest = own().plus(mLoads.reports(counted(), local, mNode.millis()));
-        mLinks.send(local, new PeerMessage.Load(ReportScope.REST, rest));
+    /** Sends the load of all other routers to a member of the group. */
+    private void sendRest(Incarnation member) {
+        LoadReport rest = ownReport().plus(mLoads.reports(countedScopes(), member, mNode.millis()));
+        mLinks.send(member, new PeerMessage.Load(ReportScope.REST, rest));
     }
 
-    /**
-     * Returns this router's latest report as it is now.
-     *
-     * @return the report
-     */
-    private LoadReport own() {
-        return mOwn.later(mNode.millis() - mOwnAt);
+    private LoadReport ownReport() {
+        return mOwnReport.aged(mNode.millis() - mOwnReportMillis);
     }
 
-    /** Notes that the other relays are to be told, where this router does that. */
-    void changed() {
-        mChanged = true;
-        if (mPlan.get().relay()) {
-            relaySoon();
+    /**
+     * Notes a change of the group's load, and schedules forwarding it where this router is a relay.
+     */
+    void onGroupChanged() {
+        mGroupChanged = true;
+        if (mPlan.get().isRelay()) {
+            scheduleRelay();
         }
     }
 
     /**
-     * Returns the other relays: those of the plan, and those that say so of themselves by telling
-     * of a group. A router that took a relay's place while it was not heard would else never hear
-     * it again, since it expects what relays tell each other.
-     *
-     * @return who they are
+     * Returns the other relays: those of the plan, and routers that send group reports. Relays
+     * expect reports of each other, so a router that took over while a relay was unreachable would
+     * otherwise receive nothing from it again.
      */
     Set<Incarnation> otherRelays() {
         Set<Incarnation> relays = incarnations(mPlan.get().relays());
@@ -233,74 +204,68 @@
     }
 
     /**
-     * Returns the scopes that count under the plan.
-     *
-     * @return the scopes, each of which tells of other routers
+     * Returns the report scopes that are counted under the plan, each of which covers other
+     * routers.
      */
-    Set<ReportScope> counted() {
+    Set<ReportScope> countedScopes() {
         if (mPlan.get().direct()) {
             return EnumSet.of(ReportScope.OWN);
         }
-        return mPlan.get().relay()
+        return mPlan.get().isRelay()
                 ? EnumSet.of(ReportScope.OWN, ReportScope.GROUP)
                 : EnumSet.of(ReportScope.REST);
     }
 
     /**
-     * Has it told that requests were refused.
+     * Announces refused requests with the next forward.
      *
-     * @param keys the parts of their prompts that are their own
-     * @param here whether by this router or by one that reports to it, so that all are to hear it;
-     *     otherwise only those that report to this router
+     * @param keys the parts of their prompts that are not shared with other requests
+     * @param local whether they were refused by this router or a member of its group, so that all
+     *     routers are notified; otherwise only the members
      */
-    void refused(List<String> keys, boolean here) {
-        mRefused.add(keys, here);
-        relaySoon();
+    void announceRefusals(List<String> keys, boolean local) {
+        mRefusals.add(keys, local);
+        scheduleRelay();
     }
 
     /**
-     * Has it told that upstreams ended under requests: at once, since the same request may come at
-     * any router in the same moment.
+     * Announces requests during which upstreams crashed: immediately, since the same request may
+     * arrive at any router at the same time.
      *
-     * @param reports what is known of them
-     * @param here whether by this router or by one that reports to it, so that all are to hear it;
-     *     otherwise only those that report to this router
+     * @param reports the records
+     * @param local whether they come from this router or a member of its group, so that all routers
+     *     are notified; otherwise only the members
      */
-    void crashed(List<CrashReport> reports, boolean here) {
-        atOnce(mCrashed, reports, here);
+    void announceCrashes(List<CrashReport> reports, boolean local) {
+        sendImmediately(mCrashes, reports, local);
     }
 
     /**
-     * Has it reported that upstreams have announced that they leave: at once, since each router
-     * goes on sending to them until it knows.
+     * Announces upstreams that are leaving: immediately, since each router sends work to them until
+     * it knows.
      *
-     * @param upstreams their starts
-     * @param here whether by this router or by one that reports to it, so that all are to receive
-     *     it; otherwise only those that report to this router
+     * @param upstreams their incarnations
+     * @param local whether they come from this router or a member of its group, so that all routers
+     *     are notified; otherwise only the members
      */
-    void leaving(List<UpstreamIncarnation> upstreams, boolean here) {
-        atOnce(mLeaving, upstreams, here);
+    void announceLeaving(List<UpstreamIncarnation> upstreams, boolean local) {
+        sendImmediately(mLeaving, upstreams, local);
     }
 
     /**
-     * Has notices reported once what is under way on the control thread is done.
+     * Sends notices after the current task of the control thread, together with those it still
+     * adds.
      *
-     * @param outbox where they wait
-     * @param notices the notices
-     * @param here whether all are to receive them; otherwise only those that report to this router
+     * @param outbox holds them until then
+     * @param local whether all routers are notified; otherwise only the members of the group
      * @param <T> the notices' type
      */
-    private <T> void atOnce(NoticeOutbox<T> outbox, List<T> notices, boolean here) {
-        outbox.add(notices, here);
-        mNode.control().execute(() -> outbox.tell(mLinks, audience(), locals()));
+    private <T> void sendImmediately(NoticeOutbox<T> outbox, List<T> notices, boolean local) {
+        outbox.add(notices, local);
+        mNode.control().execute(() -> outbox.flush(mLinks, broadcastTargets(), groupMembers()));
     }
 
-    /**
-     * Returns members' incarnations.
-     *
-     * @param members the members
-     * @return a new set
-     */
+    /** Returns members' incarnations in a new, modifiable set. */
     static Set<Incarnation> incarnations(Collection<Member> members) {
         Set<Incarnation> incarnations = new HashSet<>();
         members.forEach(member -> incarnations.add(member.incarnation()));
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/cluster/LoadReport.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/cluster/LoadReport.java
@@ -12,19 +12,20 @@
 import org.troutpier.daemon.organisation.UsageReport;
 
 /**
- * What one or several routers tell the others of themselves. Immutable and thread safe. Each router
- * tells it up to twenty times a second, so its fields go without their names.
+ * The load that one or several routers report to the others. Immutable and thread safe. Each router
+ * sends up to 20 reports a second, so it is encoded as an array, without the names of its
+ * components.
  *
  * @param configuration the version of the configuration in force at the sender; -1 for none
- * @param routers how many routers it tells of
- * @param roleHolder whether one of them decides engines' roles
- * @param changing the engines that change their role by their orders
- * @param waitingTokens the prompts' tokens of requests that wait for memory at a decode engine
- * @param refusing the engines that refused runs they had set places aside for
- * @param uses what they have under way at each upstream
- * @param demands what callers asked of each model service lately
- * @param organisations what organisations with a limit used lately
- * @param rates the upstreams that name rates, and what they were sent lately
+ * @param routers how many routers the report covers
+ * @param roleHolder whether one of them holds the lease to assign engine roles
+ * @param changing the engines that they have ordered to change their role
+ * @param waitingTokens prompt tokens of requests that wait for memory at a decode engine
+ * @param refusing the engines that refused runs although they had granted a reservation
+ * @param uses their usage of each upstream
+ * @param demands recent demand for each model service
+ * @param organisations recent usage by organisations that have a limit
+ * @param rates the upstreams that announce rates, and what was recently sent to them
  */
 @JsonFormat(shape = JsonFormat.Shape.ARRAY)
 public record LoadReport(
@@ -39,7 +40,7 @@
         UsageReport organisations,
         Map<UpstreamIncarnation, RateReport> rates) {
 
-    /** The report of no router. */
+    /** A report that covers no router. */
     public static final LoadReport NONE =
             new LoadReport(
                     -1,
@@ -53,7 +54,7 @@
                     UsageReport.NONE,
                     Map.of());
 
-    /** Copies the maps. */
+    /** Copies the collections; null organisations or rates stand for none. */
     public LoadReport {
         changing = Set.copyOf(changing);
         refusing = Set.copyOf(refusing);
@@ -63,49 +64,31 @@
         rates = rates == null ? Map.of() : Map.copyOf(rates);
     }
 
-    /**
-     * Returns the report of nothing but organisations' use.
-     *
-     * @param use the use
-     * @return a report that tells of no router
-     */
-    static LoadReport of(UsageReport use) {
-        return NONE.with(use);
+    /** Creates a report that covers no router and holds only usage by organisations. */
+    static LoadReport ofUsage(UsageReport usage) {
+        return NONE.withUsage(usage);
     }
 
-    /**
-     * Returns this report with other use of organisations.
-     *
-     * @param use the use
-     * @return a new report
-     */
-    LoadReport with(UsageReport use) {
-        return with(use, rates);
+    LoadReport withUsage(UsageReport usage) {
+        return withUsage(usage, rates);
     }
 
     /**
-     * Returns this report as it is some time later.
+     * Returns this report with its announced rates aged by a time.
      *
-     * @param millis how much later, milliseconds
-     * @return a report whose named rates are older
+     * @param millis the time, milliseconds
      */
-    LoadReport later(long millis) {
+    LoadReport aged(long millis) {
         if (rates.isEmpty()) {
             return this;
         }
-        Map<UpstreamIncarnation, RateReport> older = new HashMap<>();
-        rates.forEach((upstream, report) -> older.put(upstream, report.aged(millis)));
-        return with(organisations, older);
+        Map<UpstreamIncarnation, RateReport> agedRates = new HashMap<>();
+        rates.forEach((upstream, report) -> agedRates.put(upstream, report.aged(millis)));
+        return withUsage(organisations, agedRates);
     }
 
-    /**
-     * Returns this report with other use against limits.
-     *
-     * @param use the use of organisations
-     * @param named the upstreams that name rates, and what they were sent
-     * @return a new report
-     */
-    private LoadReport with(UsageReport use, Map<UpstreamIncarnation, RateReport> named) {
+    private LoadReport withUsage(
+            UsageReport usage, Map<UpstreamIncarnation, RateReport> announcedRates) {
         return new LoadReport(
                 configuration,
                 routers,
@@ -115,35 +98,29 @@
                 refusing,
                 uses,
                 demands,
-                use,
-                named);
+                usage,
+                announcedRates);
     }
 
     /**
-     * Returns whether another report says the same but for the demand, which drifts all the time
-     * and matters to the decisions of seconds only, and for use against limits, which rises with
-     * what is under way and falls by itself.
-     *
-     * @param other the other report
-     * @return whether it does
+     * Returns whether another report has the same load. Demand is not compared, since it drifts all
+     * the time and affects only decisions on a scale of seconds; neither is usage against limits,
+     * which rises with the calls in progress and falls by itself.
      */
-    boolean sameLoad(LoadReport other) {
+    boolean hasSameLoad(LoadReport other) {
         return configuration == other.configuration
                 && routers == other.routers
                 && roleHolder == other.roleHolder
                 && changing.equals(other.changing)
                 && refusing.equals(other.refusing)
                 && uses.equals(other.uses)
-                && namesSameRates(other);
+                && hasSameRates(other);
     }
 
     /**
-     * Returns whether another report names the same rates, whatever their age and use.
-     *
-     * @param other the other report
-     * @return whether it does
+     * Returns whether another report has the same announced rates, whatever their age and usage.
      */
-    private boolean namesSameRates(LoadReport other) {
+    private boolean hasSameRates(LoadReport other) {
         return rates.keySet().equals(other.rates.keySet())
                 && rates.entrySet().stream()
                         .allMatch(
@@ -155,43 +132,38 @@
                                                         .perSecond());
     }
 
-    /**
-     * Returns the report of these and other routers together, with this sender's configuration.
-     *
-     * @param others the others' reports
-     * @return a new report
-     */
+    /** Returns the total of this report and others, with this report's configuration version. */
     public LoadReport plus(Iterable<LoadReport> others) {
-        int count = routers;
-        boolean holder = roleHolder;
-        long waiting = waitingTokens;
-        Set<UpstreamIncarnation> changed = new HashSet<>(changing);
-        Set<UpstreamIncarnation> refused = new HashSet<>(refusing);
+        int routerCount = routers;
+        boolean anyRoleHolder = roleHolder;
+        long allWaitingTokens = waitingTokens;
+        Set<UpstreamIncarnation> allChanging = new HashSet<>(changing);
+        Set<UpstreamIncarnation> allRefusing = new HashSet<>(refusing);
         Map<UpstreamIncarnation, UpstreamUsage> allUses = new HashMap<>(uses);
         Map<String, Demand> allDemands = new HashMap<>(demands);
-        List<UsageReport> allUse = new ArrayList<>();
+        List<UsageReport> otherUsage = new ArrayList<>();
         Map<UpstreamIncarnation, RateReport> allRates = new HashMap<>(rates);
         for (LoadReport other : others) {
-            count += other.routers;
-            holder |= other.roleHolder;
-            waiting += other.waitingTokens;
-            changed.addAll(other.changing);
-            refused.addAll(other.refusing);
-            other.uses.forEach((id, use) -> allUses.merge(id, use, UpstreamUsage::plus));
+            routerCount += other.routers;
+            anyRoleHolder |= other.roleHolder;
+            allWaitingTokens += other.waitingTokens;
+            allChanging.addAll(other.changing);
+            allRefusing.addAll(other.refusing);
+            other.uses.forEach((id, usage) -> allUses.merge(id, usage, UpstreamUsage::plus));
             other.demands.forEach((name, demand) -> allDemands.merge(name, demand, Demand::plus));
-            allUse.add(other.organisations);
+            otherUsage.add(other.organisations);
             other.rates.forEach((id, rate) -> allRates.merge(id, rate, RateReport::plus));
         }
         return new LoadReport(
                 configuration,
-                count,
-                holder,
-                waiting,
-                changed,
-                refused,
+                routerCount,
+                anyRoleHolder,
+                allWaitingTokens,
+                allChanging,
+                allRefusing,
                 allUses,
                 allDemands,
-                organisations.plus(allUse),
+                organisations.plus(otherUsage),
                 allRates);
     }
 }
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/cluster/LoadReporter.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/cluster/LoadReporter.java
@@ -13,68 +13,54 @@
 import org.troutpier.daemon.serving.UpstreamRates;
 
 /**
- * Reports this router's load to the others: soon after it changed, and now and then when it did
- * not. Confined to the traffic loop.
+ * Reports this router's load to the others, shortly after each change and at a fixed interval
+ * otherwise. Confined to the traffic loop.
  */
 public final class LoadReporter {
 
-    /** After how long an unchanged load is reported again, milliseconds. */
-    private static final long UNCHANGED_MILLIS = 500;
+    /** Interval at which an unchanged load is reported again, milliseconds. */
+    private static final long MAX_INTERVAL_MILLIS = 500;
 
-    /** The traffic loop. */
     private final TrafficLoop mLoop;
 
-    /** What is under way. */
     private final UpstreamLoads mLoads;
 
-    /** Who waits for places. */
-    private final ReservationAllocator mPlaces;
+    private final ReservationAllocator mReservations;
 
-    /** What was asked lately. */
     private final DemandMeter mDemand;
 
-    /** What organisations used here. */
     private final OrganisationLimiter mOrganisations;
 
-    /** The rates that upstreams name. */
     private final UpstreamRates mRates;
 
-    /** The version in force. */
     private final CurrentConfiguration mConfiguration;
 
-    /** Decides engines' roles, if this router does. */
     private final RoleController mRoles;
 
-    /** The control thread, where reports are sent. */
     private final Control mControl;
 
-    /** Sends reports. */
     private final PeerExchange mExchange;
 
-    /** The use that was reported last. */
-    private Map<UpstreamIncarnation, UpstreamUsage> mReported = new HashMap<>();
+    private Map<UpstreamIncarnation, UpstreamUsage> mReportedUsage = new HashMap<>();
 
-    /** When it is looked what changed. */
-    private final ReportPace mPace;
+    private final ReportScheduler mScheduler;
 
     /**
      * Creates a reporter.
      *
-     * @param loop the traffic loop
-     * @param loads what is under way
-     * @param places who waits for places
-     * @param demand what was asked lately
-     * @param organisations what organisations used here
-     * @param rates the rates that upstreams name
-     * @param configuration the version in force
-     * @param roles decides engines' roles, if this router does
-     * @param control the control thread
+     * @param loads the usage of upstreams by this router
+     * @param reservations requests that wait for reservations
+     * @param demand the demand at this router
+     * @param organisations the usage by organisations at this router
+     * @param rates the rates that upstreams announce
+     * @param roles assigns engine roles, if this router holds the lease
+     * @param control the control thread, where reports are sent
      * @param exchange sends reports
      */
     public LoadReporter(
             TrafficLoop loop,
             UpstreamLoads loads,
-            ReservationAllocator places,
+            ReservationAllocator reservations,
             DemandMeter demand,
             OrganisationLimiter organisations,
             UpstreamRates rates,
@@ -84,7 +70,7 @@
             PeerExchange exchange) {
         mLoop = loop;
         mLoads = loads;
-        mPlaces = places;
+        mReservations = reservations;
         mDemand = demand;
         mOrganisations = organisations;
         mRates = rates;
@@ -92,71 +78,64 @@
         mRoles = roles;
         mControl = control;
         mExchange = exchange;
-        mPace = new ReportPace(loop, this::look);
+        mScheduler = new ReportScheduler(loop, this::reportIfChanged);
     }
 
-    /** Starts to report. */
+    /** Starts reporting. */
     public void start() {
         mLoop.execute(
                 () -> {
                     mLoads.onUrgentChange(this::report);
-                    mLoads.onChange(mPace::changed);
-                    mLoads.onTokensAdded(mPace::grown);
-                    mRoles.onChangingEngines(() -> mLoop.execute(this::rolesChange));
-                    repeat();
+                    mLoads.onChange(mScheduler::onCallChange);
+                    mLoads.onTokensAdded(mScheduler::onTokensAdded);
+                    mRoles.onChangingEngines(() -> mLoop.execute(this::onRoleChange));
+                    reportPeriodically();
                 });
     }
 
-    /** Takes the engines that change their role. */
-    private void rolesChange() {
+    private void onRoleChange() {
         mLoads.setChangingEngines(mRoles.changingEngines());
         report();
     }
 
-    /** Reports if there is something new to tell. */
-    private void look() {
-        Map<UpstreamIncarnation, UpstreamUsage> uses = mLoads.usage();
-        if (!uses.equals(mReported) || mRates.hasUnreportedChanges()) {
-            report(uses);
+    /** Reports if the usage or the announced rates changed. */
+    private void reportIfChanged() {
+        Map<UpstreamIncarnation, UpstreamUsage> usage = mLoads.usage();
+        if (!usage.equals(mReportedUsage) || mRates.hasUnreportedChanges()) {
+            report(usage);
         }
     }
 
-    /** Reports again what has not changed for long. */
-    private void repeat() {
-        long left = UNCHANGED_MILLIS - mPace.ageMillis();
-        if (left <= 0) {
+    /** Reports if nothing was reported for {@link #MAX_INTERVAL_MILLIS}. */
+    private void reportPeriodically() {
+        long remaining = MAX_INTERVAL_MILLIS - mScheduler.millisSinceReport();
+        if (remaining <= 0) {
             report();
-            left = UNCHANGED_MILLIS;
+            remaining = MAX_INTERVAL_MILLIS;
         }
-        mLoop.schedule(this::repeat, left);
+        mLoop.schedule(this::reportPeriodically, remaining);
     }
 
-    /** Reports now. */
     private void report() {
         report(mLoads.usage());
     }
 
-    /**
-     * Reports now.
-     *
-     * @param uses what is under way
-     */
-    private void report(Map<UpstreamIncarnation, UpstreamUsage> uses) {
-        mPace.reported();
-        mReported = uses;
+    private void report(Map<UpstreamIncarnation, UpstreamUsage> usage) {
+        mScheduler.recordReport();
+        mReportedUsage = usage;
         mConfiguration.current().ifPresent(mOrganisations::applyConfiguration);
         LoadReport report =
                 new LoadReport(
                         mConfiguration.version(),
                         1,
                         mRoles.holdsLease(),
-                        mPlaces.waitingTokens(),
+                        mReservations.waitingTokens(),
                         mRoles.changingEngines(),
                         mLoads.refusingEngines(),
-                        uses,
+                        usage,
                         mDemand.publish(mLoop.millis()),
                         mOrganisations.report(),
                         mRates.report());
-        mControl.execute(() -> mExchange.tell(report));
+        mControl.execute(() -> mExchange.publishLoad(report));
     }
 }
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/cluster/LoadView.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/cluster/LoadView.java
@@ -10,137 +10,127 @@
 import org.troutpier.daemon.serving.TrafficLoop;
 
 /**
- * Has decisions made by what the other routers have under way now. Confined to the traffic loop.
+ * Defers decisions until the load of the other routers is known recently enough. Confined to the
+ * traffic loop.
  *
- * <p>It answers large fleets, in which a router serves about one request a second: told of each
- * change by its relay, it decoded 20 reports a second and used one of them.
+ * <p>Intended for large fleets, where a router serves about one request a second: when its relay
+ * pushed each change, a router decoded 20 reports a second and used one of them.
  */
 public interface LoadView {
 
     /**
-     * Runs a decision once the use of upstreams is known as it is now, at once where it is.
+     * Runs a decision once the usage of upstreams is recent enough, immediately where it already
+     * is.
      *
      * @param decision the decision; run on the traffic loop
      */
     void whenFresh(Runnable decision);
 
     /**
-     * time; a decision waits for {@link #MOST_MILLIS} at most, and is made by what was told before
-     * where the answer is not there by then.
+     * Queries the load of the other routers before decisions that find it older than {@link
+     * #MAX_AGE_MILLIS}. Decisions that arrive during a query share its answer; each waits for
+     * {@link #MAX_WAIT_MILLIS} at most, and is then made with the load known before.
      */
     final class ForDecisions implements LoadView {
 
         /**
-         * How old a view may be, milliseconds: under half of the pause in which routers report
-         * their own use.
+         * Age up to which a view counts as fresh, milliseconds: under half of the interval at which
+         * routers report their own usage.
          */
-        static final long FRESH_MILLIS = 20;
+        static final long MAX_AGE_MILLIS = 20;
 
         /**
-         * How long a decision waits for the answer, milliseconds. A question within a hall is
-         * answered in one to three; of the shortest targets of callers this is a seventh.
+         * Longest time that a decision waits for the answer, milliseconds. A query within a hall is
+         * answered in one to three; the limit is a seventh of the callers' shortest latency target.
          */
-        static final long MOST_MILLIS = 20;
+        static final long MAX_WAIT_MILLIS = 20;
 
-        /** Logs decisions that threw. */
         private static final Logger LOGGER = LogManager.getLogger(LoadView.class);
 
-        /** The traffic loop. */
         private final TrafficLoop mLoop;
 
-        /** Asks, and runs what it is given once the answer is there, on any thread. */
-        private final Consumer<Runnable> mQuestion;
+        /** Sends a query and runs its argument once the answer was received, on any thread. */
+        private final Consumer<Runnable> mQuery;
 
-        /** Counts questions. */
-        private final Counter mAsked;
+        private final Counter mQueries;
 
-        /** Counts questions that were not answered in time. */
-        private final Counter mUnanswered;
+        private final Counter mTimeouts;
 
-        /** The decisions that wait for the answer; none where no question is under way. */
-        private List<Runnable> mWaiting = new ArrayList<>();
+        /** Decisions that wait for the answer; empty where no query is in flight. */
+        private List<Runnable> mWaitingDecisions = new ArrayList<>();
 
-        /** The number of the last question. */
-        private long mQuestions;
+        /** The sequence number of the last query. */
+        private long mLastQuery;
 
-        /** Gives the question up. */
-        private TrafficLoop.Timer mTimer;
+        private TrafficLoop.Timer mTimeout;
 
-        /** Until when the view is fresh, milliseconds. */
-        private long mFreshUntil = Long.MIN_VALUE;
+        /** Time until which the view is fresh, milliseconds on the monotonic clock. */
+        private long mFreshUntilMillis = Long.MIN_VALUE;
 
         /**
          * Creates a view.
          *
-         * @param loop the traffic loop
-         * @param question asks, and runs what it is given once the answer is there, on any thread
-         * @param metrics counts questions
+         * @param query sends a query and runs its argument once the answer was received, on any
+         *     thread
+         * @param metrics counts queries and those that timed out
          */
-        public ForDecisions(TrafficLoop loop, Consumer<Runnable> question, MetricRegistry metrics) {
+        public ForDecisions(TrafficLoop loop, Consumer<Runnable> query, MetricRegistry metrics) {
             mLoop = loop;
-            mQuestion = question;
-            mAsked = metrics.counter("view.asked");
-            mUnanswered = metrics.counter("view.unanswered");
+            mQuery = query;
+            mQueries = metrics.counter("view.asked");
+            mTimeouts = metrics.counter("view.unanswered");
         }
 
         /** {@inheritDoc} */
         @Override
         public void whenFresh(Runnable decision) {
-            boolean asking = !mWaiting.isEmpty();
-            if (!asking && mLoop.millis() <= mFreshUntil) {
+            boolean inFlight = !mWaitingDecisions.isEmpty();
+            if (!inFlight && mLoop.millis() <= mFreshUntilMillis) {
                 decision.run();
                 return;
             }
-            mWaiting.add(decision);
-            if (!asking) {
-                ask();
+            mWaitingDecisions.add(decision);
+            if (!inFlight) {
+                query();
             }
         }
 
-        /** Asks for the view. */
-        private void ask() {
-            mAsked.inc();
-            long number = ++mQuestions;
-            mTimer = mLoop.schedule(() -> unanswered(number), MOST_MILLIS);
-            mQuestion.accept(() -> mLoop.execute(() -> answered(number)));
+        private void query() {
+            mQueries.inc();
+            long number = ++mLastQuery;
+            mTimeout = mLoop.schedule(() -> onTimeout(number), MAX_WAIT_MILLIS);
+            mQuery.accept(() -> mLoop.execute(() -> onAnswer(number)));
         }
 
-        /**
-         * Takes note that a question was not answered in time.
-         *
-         * @param number its number
-         */
-        private void unanswered(long number) {
-            mUnanswered.inc();
-            answered(number);
+        private void onTimeout(long number) {
+            mTimeouts.inc();
+            onAnswer(number);
         }
 
         /**
-         * Makes the decisions that wait.
+         * Runs the waiting decisions, unless the query has already ended.
          *
-         * @param number the number of the question that is over
+         * @param number the sequence number of the query
          */
-        private void answered(long number) {
-            if (mWaiting.isEmpty() || number != mQuestions) {
+        private void onAnswer(long number) {
+            if (mWaitingDecisions.isEmpty() || number != mLastQuery) {
                 return;
             }
-            mTimer.cancel();
-            mFreshUntil = mLoop.millis() + FRESH_MILLIS;
-            List<Runnable> waiting = mWaiting;
-            mWaiting = new ArrayList<>();
-            waiting.forEach(ForDecisions::decide);
+            mTimeout.cancel();
+            mFreshUntilMillis = mLoop.millis() + MAX_AGE_MILLIS;
+            List<Runnable> waiting = mWaitingDecisions;
+            mWaitingDecisions = new ArrayList<>();
+            waiting.forEach(ForDecisions::run);
         }
 
         /**
-         * Makes a decision, and keeps its exceptions from the others that waited with it.
-         *
-         * @param decision the decision
+         * Runs a decision, and logs its exceptions so that the other waiting decisions still run.
          */
-        private static void decide(Runnable decision) {
+        private static void run(Runnable decision) {
             try {
                 decision.run();
             } catch (RuntimeException exception) {
-                LOGGER.error("decision failed", exception);
+                LOGGER.error("decision that waited for load reports failed", exception);
             }
         }
     }
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/cluster/MemberRegistry.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/cluster/MemberRegistry.java
@@ -21,74 +21,68 @@
 import org.troutpier.daemon.rows.TableFollower;
 
 /**
- * Where routers find each other: a table with one row for each instance, which its latest
- * incarnation wrote at its start. Confined to the control thread. Invariants: a row only says where
- * a router may be; whether it is there shows when it is reached. A row that cannot be read names no
- * router and takes none away; where it stands in this instance's place, its own is written again.
+ * Registers this router in a table of the store, and finds the other routers there. The table has
+ * one row for each instance, written by its latest start. Confined to the control thread.
+ * Invariants: a row only says where a router may be; whether it runs shows once it is connected. A
+ * row that cannot be decoded neither adds a router nor removes one; in place of this instance's
+ * row, it is overwritten.
  */
 public final class MemberRegistry implements TableFollower.Listener {
 
-    /** The table. */
     private static final String TABLE = "troutpier_members";
 
-    /** How long to wait before a write is tried again, milliseconds. */
+    /** Delay before a write is retried, milliseconds. */
     private static final long RETRY_MILLIS = 400;
 
     /**
-     * How the table is followed: it changes only when a router starts, so the store's return need
-     * not be noticed at once. Each start answers all calls that wait, so with a call of its own at
-     * each router, calls grew with the square of the routers: the hall's reader reads, and its
-     * pages, at most a wait and a pause apart, save the others theirs.
+     * Timing of the table's polling. The table changes only when a router starts, so the return of
+     * the store may be noticed late. Each start answers all waiting calls, so with a call by each
+     * router the number of calls grew with the square of the number of routers. Therefore only the
+     * hall's table reader polls, and a page that it shares, at most one wait and one pause after
+     * the last, saves the others their calls.
      */
-    private static final TableFollower.PollTiming PACE =
+    private static final TableFollower.PollTiming POLL_TIMING =
             new TableFollower.PollTiming(3000, 500, 4000, 2000);
 
-    /** Logs the registration. */
     private static final Logger LOGGER = LogManager.getLogger(MemberRegistry.class);
 
-    /** The router's identity, threads, clock and metrics. */
     private final Node mNode;
 
-    /** The store. */
     private final RowStore mStore;
 
-    /** Receives who is listed. */
     private final PeerExchange mExchange;
 
-    /** Tells of rows that cannot be read. */
-    private final RowDecoder mFaults;
+    private final RowDecoder mDecoder;
 
-    /** Receives how many routers have been there. */
-    private final IntConsumer mCount;
+    /** Receives the number of instances seen so far. */
+    private final IntConsumer mCountListener;
 
-    /** Runs where this instance has no row of an earlier start. */
-    private final Runnable mFirstStart;
+    /** Runs if this instance has no row of an earlier start. */
+    private final Runnable mOnFirstStart;
 
-    /** The instances that have been listed. */
-    private final Set<InstanceId> mSeen = new HashSet<>();
+    /** Instances that have had a readable row, including this one. */
+    private final Set<InstanceId> mSeenInstances = new HashSet<>();
 
-    /** This router's row. */
-    private final byte[] mSelf;
+    /** This router's row, encoded. */
+    private final byte[] mOwnRow;
 
-    /** The version of this instance's row as far as it is known. */
-    private long mVersion;
+    /** The last known version of this instance's row. */
+    private long mOwnVersion;
 
-    /** Whether the next whole table is from a copy. */
+    /** Whether the next snapshot is that of a store restored from a backup copy. */
     private boolean mRestored;
 
-    /** Whether the table was read, so that this router's row can be written. */
-    private boolean mRead;
+    /** Whether the table was read; this router's row is not written before. */
+    private boolean mLoaded;
 
     /**
      * Creates a registry.
      *
-     * @param node the router's identity, threads, clock and metrics
-     * @param store the store
      * @param address where the others reach this router
-     * @param capacity how much this router can do for the others
-     * @param exchange receives who is listed
-     * @param count receives how many routers have been there, on the control thread
-     * @param firstStart runs where this instance has no row of an earlier start, on the control
+     * @param capacity this router's capacity to work for the others
+     * @param exchange receives the rows of the routers
+     * @param countListener receives the number of instances seen so far, on the control thread
+     * @param onFirstStart runs if this instance has no row of an earlier start, on the control
      *     thread
      */
     public MemberRegistry(
@@ -97,15 +91,15 @@
             Address address,
             RouterCapacity capacity,
             PeerExchange exchange,
-            IntConsumer count,
-            Runnable firstStart) {
-        mFirstStart = firstStart;
-        mFaults = new RowDecoder(node.metrics(), node::millis);
-        mCount = count;
+            IntConsumer countListener,
+            Runnable onFirstStart) {
+        mOnFirstStart = onFirstStart;
+        mDecoder = new RowDecoder(node.metrics(), node::millis);
+        mCountListener = countListener;
         mNode = node;
         mStore = store;
         mExchange = exchange;
-        mSelf =
+        mOwnRow =
                 Json.bytes(
                         new MemberRow(
                                 node.incarnation().instance().value(),
@@ -116,31 +110,25 @@
     }
 
     /**
-     * Follows the others, and registers this router once the table was read: written before that,
-     * the row of a router that started again was in conflict with the one of its earlier start.
+     * Follows the table, and registers this router once the table was read: written earlier, the
+     * row of a restarted router conflicts with that of its previous start.
      */
     public void start() {
         TableExchange.ForPages pages = new TableExchange.ForPages(mExchange.tables(), TABLE);
-        pages.follow(mNode, mStore, PACE, this, pages);
+        pages.follow(mNode, mStore, POLL_TIMING, this, pages);
     }
 
-    /** Writes this router's row. */
     private void register() {
         String key = mNode.incarnation().instance().value();
-        mStore.write(new Row(TABLE, "", key, mSelf, 0, false), mVersion)
-                .thenAccept(write -> mNode.control().execute(() -> written(write)));
+        mStore.write(new Row(TABLE, "", key, mOwnRow, 0, false), mOwnVersion)
+                .thenAccept(write -> mNode.control().execute(() -> onWritten(write)));
     }
 
-    /**
-     * Goes on after the write.
-     *
-     * @param write what is known of it
-     */
-    private void written(WriteResult write) {
+    private void onWritten(WriteResult write) {
         switch (write.outcome()) {
             case WRITTEN -> LOGGER.info("router registered version={}", write.version());
             case CONFLICT, OUTDATED -> {
-                mVersion = write.version();
+                mOwnVersion = write.version();
                 register();
             }
             default -> mNode.control().later(this::register, RETRY_MILLIS);
@@ -154,103 +142,90 @@
     }
 
     /**
-     * {@inheritDoc} A copy brings nothing new of routers that are known: their rows may be those of
-     * earlier starts, or missing until they are written again.
+     * {@inheritDoc} The snapshot of a restored store brings no news of known routers: their rows
+     * may be those of earlier starts, or missing until they are written again.
      */
     @Override
     public void onSnapshot(List<Row> rows) {
         if (mRestored) {
             mRestored = false;
-            restore(rows);
+            applyRestored(rows);
             return;
         }
         onChanges(rows);
-        if (!mRead) {
-            mRead = true;
-            if (mVersion == 0) {
-                mFirstStart.run();
+        if (!mLoaded) {
+            mLoaded = true;
+            if (mOwnVersion == 0) {
+                mOnFirstStart.run();
             }
             register();
         }
     }
 
     /**
-     * Takes the routers of a copy that are not known, and writes this one's row again where the
-     * copy has another or none.
-     *
-     * @param rows the rows of the copy
+     * Adds the unknown routers of a restored snapshot, and writes this router's row again where the
+     * snapshot has another one or none.
      */
-    private void restore(List<Row> rows) {
+    private void applyRestored(List<Row> rows) {
         String self = mNode.incarnation().instance().value();
-        mVersion = StoreVersion.NONE;
+        mOwnVersion = StoreVersion.NONE;
         boolean current = false;
         for (Row row : rows) {
             if (row.key().equals(self)) {
-                mVersion = row.version();
-                current = Arrays.equals(row.value(), mSelf);
-            } else if (instance(row).filter(each -> !mSeen.contains(each)).isPresent()) {
+                mOwnVersion = row.version();
+                current = Arrays.equals(row.value(), mOwnRow);
+            } else if (decodeInstance(row)
+                    .filter(each -> !mSeenInstances.contains(each))
+                    .isPresent()) {
                 onChanges(List.of(row));
             }
         }
         if (!current) {
-            long millis = TablePollTimings.restoreMillis();
-            LOGGER.info("router registers again inMillis={}", millis);
-            mNode.control().later(this::register, millis);
+            long delayMillis = TablePollTimings.randomRestoreDelayMillis();
+            LOGGER.info("router registers again inMillis={}", delayMillis);
+            mNode.control().later(this::register, delayMillis);
         }
     }
 
     /** {@inheritDoc} */
     @Override
     public void onChanges(List<Row> rows) {
-        rows.forEach(row -> instance(row).ifPresent(instance -> changed(instance, row)));
-        mCount.accept(mSeen.size());
+        rows.forEach(row -> decodeInstance(row).ifPresent(instance -> apply(instance, row)));
+        mCountListener.accept(mSeenInstances.size());
     }
 
-    /**
-     * Takes a changed row.
-     *
-     * @param instance the router that it is of
-     * @param row the row
-     */
-    private void changed(InstanceId instance, Row row) {
-        Optional<MemberRow> member = row.deleted() ? Optional.empty() : member(row);
+    private void apply(InstanceId instance, Row row) {
+        Optional<MemberRow> member = row.deleted() ? Optional.empty() : decodeMember(row);
         if (instance.equals(mNode.incarnation().instance())) {
-            mVersion = row.deleted() ? 0 : row.version();
-            if (mRead && member.isEmpty()) {
+            mOwnVersion = row.deleted() ? 0 : row.version();
+            if (mLoaded && member.isEmpty()) {
                 mNode.control().later(this::register, RETRY_MILLIS);
             }
         }
         if (row.deleted()) {
-            mExchange.listed(instance, null);
+            mExchange.updateMember(instance, null);
         } else if (member.isPresent()) {
-            mSeen.add(instance);
-            mExchange.listed(instance, member.get());
+            mSeenInstances.add(instance);
+            mExchange.updateMember(instance, member.get());
         }
     }
 
-    /**
-     * Reads a row's key.
-     *
-     * @param row the row
-     * @return the router that it is of, or empty where no router has such a key
-     */
-    private Optional<InstanceId> instance(Row row) {
-        return mFaults.decode(row, each -> new InstanceId(each.key()));
+    private Optional<InstanceId> decodeInstance(Row row) {
+        return mDecoder.decode(row, each -> new InstanceId(each.key()));
     }
 
     /**
-     * Reads a row.
+     * Decodes a row.
      *
-     * @param row the row
-     * @return what it says, or empty where it cannot be read or is of another router
+     * @return its content, or empty where it cannot be decoded or is not that of the row's key
      */
-    private Optional<MemberRow> member(Row row) {
-        return mFaults.decode(
+    private Optional<MemberRow> decodeMember(Row row) {
+        return mDecoder.decode(
                 row,
                 each -> {
                     MemberRow member = Json.read(each.value(), MemberRow.class);
-                    boolean named = member.instance().equals(each.key());
-                    Check.that("instance", named, "is not the key " + each.key());
+                    boolean matchesKey = member.instance().equals(each.key());
+                    Check.that("instance", matchesKey, "is not the key " + each.key());
                     return member;
                 });
     }
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/cluster/MemberRow.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/cluster/MemberRow.java
@@ -7,28 +7,28 @@
 import org.troutpier.common.settings.Check;
 
 /**
- * What a router's row in the table of routers says. Immutable and thread safe.
+ * A router's row in the table of routers. Immutable and thread safe.
  *
  * @param instance the instance's name
  * @param incarnation its latest start
- * @param peer where the other routers reach it
- * @param hall the hall that it stands in
- * @param capacity how much it can do for the others, in points of {@link RouterCapacity}
+ * @param peer the address at which the other routers reach it
+ * @param hall the hall that it is in
+ * @param capacity its capacity in points of {@link RouterCapacity}
  */
 public record MemberRow(
         String instance, String incarnation, String peer, String hall, int capacity) {
 
     /**
-     * Checks the fields, since another writer may have left the row.
+     * Validates the fields, since the row may come from another writer.
      *
-     * @throws IllegalArgumentException if one of them names nothing
+     * @throws IllegalArgumentException if a field is invalid
      */
     public MemberRow {
-        InstanceId named = new InstanceId(instance);
+        InstanceId owner = new InstanceId(instance);
         Check.that(
                 "incarnation",
-                new Incarnation(incarnation).instance().equals(named),
-                "must be a start of " + named + " but is " + incarnation);
+                new Incarnation(incarnation).instance().equals(owner),
+                "must be a start of " + owner + " but is " + incarnation);
         Check.that("peer", Address.parse(peer).port() > 0, "must have a port but is " + peer);
         Check.present("hall", new HallId(hall).value());
         Check.range("capacity", capacity, 0, Integer.MAX_VALUE);
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/cluster/NoticeOutbox.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/cluster/NoticeOutbox.java
@@ -10,65 +10,49 @@
 import org.troutpier.daemon.peer.PeerMessage;
 
 /**
- * What is to be told to the other routers once, gathered until the next time that any is told.
- * Confined to the control thread. Invariant: each notice is told once, to all or to the routers
- * that report to this relay.
+ * Collects notices to other routers until they are sent. Confined to the control thread. Invariant:
+ * each notice is sent once, to all routers or to the members of this relay's group.
  *
  * @param <T> the notices' type
  */
 final class NoticeOutbox<T> {
 
-    /** Makes a message of notices. */
-    private final Function<List<T>, PeerMessage> mMessage;
+    private final Function<List<T>, PeerMessage> mMessageFactory;
 
-    /** Notices that are to be told to all. */
-    private final List<T> mHere = new ArrayList<>();
+    /** Notices to all routers. */
+    private final List<T> mLocalNotices = new ArrayList<>();
 
-    /** Notices that relays told, to be told to the hall. */
-    private final List<T> mElsewhere = new ArrayList<>();
+    /** Notices that came from other relays, to the members of the group. */
+    private final List<T> mRemoteNotices = new ArrayList<>();
 
-    /**
-     * Creates an empty outbox.
-     *
-     * @param message makes a message of notices
-     */
-    NoticeOutbox(Function<List<T>, PeerMessage> message) {
-        mMessage = message;
+    NoticeOutbox(Function<List<T>, PeerMessage> messageFactory) {
+        mMessageFactory = messageFactory;
     }
 
     /**
      * Adds notices.
      *
-     * @param notices the notices
-     * @param here whether they are of this router or of one that reports to it, so that all are to
-     *     hear them; otherwise only those that report to this router
+     * @param local whether they come from this router or a member of its group, so that all routers
+     *     are notified; otherwise only the members
      */
-    void add(Collection<T> notices, boolean here) {
-        (here ? mHere : mElsewhere).addAll(notices);
+    void add(Collection<T> notices, boolean local) {
+        (local ? mLocalNotices : mRemoteNotices).addAll(notices);
     }
 
     /**
-     * Tells what was added.
+     * Sends and removes all notices.
      *
-     * @param links connections to the others
-     * @param audience all whom this router tells what everybody should know
-     * @param locals the routers that report to this one
+     * @param broadcastTargets the routers that receive notices to all
+     * @param groupMembers the members of this relay's group
      */
-    void tell(PeerLinks links, Set<Incarnation> audience, Set<Incarnation> locals) {
-        tell(links, mHere, audience);
-        tell(links, mElsewhere, locals);
+    void flush(PeerLinks links, Set<Incarnation> broadcastTargets, Set<Incarnation> groupMembers) {
+        flush(links, mLocalNotices, broadcastTargets);
+        flush(links, mRemoteNotices, groupMembers);
     }
 
-    /**
-     * Tells some of it.
-     *
-     * @param links connections to the others
-     * @param notices the notices, emptied then
-     * @param to whom to tell
-     */
-    private void tell(PeerLinks links, List<T> notices, Set<Incarnation> to) {
+    private void flush(PeerLinks links, List<T> notices, Set<Incarnation> to) {
         if (!notices.isEmpty()) {
-            links.sendAll(to, mMessage.apply(List.copyOf(notices)));
+            links.sendAll(to, mMessageFactory.apply(List.copyOf(notices)));
             notices.clear();
         }
     }
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/cluster/PeerExchange.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/cluster/PeerExchange.java
@@ -25,242 +25,208 @@
 import org.troutpier.daemon.serving.EngineUsageReconciler;
 
 /**
- * Tells the other routers of this one's load and receives theirs, as the {@link RelayPlan} says;
- * hands a newer configuration to a router that has an older one, so that a router which the store
- * turns away still follows; hands what it hears of tables to the {@link TableExchange}. Confined to
- * the control thread. Invariant: nothing here is needed for a promise; a router that receives
- * nobody serves by what it knows itself.
+ * Exchanges load reports and notices with the other routers, as the {@link RelayPlan} says. Sends
+ * the configuration in force to routers that have an older one, so that a router that the store
+ * rejects still follows, and passes shared tables to the {@link TableExchange}. Confined to the
+ * control thread. Invariant: no guarantee depends on it; a router that receives no message serves
+ * with what it knows itself.
  */
 public final class PeerExchange implements PeerMesh.MessageListener {
 
-    /** The state of a router that runs, in the instance list's words. */
+    /** State of a running router in an instance list. */
     private static final String ALIVE = "alive";
 
-    /** How long a router is not sent the same version again, milliseconds. */
-    private static final long RESEND_MILLIS = 500;
+    /** Time during which the same version is not sent to a router again, milliseconds. */
+    private static final long CONFIGURATION_RESEND_MILLIS = 500;
 
     /**
-     * How long a router has an older version before it is handed the one in force, milliseconds: a
-     * few calls of the store, and with the pause between two reports well under the two seconds in
-     * which a version must be in force everywhere.
+     * Time for which a router may report an older version before it is sent the one in force,
+     * milliseconds: a few calls of the store. With the interval between two reports, it stays well
+     * under the two seconds in which a version must be in force everywhere.
      */
-    private static final long BEHIND_MILLIS = 300;
+    private static final long OUTDATED_GRACE_MILLIS = 300;
 
-    /** How often it is looked who is silent and which reports are too old, milliseconds. */
+    /** Interval between checks for silent routers and expired reports, milliseconds. */
     static final long TICK_MILLIS = 250;
 
-    /** After how many ticks the plan is made again though nothing is known to have changed. */
-    private static final int MOST_TICKS = 4;
+    /** Number of ticks after which the plan is computed again although no change is known. */
+    private static final int MAX_TICKS_BETWEEN_PLANS = 4;
 
-    /** Logs routers gained and lost, and changes of the plan. */
     private static final Logger LOGGER = LogManager.getLogger(PeerExchange.class);
 
-    /** The router's identity, threads, clock and metrics. */
     private final Node mNode;
 
-    /** The version in force. */
     private final CurrentConfiguration mConfiguration;
 
-    /** Reads configurations of others. */
-    private final ConfigurationDecoder mCodec;
+    private final ConfigurationDecoder mDecoder;
 
-    /** What the others said. */
     private final PeerLoads mLoads;
 
-    /** Takes what other routers tell once. */
     private final PeerNoticeListener mNotices;
 
-    /** Who the others are. */
     private final Membership mMembership;
 
-    /** Connections to the others. */
     private final PeerLinks mLinks;
 
-    /** Hands on loads and refusals. */
     private final LoadRelay mRelay;
 
-    /** Which expected routers are silent. */
-    private final PeerWatch mWatch = new PeerWatch();
+    private final PeerFailureDetector mFailureDetector = new PeerFailureDetector();
 
-    /** Who is in the table of routers. */
-    private final Map<String, MemberRow> mListed = new HashMap<>();
+    /** Rows of the table of routers, by instance. */
+    private final Map<String, MemberRow> mMemberRows = new HashMap<>();
 
-    /** What each router was last sent. */
-    private final Map<Incarnation, Sent> mSent = new HashMap<>();
+    /** The configuration that was last sent to each router. */
+    private final Map<Incarnation, SentConfiguration> mSentConfigurations = new HashMap<>();
 
-    /** Since when each router has been known to have an older version, milliseconds. */
-    private final Map<Incarnation, Long> mBehind = new HashMap<>();
+    /** Time since when each router has been known to have an older version, milliseconds. */
+    private final Map<Incarnation, Long> mOutdatedSince = new HashMap<>();
 
-    /** Tables that routers read for each other. */
     private final TableExchange mTables;
 
-    /** To whom this router tells what; made on the control thread, read by any. */
+    /** The current plan; replaced on the control thread, read by any thread. */
     private volatile RelayPlan mPlan;
 
     /** Whether the table of routers has changed since the last plan. */
-    private boolean mListChanged;
+    private boolean mMembersChanged;
 
-    /** Whether a plan is about to be made. */
-    private boolean mPlanning;
+    /** Whether computing the plan is scheduled. */
+    private boolean mPlanScheduled;
 
-    /** How many ticks passed since the last plan. */
-    private int mTicks;
+    private int mTicksSincePlan;
 
-    /** Which routers of the plan were connected when it was made. */
-    private Set<Incarnation> mConnected = Set.of();
+    /** The connection targets that were connected when the plan was computed. */
+    private Set<Incarnation> mConnectedTargets = Set.of();
 
-    /** What waits for the relay's answer. */
-    private final List<Runnable> mAsking = new ArrayList<>();
+    /** Callbacks that wait for the relay's answer. */
+    private final List<Runnable> mPendingRefreshes = new ArrayList<>();
 
-    /** How many routers were heard of lately when that was last logged. */
-    private int mHeardCount;
+    /** Number of routers with a current report when it was last logged. */
+    private int mLoggedPeerCount;
 
     /**
      * A configuration that was sent.
      *
      * @param version its version
-     * @param at when, milliseconds
+     * @param sentMillis when, milliseconds on the monotonic clock
      */
-    private record Sent(long version, long at) {}
+    private record SentConfiguration(long version, long sentMillis) {}
 
     /**
      * Creates an exchange and starts to listen.
      *
-     * @param node the router's identity, threads, clock and metrics
-     * @param address where the others come in
-     * @param opener opens connections to the others
-     * @param configuration the version in force
-     * @param codec reads configurations of others
-     * @param loads takes what the others say
-     * @param notices takes what other routers tell once
+     * @param address the address to which the other routers connect
+     * @param linkFactory creates the links to the others
+     * @param decoder decodes configurations of other routers
+     * @param loads receives the others' load reports
+     * @param notices receives the others' notices
      */
     public PeerExchange(
             Node node,
             Address address,
-            PeerLinks.Factory opener,
+            PeerLinks.Factory linkFactory,
             CurrentConfiguration configuration,
-            ConfigurationDecoder codec,
+            ConfigurationDecoder decoder,
             PeerLoads loads,
             PeerNoticeListener notices) {
         mNotices = notices;
         mNode = node;
         mConfiguration = configuration;
-        mCodec = codec;
+        mDecoder = decoder;
         mLoads = loads;
         Member self = new Member(node.incarnation(), node.hall(), address.toString(), false);
         mMembership = new Membership(self, node.nanos());
         mPlan = RelayPlan.of(self, List.of(self), member -> 0, router -> false);
-        mLinks = opener.open(new PeerMesh.Peers(mMembership, () -> mPlan.wanted()), this);
+        mLinks =
+                linkFactory.open(
+                        new PeerMesh.Peers(mMembership, () -> mPlan.connectionTargets()), this);
         mRelay = new LoadRelay(node, mLinks, loads, () -> mPlan);
-        mTables = new TableExchange(node.hall(), mLinks, () -> mPlan, mRelay::locals);
+        mTables = new TableExchange(node.hall(), mLinks, () -> mPlan, mRelay::groupMembers);
         node.control().every(this::tick, TICK_MILLIS);
     }
 
     /**
-     * Takes a row of the table of routers.
+     * Updates or removes a router by its row in the table of routers.
      *
-     * @param instance who it is of; the key
-     * @param listed what it says, or null where it was deleted
+     * @param instance the row's key
+     * @param row the row, or null where it was deleted
      */
-    public void listed(InstanceId instance, MemberRow listed) {
+    public void updateMember(InstanceId instance, MemberRow row) {
         MemberRow before =
-                listed == null
-                        ? mListed.remove(instance.value())
-                        : mListed.put(instance.value(), listed);
-        if (before != null
-                && (listed == null || !before.incarnation().equals(listed.incarnation()))) {
-            forget(new Incarnation(before.incarnation()));
+                row == null
+                        ? mMemberRows.remove(instance.value())
+                        : mMemberRows.put(instance.value(), row);
+        if (before != null && (row == null || !before.incarnation().equals(row.incarnation()))) {
+            discardVersions(new Incarnation(before.incarnation()));
         }
-        mListChanged = true;
-        planSoon();
+        mMembersChanged = true;
+        schedulePlan();
     }
 
-    /**
-     * Forgets which versions a start of a router had, once it is over.
-     *
-     * @param router the start
-     */
-    private void forget(Incarnation router) {
-        mSent.remove(router);
-        mBehind.remove(router);
+    /** Discards what is known of the versions at an earlier start of a router. */
+    private void discardVersions(Incarnation router) {
+        mSentConfigurations.remove(router);
+        mOutdatedSince.remove(router);
     }
 
-    /** Has the plan made soon, once for all that comes until then. */
-    private void planSoon() {
-        if (!mPlanning) {
-            mPlanning = true;
-            mNode.control().later(this::plan, LoadRelay.GATHER_MILLIS);
+    /** Schedules computing the plan; changes until then share it. */
+    private void schedulePlan() {
+        if (!mPlanScheduled) {
+            mPlanScheduled = true;
+            mNode.control().later(this::updatePlan, LoadRelay.BATCH_MILLIS);
         }
     }
 
-    /**
-     * Turns a router's row into an entry of an instance list.
-     *
-     * @param row the row
-     * @return the entry
-     */
-    private static Instance entry(MemberRow row) {
+    private static Instance toInstance(MemberRow row) {
         return new Instance(row.instance(), row.incarnation(), row.peer(), row.hall(), ALIVE);
     }
 
-    /**
-     * Returns the tables that routers read for each other.
-     *
-     * @return the exchange of tables
-     */
+    /** Returns the exchange of tables that routers read for each other. */
     public TableExchange tables() {
         return mTables;
     }
 
-    /**
-     * Tells the others of this router's load.
-     *
-     * @param report what to tell
-     */
-    public void tell(LoadReport report) {
-        mRelay.tell(report);
+    /** Sends this router's load to the others. */
+    public void publishLoad(LoadReport report) {
+        mRelay.publish(report);
     }
 
     /**
-     * Tells the others that a request was refused.
+     * Announces a refused request to the other routers.
      *
-     * @param key the part of its prompt that is its own
+     * @param key the part of its prompt that is not shared with other requests
      */
     public void announceRefusal(String key) {
-        mRelay.refused(List.of(key), true);
+        mRelay.announceRefusals(List.of(key), true);
     }
 
     /**
-     * Tells the others of a request under which upstreams ended.
+     * Announces a request during which upstreams crashed to the other routers.
      *
      * @param report what is known of it
      */
     public void announceCrash(CrashReport report) {
-        mRelay.crashed(List.of(report), true);
+        mRelay.announceCrashes(List.of(report), true);
     }
 
-    /**
-     * Reports to the others that an upstream has announced that it leaves.
-     *
-     * @param upstream its start
-     */
+    /** Announces to the other routers that an upstream is leaving. */
     public void announceLeaving(UpstreamIncarnation upstream) {
-        mRelay.leaving(List.of(upstream), true);
+        mRelay.announceLeaving(List.of(upstream), true);
     }
 
     /**
      * Returns whether this router reads the store's tables for its hall. Thread safe.
      *
-     * @return whether it does; true before it knows of any other
+     * @return whether it does; true as long as it knows no other router
      */
     public boolean isTableReader() {
-        return mPlan.reader();
+        return mPlan.tableReader();
     }
 
     /**
-     * Returns which engines this router asks what runs there. Thread safe.
+     * Returns the engines whose usage this router polls. Thread safe.
      *
-     * @return all where routers tell each other directly; those of its hall at a relay; none else
+     * @return all engines where routers report to each other directly, those of its hall at a
+     *     relay, none at other routers
      */
     public EngineUsageReconciler.Scope engineQueryScope() {
         return new EngineUsageReconciler.Scope() {
@@ -269,35 +235,35 @@
             @Override
             public boolean polls(UpstreamEntry engine) {
                 RelayPlan plan = mPlan;
-                return plan.direct() || plan.relay() && engine.hall().equals(mNode.hall());
+                return plan.direct() || plan.isRelay() && engine.hall().equals(mNode.hall());
             }
 
             /** {@inheritDoc} */
             @Override
             public boolean sharesResults() {
-                return mPlan.relay();
+                return mPlan.isRelay();
             }
         };
     }
 
     /**
-     * Has the use of upstreams by the other routers known as it is now: by a sum of what they told,
-     * or by the relay's answer.
+     * Refreshes the load of the other routers: by aggregating their reports, or by a query to the
+     * relay.
      *
-     * @param known runs on the control thread once it is known; never where the relay does not
-     *     answer
+     * @param callback runs on the control thread once the load is refreshed; never if the relay
+     *     does not answer
      */
-    public void refreshLoads(Runnable known) {
-        PeerMessage question = new PeerMessage.LoadAsked();
-        boolean asked =
+    public void refreshLoads(Runnable callback) {
+        PeerMessage query = new PeerMessage.LoadAsked();
+        boolean sent =
                 mPlan.reportTo()
-                        .map(relay -> mLinks.send(relay.incarnation(), question))
+                        .map(relay -> mLinks.send(relay.incarnation(), query))
                         .orElse(false);
-        if (asked) {
-            mAsking.add(known);
+        if (sent) {
+            mPendingRefreshes.add(callback);
         } else {
-            mLoads.refresh(mNode.millis());
-            known.run();
+            mLoads.aggregateIfOutdated(mNode.millis());
+            callback.run();
         }
     }
 
@@ -305,136 +271,121 @@
     @Override
     public void onMessage(Member from, PeerMessage message) {
         mMembership.recordContact(from);
-        mWatch.heard(from.incarnation(), mNode.millis());
-        if (mPlan.relay() && !mLinks.isConnected(from.incarnation())) {
-            planSoon();
+        mFailureDetector.recordContact(from.incarnation(), mNode.millis());
+        if (mPlan.isRelay() && !mLinks.isConnected(from.incarnation())) {
+            schedulePlan();
         }
         if (message instanceof PeerMessage.Load load) {
-            heard(from, load);
+            onLoad(from, load);
         } else if (message instanceof PeerMessage.LoadAsked) {
-            mRelay.asked(from.incarnation());
+            mRelay.onLoadRequest(from.incarnation());
         } else if (message instanceof PeerMessage.Configuration offered) {
-            take(from, offered);
+            adopt(from, offered);
         } else if (message instanceof PeerMessage.Refused refused) {
             mNotices.onRequestsRefused(refused.keys());
-            handOn(from, here -> mRelay.refused(refused.keys(), here));
+            forward(from, local -> mRelay.announceRefusals(refused.keys(), local));
         } else if (message instanceof PeerMessage.Crashed crashed) {
             mNotices.onUpstreamsCrashed(crashed.reports());
-            handOn(from, here -> mRelay.crashed(crashed.reports(), here));
+            forward(from, local -> mRelay.announceCrashes(crashed.reports(), local));
         } else if (message instanceof PeerMessage.Leaving leaving) {
             mNotices.onUpstreamsLeaving(leaving.upstreams());
-            handOn(from, here -> mRelay.leaving(leaving.upstreams(), here));
+            forward(from, local -> mRelay.announceLeaving(leaving.upstreams(), local));
         } else if (message instanceof PeerMessage.Page page) {
-            mTables.heard(page.page());
-        } else if (message instanceof PeerMessage.TableAsked asked) {
-            mTables.heard(from.incarnation(), asked);
-        } else if (message instanceof PeerMessage.TableTold told) {
-            mTables.heard(told);
+            mTables.onPage(page.page());
+        } else if (message instanceof PeerMessage.TableAsked request) {
+            mTables.onTableRequest(from.incarnation(), request);
+        } else if (message instanceof PeerMessage.TableTold state) {
+            mTables.onTableState(state);
         }
     }
 
-    /**
-     * Takes a report.
-     *
-     * @param from who sent it
-     * @param load the report
-     */
-    private void heard(Member from, PeerMessage.Load load) {
+    private void onLoad(Member from, PeerMessage.Load load) {
         boolean expected =
                 load.scope() != ReportScope.REST
-                        || mPlan.reportTo().filter(relay -> same(relay, from)).isPresent();
+                        || mPlan.reportTo().filter(relay -> isSameStart(relay, from)).isPresent();
         if (expected) {
-            boolean news =
+            boolean changed =
                     mLoads.update(
                             from.incarnation(),
                             from.hall(),
                             load.scope(),
                             load.report(),
                             mNode.millis());
-            if (news && load.scope() != ReportScope.REST) {
-                mRelay.changed();
+            if (changed && load.scope() != ReportScope.REST) {
+                mRelay.onGroupChanged();
             }
             if (load.scope() == ReportScope.REST) {
-                answered();
+                onRelayAnswer();
             }
         }
         if (load.report().configuration() < mConfiguration.version()) {
-            behind(from.incarnation());
+            onOutdatedVersion(from.incarnation());
         } else {
-            mBehind.remove(from.incarnation());
+            mOutdatedSince.remove(from.incarnation());
         }
     }
 
-    /** Goes on with what waited for the relay's answer. */
-    private void answered() {
-        mLoads.refresh(mNode.millis());
-        List<Runnable> asking = List.copyOf(mAsking);
-        mAsking.clear();
-        asking.forEach(Runnable::run);
+    /** Runs the callbacks that wait for the relay's answer. */
+    private void onRelayAnswer() {
+        mLoads.aggregateIfOutdated(mNode.millis());
+        List<Runnable> callbacks = List.copyOf(mPendingRefreshes);
+        mPendingRefreshes.clear();
+        callbacks.forEach(Runnable::run);
     }
 
     /**
-     * Hands the version in force on to a router that has had an older one for a while. Routers read
-     * the store themselves; handed on to all at once, 20 versions with 550 routes were 90 MB
-     * between halls on a day of seven routers.
-     *
-     * @param router who has an older one
+     * Sends the version in force to a router that has had an older one for a while. Routers read
+     * the store themselves: sent to all at once, 20 versions with 550 routes took 90 MB of traffic
+     * between halls in a day of seven routers.
      */
-    private void behind(Incarnation router) {
+    private void onOutdatedVersion(Incarnation router) {
         long now = mNode.millis();
-        long since = mBehind.computeIfAbsent(router, first -> now);
-        if (now - since >= BEHIND_MILLIS) {
+        long since = mOutdatedSince.computeIfAbsent(router, first -> now);
+        if (now - since >= OUTDATED_GRACE_MILLIS) {
             sendConfiguration(router);
         }
     }
 
     /**
-     * Hands on what another router told once, where this router is a relay.
+     * Forwards a notice where this router is a relay.
      *
-     * @param from who told it
-     * @param relay hands it on: to all where it came from one that reports to this router
+     * @param forwarder forwards it; its argument says whether the sender reports to this router, so
+     *     that the notice goes to all
      */
-    private void handOn(Member from, Consumer<Boolean> relay) {
-        if (mPlan.relay()) {
-            relay.accept(mRelay.locals().contains(from.incarnation()));
+    private void forward(Member from, Consumer<Boolean> forwarder) {
+        if (mPlan.isRelay()) {
+            forwarder.accept(mRelay.groupMembers().contains(from.incarnation()));
         }
     }
 
-    /**
-     * Takes a configuration of another router.
-     *
-     * @param from whose it is
-     * @param offered the configuration
-     */
-    private void take(Member from, PeerMessage.Configuration offered) {
+    private void adopt(Member from, PeerMessage.Configuration offered) {
         if (offered.version() <= mConfiguration.version()) {
             return;
         }
         try {
             mConfiguration.adoptIfNewer(
-                    mCodec.decode(offered.encoded()), from.incarnation().value());
+                    mDecoder.decode(offered.encoded()), from.incarnation().value());
         } catch (RuntimeException exception) {
-            LOGGER.error("configuration not readable from={}", from.incarnation(), exception);
+            LOGGER.error("cannot decode configuration from={}", from.incarnation(), exception);
         }
     }
 
-    /**
-     * Sends the version in force.
-     *
-     * @param to who has an older one
-     */
+    /** Sends the version in force, unless it was sent a short time ago. */
     private void sendConfiguration(Incarnation to) {
         long now = mNode.millis();
         long version = mConfiguration.version();
-        Sent before = mSent.get(to);
-        if (before != null && before.version() == version && now - before.at() < RESEND_MILLIS) {
+        SentConfiguration before = mSentConfigurations.get(to);
+        if (before != null
+                && before.version() == version
+                && now - before.sentMillis() < CONFIGURATION_RESEND_MILLIS) {
             return;
         }
         mConfiguration
                 .current()
                 .ifPresent(
                         current -> {
-                            mSent.put(to, new Sent(current.version(), now));
+                            mSentConfigurations.put(
+                                    to, new SentConfiguration(current.version(), now));
                             mLinks.send(
                                     to,
                                     new PeerMessage.Configuration(
@@ -442,76 +393,75 @@
                         });
     }
 
-    /** Drops old reports, repeats what has not changed, and plans where something else has. */
+    /**
+     * Discards expired reports, resends unchanged ones, and computes the plan if its inputs
+     * changed.
+     */
     private void tick() {
-        boolean silent = mWatch.expect(expected(), mNode.millis());
-        if (silent || !connected().equals(mConnected) || ++mTicks >= MOST_TICKS) {
-            plan();
+        boolean suspicionChanged = mFailureDetector.update(expectedPeers(), mNode.millis());
+        if (suspicionChanged
+                || !connectedTargets().equals(mConnectedTargets)
+                || ++mTicksSincePlan >= MAX_TICKS_BETWEEN_PLANS) {
+            updatePlan();
         }
-        mLoads.refresh(mNode.millis());
-        mRelay.repeat();
-        if (mLoads.peerCount() != mHeardCount) {
-            LOGGER.info("routers heard before={} now={}", mHeardCount, mLoads.peerCount());
-            mHeardCount = mLoads.peerCount();
+        mLoads.aggregateIfOutdated(mNode.millis());
+        mRelay.resendUnchanged();
+        if (mLoads.peerCount() != mLoggedPeerCount) {
+            LOGGER.info("routers heard before={} now={}", mLoggedPeerCount, mLoads.peerCount());
+            mLoggedPeerCount = mLoads.peerCount();
         }
     }
 
-    /** Makes the plan and opens the connections that it wants. */
-    private void plan() {
-        mPlanning = false;
-        mTicks = 0;
-        if (mListChanged) {
-            mListChanged = false;
-            mMembership.updateListed(mListed.values().stream().map(PeerExchange::entry).toList());
+    /** Computes the plan and opens its connections. */
+    private void updatePlan() {
+        mPlanScheduled = false;
+        mTicksSincePlan = 0;
+        if (mMembersChanged) {
+            mMembersChanged = false;
+            mMembership.updateListed(
+                    mMemberRows.values().stream().map(PeerExchange::toInstance).toList());
         }
         RelayPlan before = mPlan;
         mPlan =
                 RelayPlan.of(
                         mMembership.self(),
                         mMembership.live(),
-                        this::points,
-                        router -> mLinks.isConnected(router) && !mWatch.suspected(router));
-        mLoads.count(mRelay.counted());
+                        this::capacity,
+                        router ->
+                                mLinks.isConnected(router)
+                                        && !mFailureDetector.isSuspected(router));
+        mLoads.setCountedScopes(mRelay.countedScopes());
         mLoads.aggregate(mNode.millis());
-        mWatch.expect(expected(), mNode.millis());
-        boolean anotherRelay = !before.reportTo().equals(mPlan.reportTo());
-        if (anotherRelay) {
-            mAsking.clear();
+        mFailureDetector.update(expectedPeers(), mNode.millis());
+        boolean relayChanged = !before.reportTo().equals(mPlan.reportTo());
+        if (relayChanged) {
+            mPendingRefreshes.clear();
         }
-        if (anotherRelay || before.relay() != mPlan.relay()) {
+        if (relayChanged || before.isRelay() != mPlan.isRelay()) {
             LOGGER.info(
                     "relay plan direct={} relay={} reader={} reportTo={} relays={}",
                     mPlan.direct(),
-                    mPlan.relay(),
-                    mPlan.reader(),
+                    mPlan.isRelay(),
+                    mPlan.tableReader(),
                     mPlan.reportTo().map(Member::incarnation).orElse(null),
                     mPlan.relays().size());
         }
-        mConnected = connected();
-        mPlan.wanted().forEach(mLinks::connect);
-        mRelay.locals().forEach(this::connectBack);
-        if (mPlan.relay()) {
-            mRelay.otherRelays().forEach(this::connectBack);
+        mConnectedTargets = connectedTargets();
+        mPlan.connectionTargets().forEach(mLinks::connect);
+        mRelay.groupMembers().forEach(this::connectTo);
+        if (mPlan.isRelay()) {
+            mRelay.otherRelays().forEach(this::connectTo);
         }
     }
 
-    /**
-     * Returns which routers of the plan are connected.
-     *
-     * @return who they are
-     */
-    private Set<Incarnation> connected() {
-        Set<Incarnation> connected = LoadRelay.incarnations(mPlan.wanted());
+    private Set<Incarnation> connectedTargets() {
+        Set<Incarnation> connected = LoadRelay.incarnations(mPlan.connectionTargets());
         connected.removeIf(router -> !mLinks.isConnected(router));
         return connected;
     }
 
-    /**
-     * Opens a connection to a router that this relay tells of others.
-     *
-     * @param router the router
-     */
-    private void connectBack(Incarnation router) {
+    /** Opens a connection to a router to which this relay sends reports. */
+    private void connectTo(Incarnation router) {
         if (!mLinks.isConnected(router)) {
             mMembership.live().stream()
                     .filter(member -> member.incarnation().equals(router))
@@ -520,35 +470,27 @@
     }
 
     /**
-     * Returns from whom messages must come regularly.
+     * Returns the routers that must send messages regularly.
      *
-     * @return who they are
+     * @return the relays of the plan
      */
-    private Set<Incarnation> expected() {
+    private Set<Incarnation> expectedPeers() {
         Set<Incarnation> expected = LoadRelay.incarnations(mPlan.relays());
         mPlan.reportTo().ifPresent(relay -> expected.add(relay.incarnation()));
         return expected;
     }
 
     /**
-     * Returns how much a router can do for the others.
+     * Returns a router's capacity.
      *
-     * @param member the router
-     * @return points of its capacity; 0 where its row is not known
+     * @return points of {@link RouterCapacity}; 0 where its row is not known
      */
-    private int points(Member member) {
-        MemberRow row = mListed.get(member.incarnation().instance().value());
+    private int capacity(Member member) {
+        MemberRow row = mMemberRows.get(member.incarnation().instance().value());
         return row == null ? 0 : row.capacity();
     }
 
-    /**
-     * Returns whether two members are the same start of the same router.
-     *
-     * @param one one of them
-     * @param other the other
-     * @return whether they are
-     */
-    private static boolean same(Member one, Member other) {
+    private static boolean isSameStart(Member one, Member other) {
         return one.incarnation().equals(other.incarnation());
     }
 }
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/cluster/PeerLoads.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/cluster/PeerLoads.java
@@ -18,218 +18,203 @@
 import org.troutpier.daemon.organisation.UsageReport;
 
 /**
- * What the other routers said of their load and demand. Changes are confined to the control thread;
- * {@link #upstreamUsage}, {@link #demand}, {@link #organisations()}, {@link #rate}, {@link
+ * Aggregates the load and demand that the other routers report. Changes are confined to the control
+ * thread; {@link #upstreamUsage}, {@link #demand}, {@link #organisations()}, {@link #rate}, {@link
  * #isChangingRole}, {@link #isRefusing}, {@link #waitingTokens()}, {@link #peerCount()} and {@link
  * #hasRoleHolder()} are thread safe and answer as of the last {@link #aggregate}. Invariants: a
- * report counts until {@link #REPORT_TTL_MILLIS} after it was heard; only reports of the scopes
- * that are counted count, so that no router's load is counted twice.
+ * report expires {@link #REPORT_TTL_MILLIS} after it was received; only reports of the counted
+ * scopes enter the aggregate, so that no router's load is counted twice.
  */
 public final class PeerLoads implements PeerUsage, PeerRates {
 
-    /** How long a report counts, milliseconds: three of the longest pauses between two. */
+    /**
+     * Time after which a report expires, milliseconds: three times the longest interval between two
+     * reports of a router.
+     */
     public static final long REPORT_TTL_MILLIS = 1500;
 
-    /** What routers used that have fallen silent. */
-    private final RetainedUsage mRetained;
+    /** Usage by organisations at routers that stopped reporting. */
+    private final RetainedUsage mRetainedUsage;
 
-    /** The latest report of each router. */
-    private final Map<Incarnation, Heard> mHeard = new HashMap<>();
+    private final Map<Incarnation, ReceivedReport> mReports = new HashMap<>();
 
-    /** The scopes that count. */
-    private Set<ReportScope> mCounted = EnumSet.of(ReportScope.OWN);
+    private Set<ReportScope> mCountedScopes = EnumSet.of(ReportScope.OWN);
 
-    /** Whether something was heard since the last sum. */
-    private boolean mNews;
+    /** Whether a report was received since the last aggregation. */
+    private boolean mOutdated;
 
-    /** The sum over all reports that count. */
-    private volatile Summed mSum = new Summed(LoadReport.NONE, 0);
+    private volatile Aggregate mAggregate = new Aggregate(LoadReport.NONE, 0);
 
     /**
-     * A sum over reports.
+     * An aggregate of reports.
      *
-     * @param report the sum
-     * @param at when it was made, milliseconds
+     * @param report the aggregate
+     * @param computedMillis when it was computed, milliseconds on the monotonic clock
      */
-    private record Summed(LoadReport report, long at) {}
+    private record Aggregate(LoadReport report, long computedMillis) {}
 
     /**
-     * A report and when it came.
+     * A report and when it was received.
      *
-     * @param source whose load it tells of
+     * @param source the router or group whose load it describes
      * @param report the report
-     * @param at when it came, milliseconds
+     * @param receivedMillis when it was received, milliseconds on the monotonic clock
      */
-    private record Heard(RetainedUsage.Source source, LoadReport report, long at) {
+    private record ReceivedReport(
+            RetainedUsage.Source source, LoadReport report, long receivedMillis) {
 
-        /**
-         * Returns whose load it tells of.
-         *
-         * @return the scope
-         */
         ReportScope scope() {
             return source.scope();
         }
 
         /**
-         * Returns the report as it is now.
+         * Returns the report aged by the time since it was received.
          *
          * @param now the monotonic clock, milliseconds
-         * @return the report, older by the time since it came
          */
         LoadReport reportAt(long now) {
-            return report.later(now - at);
+            return report.aged(now - receivedMillis);
         }
     }
 
-    /** Creates a view in which nobody has said anything, with the limits' default window. */
+    /** Creates an instance without any reports, with the default window of usage limits. */
     public PeerLoads() {
         this(UsageSettings.DEFAULT);
     }
 
     /**
-     * Creates a view in which nobody has said anything.
+     * Creates an instance without any reports.
      *
-     * @param use how long organisations' use counts
+     * @param usage settings of usage limits; their window is how long usage is retained
      */
-    public PeerLoads(UsageSettings use) {
-        mRetained = new RetainedUsage(use.windowMillis());
+    public PeerLoads(UsageSettings usage) {
+        mRetainedUsage = new RetainedUsage(usage.windowMillis());
     }
 
     /**
-     * Takes a report. It shows once {@link #aggregate} was called.
+     * Stores a router's report, in place of its previous one. It takes effect at the next {@link
+     * #aggregate}.
      *
-     * @param from who sent it
-     * @param hall the sender's hall
-     * @param scope whose load it tells of
-     * @param report the report
+     * @param scope the routers whose load the report describes
      * @param now the monotonic clock, milliseconds
-     * @return whether it says something new of the load
+     * @return whether the sender, its scope or its load differ from what was known; see {@link
+     *     LoadReport#hasSameLoad}
      */
     public boolean update(
             Incarnation from, HallId hall, ReportScope scope, LoadReport report, long now) {
-        mNews = true;
-        Heard before = mHeard.get(from);
+        mOutdated = true;
+        ReceivedReport before = mReports.get(from);
         if (before == null) {
-            forgetEarlierStarts(from);
+            discardEarlierStarts(from);
         }
         boolean own = scope == ReportScope.OWN;
         String name = own ? from.instance().value() : hall.value();
         RetainedUsage.Source source = new RetainedUsage.Source(scope, name);
-        boolean started = own && report.organisations().forgotten() > 0;
-        boolean remembered = started && mRetained.keeps(source);
-        if (!started) {
-            mRetained.forget(source);
+        boolean lacksHistory = own && report.organisations().forgotten() > 0;
+        boolean historyRetained = lacksHistory && mRetainedUsage.contains(source);
+        if (!lacksHistory) {
+            mRetainedUsage.remove(source);
         }
-        LoadReport told =
-                remembered ? report.with(report.organisations().withFullHistory()) : report;
-        mHeard.put(from, new Heard(source, told, now));
-        return before == null || before.scope() != scope || !before.report().sameLoad(report);
+        LoadReport stored =
+                historyRetained
+                        ? report.withUsage(report.organisations().withFullHistory())
+                        : report;
+        mReports.put(from, new ReceivedReport(source, stored, now));
+        return before == null || before.scope() != scope || !before.report().hasSameLoad(report);
     }
 
     /**
-     * Drops what earlier starts of a router said, and keeps what they used.
+     * Discards reports of earlier starts of a router, and retains their usage.
      *
-     * @param router the start that counts
+     * @param router the current start
      */
-    private void forgetEarlierStarts(Incarnation router) {
-        drop((each, heard) -> !each.equals(router) && each.instance().equals(router.instance()));
+    private void discardEarlierStarts(Incarnation router) {
+        discardIf(
+                (each, received) ->
+                        !each.equals(router) && each.instance().equals(router.instance()));
     }
 
     /**
-     * Drops what some routers said, and keeps what they used.
+     * Discards reports, and retains the usage of those that are not of scope {@link
+     * ReportScope#REST}, which describes other routers' usage.
      *
-     * @param gone which routers
-     * @return whether there were any
+     * @param condition selects the reports to discard
+     * @return whether any was discarded
      */
-    private boolean drop(BiPredicate<Incarnation, Heard> gone) {
-        return mHeard.entrySet()
+    private boolean discardIf(BiPredicate<Incarnation, ReceivedReport> condition) {
+        return mReports.entrySet()
                 .removeIf(
                         each -> {
-                            Heard heard = each.getValue();
-                            boolean dropped = gone.test(each.getKey(), heard);
-                            if (dropped && heard.scope() != ReportScope.REST) {
-                                UsageReport use = heard.report().organisations();
-                                mRetained.keep(heard.source(), use, heard.at());
+                            ReceivedReport received = each.getValue();
+                            boolean discarded = condition.test(each.getKey(), received);
+                            if (discarded && received.scope() != ReportScope.REST) {
+                                UsageReport usage = received.report().organisations();
+                                mRetainedUsage.retain(
+                                        received.source(), usage, received.receivedMillis());
                             }
-                            return dropped;
+                            return discarded;
                         });
     }
 
-    /**
-     * Sets which scopes count.
-     *
-     * @param counted the scopes
-     */
-    void count(Set<ReportScope> counted) {
-        mCounted = Set.copyOf(counted);
+    void setCountedScopes(Set<ReportScope> counted) {
+        mCountedScopes = Set.copyOf(counted);
     }
 
     /**
-     * Sums up what still counts.
+     * Recomputes the aggregate from reports that have not expired.
      *
      * @param now the monotonic clock, milliseconds
      */
     public void aggregate(long now) {
-        mNews = false;
-        dropOld(now);
-        mSum = new Summed(LoadReport.NONE.plus(reports(mCounted, null, now)), now);
+        mOutdated = false;
+        discardExpired(now);
+        mAggregate = new Aggregate(LoadReport.NONE.plus(reports(mCountedScopes, null, now)), now);
     }
 
     /**
-     * Drops what no longer counts, and sums up if there was any or something was heard.
+     * Recomputes the aggregate if a report expired or was received since it was computed.
      *
      * @param now the monotonic clock, milliseconds
      */
-    void refresh(long now) {
-        if (dropOld(now) || mNews) {
+    void aggregateIfOutdated(long now) {
+        if (discardExpired(now) || mOutdated) {
             aggregate(now);
         }
     }
 
-    /**
-     * Drops what no longer counts.
-     *
-     * @param now the monotonic clock, milliseconds
-     * @return whether there was any
-     */
-    private boolean dropOld(long now) {
-        return drop((router, heard) -> now - heard.at() > REPORT_TTL_MILLIS);
+    private boolean discardExpired(long now) {
+        return discardIf((router, received) -> now - received.receivedMillis() > REPORT_TTL_MILLIS);
     }
 
     /**
-     * Returns what organisations used at routers that have fallen silent.
+     * Returns the usage by organisations at routers that stopped reporting, except routers of a
+     * hall whose group is reported by another relay.
      *
-     * @param scopes the scopes that count
+     * @param scopes the counted scopes
      * @param now the monotonic clock, milliseconds
-     * @return the use; of a hall whose group another router tells of, nothing
+     * @return the usage that is still in the window
      */
-    private UsageReport retained(Set<ReportScope> scopes, long now) {
-        return mRetained.sum(scopes, this::tellsOfGroup, now);
+    private UsageReport retainedUsage(Set<ReportScope> scopes, long now) {
+        return mRetainedUsage.total(scopes, this::isCoveredGroup, now);
     }
 
     /**
-     * Returns whether a router tells of the group of a hall.
+     * Returns whether a current report covers a hall's group.
      *
-     * @param source the hall's group, or a router's own load, of which no other tells
-     * @return whether one does
+     * @param source the source of retained usage; nothing else covers a single router's own load
+     * @return whether it is a group that is covered
      */
-    private boolean tellsOfGroup(RetainedUsage.Source source) {
+    private boolean isCoveredGroup(RetainedUsage.Source source) {
         return source.scope() == ReportScope.GROUP
-                && mHeard.values().stream().anyMatch(heard -> heard.source().equals(source));
+                && mReports.values().stream()
+                        .anyMatch(received -> received.source().equals(source));
     }
 
-    /**
-     * Returns the routers that were heard lately.
-     *
-     * @param scope with what scope
-     * @return who they are
-     */
     Set<Incarnation> reporters(ReportScope scope) {
         Set<Incarnation> routers = new HashSet<>();
-        mHeard.forEach(
-                (router, heard) -> {
-                    if (heard.scope() == scope) {
+        mReports.forEach(
+                (router, received) -> {
+                    if (received.scope() == scope) {
                         routers.add(router);
                     }
                 });
@@ -237,100 +222,71 @@
     }
 
     /**
-     * Returns the reports with some scopes.
+     * Returns the current reports with one of some scopes, and a report of the usage at routers
+     * that stopped reporting.
      *
-     * @param scopes the scopes
-     * @param without a router to leave out, or null
+     * @param excluded a router whose report is left out, or null
      * @param now the monotonic clock, milliseconds
-     * @return the reports, and one of the use of those that have fallen silent
      */
-    List<LoadReport> reports(Set<ReportScope> scopes, Incarnation without, long now) {
+    List<LoadReport> reports(Set<ReportScope> scopes, Incarnation excluded, long now) {
         List<LoadReport> reports = new ArrayList<>();
-        mHeard.forEach(
-                (router, heard) -> {
-                    if (scopes.contains(heard.scope()) && !router.equals(without)) {
-                        reports.add(heard.reportAt(now));
+        mReports.forEach(
+                (router, received) -> {
+                    if (scopes.contains(received.scope()) && !router.equals(excluded)) {
+                        reports.add(received.reportAt(now));
                     }
                 });
-        reports.add(LoadReport.of(retained(scopes, now)));
+        reports.add(LoadReport.ofUsage(retainedUsage(scopes, now)));
         return reports;
     }
 
-    /**
-     * Returns what the others have under way at an upstream.
-     *
-     * @param upstream the upstream
-     * @return the sum
-     */
+    /** Returns the usage of an upstream by the other routers. */
     public UpstreamUsage upstreamUsage(UpstreamIncarnation upstream) {
-        return mSum.report().uses().getOrDefault(upstream, UpstreamUsage.NONE);
+        return mAggregate.report().uses().getOrDefault(upstream, UpstreamUsage.NONE);
     }
 
-    /**
-     * Returns whether an engine changes its role by another router's order.
-     *
-     * @param engine the engine
-     * @return whether one said so lately
-     */
+    /** Returns whether another router has ordered an engine to change its role. */
     public boolean isChangingRole(UpstreamIncarnation engine) {
-        return mSum.report().changing().contains(engine);
+        return mAggregate.report().changing().contains(engine);
     }
 
-    /**
-     * Returns whether an engine refused runs of another router lately.
-     *
-     * @param engine the engine
-     * @return whether one said so
-     */
+    /** Returns whether an engine recently refused runs of another router. */
     public boolean isRefusing(UpstreamIncarnation engine) {
-        return mSum.report().refusing().contains(engine);
+        return mAggregate.report().refusing().contains(engine);
     }
 
-    /**
-     * Returns what callers asked of the others lately.
-     *
-     * @param service the service
-     * @return the sum
-     */
+    /** Returns the recent demand for a service at the other routers. */
     public Demand demand(String service) {
-        return mSum.report().demands().getOrDefault(service, Demand.NONE);
+        return mAggregate.report().demands().getOrDefault(service, Demand.NONE);
     }
 
-    /**
-     * Returns how much the requests need that wait for memory at the others.
-     *
-     * @return the tokens of their prompts
-     */
+    /** Returns the prompt tokens of requests that wait for engine memory at the other routers. */
     public long waitingTokens() {
-        return mSum.report().waitingTokens();
+        return mAggregate.report().waitingTokens();
     }
 
     /** {@inheritDoc} */
     @Override
     public UsageReport organisations() {
-        return mSum.report().organisations();
+        return mAggregate.report().organisations();
     }
 
     /** {@inheritDoc} */
     @Override
     public RateReport rate(UpstreamIncarnation upstream, long now) {
-        Summed sum = mSum;
-        RateReport rate = sum.report().rates().get(upstream);
-        return rate == null ? RateReport.NONE : rate.aged(now - sum.at());
+        Aggregate aggregate = mAggregate;
+        RateReport rate = aggregate.report().rates().get(upstream);
+        return rate == null ? RateReport.NONE : rate.aged(now - aggregate.computedMillis());
     }
 
     /** {@inheritDoc} */
     @Override
     public int peerCount() {
-        return mSum.report().routers();
+        return mAggregate.report().routers();
     }
 
-    /**
-     * Returns whether one of the others decides engines' roles.
-     *
-     * @return whether one said so lately
-     */
+    /** Returns whether another router holds the lease to assign engine roles. */
     public boolean hasRoleHolder() {
-        return mSum.report().roleHolder();
+        return mAggregate.report().roleHolder();
     }
 }
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/cluster/PeerNoticeListener.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/cluster/PeerNoticeListener.java
@@ -4,27 +4,27 @@
 import org.troutpier.common.id.UpstreamIncarnation;
 import org.troutpier.daemon.quarantine.CrashReport;
 
-/** Takes what other routers tell once. Called on the control thread. */
+/** Receives notices from other routers, each sent once. Called on the control thread. */
 public interface PeerNoticeListener {
 
     /**
-     * Takes requests that were refused and will come back.
+     * Called for refused requests that are expected to return.
      *
-     * @param keys the part of each one's prompt that is its own
+     * @param keys for each request, the part of its prompt that is not shared with others
      */
     void onRequestsRefused(List<String> keys);
 
     /**
-     * Takes requests under which upstreams ended.
+     * Called for requests during which upstreams crashed.
      *
-     * @param reports what the other router knows of them
+     * @param reports the records of the other router
      */
     void onUpstreamsCrashed(List<CrashReport> reports);
 
     /**
-     * Takes upstreams that have announced in their answers that they leave.
+     * Called for upstreams that have announced in an answer that they are leaving.
      *
-     * @param upstreams their starts
+     * @param upstreams their incarnations
      */
     void onUpstreamsLeaving(List<UpstreamIncarnation> upstreams);
 }
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/cluster/PrefillLatencyModel.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/cluster/PrefillLatencyModel.java
@@ -3,13 +3,13 @@
 import com.fasterxml.jackson.annotation.JsonFormat;
 
 /**
- * How fast prefill engines read prompts, as decaying sums over readings that nothing waited before.
- * Immutable and thread safe. Two figures are told apart: what each token takes, and what each call
- * takes whatever its length. With the time of a call counted as reading, engines of 33 tokens a
- * millisecond seemed to read 16, half of the prompts that could have been read in time were refused
- * and an engine too many was wanted for reading (from the lines of a day with three bursts).
+ * A linear model of prefill time, as decaying sums over prefills that did not wait behind others.
+ * Immutable and thread safe. It separates the time for each token from the fixed time of a call.
+ * Without that, engines that prefill 33 tokens a millisecond appeared to do 16; half of the prompts
+ * that would have been in time were refused, and one prefill engine too many was assigned (in a day
+ * with three bursts).
  *
- * @param count readings
+ * @param count prefills
  * @param tokens their tokens
  * @param millis their time
  * @param tokensSquared the sum of the squares of their tokens
@@ -19,38 +19,34 @@
 public record PrefillLatencyModel(
         double count, double tokens, double millis, double tokensSquared, double tokensMillis) {
 
-    /** No reading. */
+    /** A model without samples. */
     public static final PrefillLatencyModel NONE = new PrefillLatencyModel(0, 0, 0, 0, 0);
 
-    /** How many readings tell the two figures apart. */
-    private static final double LEAST_COUNT = 5;
+    /** Number of samples from which the two parameters are separated. */
+    private static final double MIN_SAMPLES = 5;
 
-    /** How much prompts must vary in length for it, in parts of their mean. */
-    private static final double LEAST_VARIATION = 0.1;
+    /**
+     * Least standard deviation of prompt lengths for separating the parameters, as a fraction of
+     * their mean.
+     */
+    private static final double MIN_RELATIVE_DEVIATION = 0.1;
 
     /**
-     * How many times the plain quotient the pace may be at most: with readings that were disturbed
-     * by others a line through them may be almost level.
+     * Largest ratio of the estimated throughput to the mean throughput: where other work disturbed
+     * the samples, the fitted line may be almost level.
      */
-    private static final double MOST_CORRECTION = 4;
+    private static final double MAX_CORRECTION = 4;
 
     /**
-     * Makes the sums of one reading.
+     * Returns the model of one sample.
      *
-     * @param tokens the prompt's length
-     * @param millis how long it took
-     * @return the sums
+     * @param tokens the length of the prompt
+     * @param millis its duration
      */
     static PrefillLatencyModel of(double tokens, double millis) {
         return new PrefillLatencyModel(1, tokens, millis, tokens * tokens, tokens * millis);
     }
 
-    /**
-     * Returns the sums of both.
-     *
-     * @param other the other's
-     * @return the sum
-     */
     PrefillLatencyModel plus(PrefillLatencyModel other) {
         return new PrefillLatencyModel(
                 count + other.count,
@@ -60,32 +56,23 @@
                 tokensMillis + other.tokensMillis);
     }
 
-    /**
-     * Returns the sums after they have decayed.
-     *
-     * @param left which part is left
-     * @return the decayed sums
-     */
-    PrefillLatencyModel times(double left) {
+    /** Returns this model decayed by a factor. */
+    PrefillLatencyModel scaled(double factor) {
         return new PrefillLatencyModel(
-                count * left,
-                tokens * left,
-                millis * left,
-                tokensSquared * left,
-                tokensMillis * left);
+                count * factor,
+                tokens * factor,
+                millis * factor,
+                tokensSquared * factor,
+                tokensMillis * factor);
     }
 
-    /**
-     * Returns whether there were enough readings to go by.
-     *
-     * @return whether the pace is measured
-     */
+    /** Returns whether there are enough samples to use the model. */
     public boolean hasEnoughSamples() {
-        return count >= LEAST_COUNT && millis > 0;
+        return count >= MIN_SAMPLES && millis > 0;
     }
 
     /**
-     * Returns the pace without the fixed time of a call.
+     * Returns the throughput without the fixed time of a call.
      *
      * @return prompt tokens a millisecond; 0 for unknown
      */
@@ -93,38 +80,39 @@
         if (millis <= 0) {
             return 0;
         }
-        double quotient = tokens / millis;
-        if (count < LEAST_COUNT) {
-            return quotient;
+        double meanThroughput = tokens / millis;
+        if (count < MIN_SAMPLES) {
+            return meanThroughput;
         }
-        double mean = tokens / count;
-        double variance = tokensSquared / count - mean * mean;
-        double together = tokensMillis / count - mean * millis / count;
-        boolean alike = variance < Math.pow(LEAST_VARIATION * mean, 2);
-        if (alike || together <= 0) {
-            return quotient;
+        double meanTokens = tokens / count;
+        double variance = tokensSquared / count - meanTokens * meanTokens;
+        double covariance = tokensMillis / count - meanTokens * millis / count;
+        boolean tooUniform = variance < Math.pow(MIN_RELATIVE_DEVIATION * meanTokens, 2);
+        if (tooUniform || covariance <= 0) {
+            return meanThroughput;
         }
-        return Math.max(quotient, Math.min(MOST_CORRECTION * quotient, variance / together));
+        return Math.max(
+                meanThroughput, Math.min(MAX_CORRECTION * meanThroughput, variance / covariance));
     }
 
     /**
-     * Returns what a call takes whatever its length.
+     * Returns the time of a call that does not depend on the length of the prompt.
      *
      * @return milliseconds
      */
     public double fixedMillis() {
-        double pace = tokensPerMilli();
-        return pace <= 0 ? 0 : Math.max(0, millis / count - tokens / count / pace);
+        double throughput = tokensPerMilli();
+        return throughput <= 0 ? 0 : Math.max(0, millis / count - tokens / count / throughput);
     }
 
     /**
-     * Predicts how long a prompt's reading takes.
+     * Predicts the duration of a prefill.
      *
-     * @param tokensWithQueue its length and that of what waits before it, tokens
-     * @return milliseconds; 0 where the pace is not known
+     * @param tokensWithQueue the length of the prompt and of those that wait before it, tokens
+     * @return milliseconds; 0 where the throughput is not known
      */
     public double predictedMillis(double tokensWithQueue) {
-        double pace = tokensPerMilli();
-        return pace <= 0 ? 0 : fixedMillis() + tokensWithQueue / pace;
+        double throughput = tokensPerMilli();
+        return throughput <= 0 ? 0 : fixedMillis() + tokensWithQueue / throughput;
     }
 }
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/cluster/QuarantineTable.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/cluster/QuarantineTable.java
@@ -28,76 +28,66 @@
 import org.troutpier.daemon.rows.TableFollower;
 
 /**
- * Has all routers know which requests are no longer run. What one finds out it tells the others at
- * once; a row in the platform's store tells those that were cut off, frozen or not yet started, and
- * outlasts all routers. Confined to the control thread. Invariants: a row is only written over with
- * what is known of it merged in; nothing is lost by two routers that write at the same time.
+ * Distributes the quarantine to all routers. A router sends what it finds to the others
+ * immediately; a row in the platform's store reaches routers that were disconnected, frozen or not
+ * yet started, and survives the loss of all routers. Confined to the control thread. Invariants: a
+ * row is overwritten only with its known content merged in; no record is lost when two routers
+ * write at the same time.
  */
 public final class QuarantineTable implements TableFollower.Listener {
 
-    /** The table: one row for each request, by its fingerprint. */
+    /** The table; one row for each request, keyed by its fingerprint. */
     static final String TABLE = "troutpier_quarantine";
 
-    /** How long to wait before a write is tried again, milliseconds. */
+    /** Delay before a write is retried, milliseconds. */
     private static final long RETRY_MILLIS = 400;
 
-    /** How often it is looked which rows are to be deleted, milliseconds. */
-    private static final long CLEAN_MILLIS = 5000;
+    /** Interval between deletions of expired rows, milliseconds. */
+    private static final long CLEANUP_MILLIS = 5000;
 
-    /** How many rows stay: as many as the store tells in one page. */
-    private static final int MOST_ROWS = 500;
+    /** Largest number of rows kept: as many as the store returns in one page. */
+    private static final int MAX_ROWS = 500;
 
-    /** Logs deletions. */
     private static final Logger LOGGER = LogManager.getLogger(QuarantineTable.class);
 
-    /** The router's identity, threads, clock and metrics. */
     private final Node mNode;
 
-    /** The store. */
     private final RowStore mStore;
 
-    /** Tells the other routers. */
     private final PeerExchange mExchange;
 
-    /** What holds. */
     private final QuarantineSettings mSettings;
 
-    /** What this router knows. */
     private final Quarantine mQuarantine;
 
     /** The thread that serves requests, to which the quarantine is confined. */
     private final Executor mTraffic;
 
-    /** Tells of rows that cannot be read. */
-    private final RowDecoder mFaults;
+    private final RowDecoder mDecoder;
 
-    /** The rows as they are known. */
-    private final Map<RequestFingerprint, Stored> mStored = new HashMap<>();
+    /** The rows as last known. */
+    private final Map<RequestFingerprint, StoredRow> mRows = new HashMap<>();
 
-    /** What is to be stored, in the order in which it was found out. */
-    private final Map<RequestFingerprint, CrashRecord> mWanted = new LinkedHashMap<>();
+    /** Records to be stored, in the order in which they were found. */
+    private final Map<RequestFingerprint, CrashRecord> mPending = new LinkedHashMap<>();
 
-    /** Whether a write is under way or waits to be tried again. */
+    /** Whether a write is in progress or waits for a retry. */
     private boolean mWriting;
 
     /**
      * A row.
      *
      * @param version its version
-     * @param record what it says
-     * @param since when this router first saw it so, milliseconds
+     * @param record its content
+     * @param sinceMillis when this router first saw this version, milliseconds on the monotonic
+     *     clock
      */
-    private record Stored(long version, CrashRecord record, long since) {}
+    private record StoredRow(long version, CrashRecord record, long sinceMillis) {}
 
     /**
      * Creates a table.
      *
-     * @param node the router's identity, threads, clock and metrics
-     * @param store the store
-     * @param exchange tells the other routers
-     * @param settings what holds
-     * @param quarantine what this router knows
-     * @param traffic the thread that serves requests
+     * @param exchange announces crashes to the other routers
      */
     public QuarantineTable(
             Node node,
@@ -112,10 +102,10 @@
         mSettings = settings;
         mQuarantine = quarantine;
         mTraffic = traffic;
-        mFaults = new RowDecoder(node.metrics(), node::millis);
+        mDecoder = new RowDecoder(node.metrics(), node::millis);
     }
 
-    /** Follows the table, and tells what this router finds out from now on. */
+    /** Follows the table, and publishes what this router finds from now on. */
     public void start() {
         TableExchange.ForPages pages = new TableExchange.ForPages(mExchange.tables(), TABLE);
         pages.follow(
@@ -124,98 +114,80 @@
                 TablePollTimings.quarantine(mSettings.knownMillis()),
                 this,
                 new TableExchange.ForWholeTable(pages));
-        mQuarantine.onLocalChange(report -> mNode.control().execute(() -> found(report)));
+        mQuarantine.onLocalChange(report -> mNode.control().execute(() -> onLocalChange(report)));
         mQuarantine.onMergedChange(report -> mNode.control().execute(() -> store(report)));
-        mNode.control().every(this::clean, CLEAN_MILLIS);
+        mNode.control().every(this::cleanUp, CLEANUP_MILLIS);
     }
 
-    /**
-     * Tells what this router found out.
-     *
-     * @param report what is known
-     */
-    private void found(CrashReport report) {
+    /** Announces and stores a record that this router found. */
+    private void onLocalChange(CrashReport report) {
         mExchange.announceCrash(report);
         store(report);
     }
 
     /**
-     * Has it stored what is known of a request of which this router found out a part, once the next
-     * end would put it into quarantine: after an ordinary end, each request that ran there would be
-     * a row else. If all routers lose power before that, one more upstream is lost.
-     *
-     * @param report what is known
+     * Stores a record to which this router contributed, once the next crash would put its request
+     * into quarantine. Stored earlier, an ordinary end of an upstream would create a row for each
+     * request that ran there. If all routers lose power before a record is stored, one more
+     * upstream is lost.
      */
     private void store(CrashReport report) {
-        boolean nearly = mSettings.isNearThreshold(report.record());
-        if (nearly || mStored.containsKey(report.request())) {
-            mWanted.merge(report.request(), report.record(), CrashRecord::merge);
+        boolean nearThreshold = mSettings.isNearThreshold(report.record());
+        if (nearThreshold || mRows.containsKey(report.request())) {
+            mPending.merge(report.request(), report.record(), CrashRecord::merge);
             write();
         }
     }
 
-    /** Writes what was found out first and is not stored yet. */
+    /** Writes the first record that is not stored yet. */
     private void write() {
         if (mWriting) {
             return;
         }
-        mWanted.entrySet().removeIf(each -> merged(each).equals(known(each.getKey())));
-        if (mWanted.isEmpty()) {
+        mPending.entrySet()
+                .removeIf(each -> mergedRecord(each).equals(storedRecord(each.getKey())));
+        if (mPending.isEmpty()) {
             return;
         }
         mWriting = true;
-        Map.Entry<RequestFingerprint, CrashRecord> first = mWanted.entrySet().iterator().next();
+        Map.Entry<RequestFingerprint, CrashRecord> first = mPending.entrySet().iterator().next();
         RequestFingerprint request = first.getKey();
-        CrashRecord merged = merged(first);
-        Stored stored = mStored.get(request);
+        CrashRecord merged = mergedRecord(first);
+        StoredRow stored = mRows.get(request);
         long version = stored == null ? 0 : stored.version();
         mStore.write(row(request, Json.bytes(merged), version), version)
                 .thenAccept(
-                        write -> mNode.control().execute(() -> written(request, merged, write)));
+                        write -> mNode.control().execute(() -> onWritten(request, merged, write)));
     }
 
-    /**
-     * Returns what a row is known to say.
-     *
-     * @param request the request that it is of
-     * @return its record
-     */
-    private CrashRecord known(RequestFingerprint request) {
-        Stored stored = mStored.get(request);
+    private CrashRecord storedRecord(RequestFingerprint request) {
+        StoredRow stored = mRows.get(request);
         return stored == null ? CrashRecord.NONE : stored.record();
     }
 
     /**
-     * Returns what a row is to say.
+     * Returns the record to be written to a row.
      *
-     * @param wanted the request that it is of and what is to be stored
-     * @return that, with what the row says merged in
+     * @param pending the request and its new record
+     * @return the new record, with the known content of the row merged in
      */
-    private CrashRecord merged(Map.Entry<RequestFingerprint, CrashRecord> wanted) {
-        return known(wanted.getKey()).merge(wanted.getValue());
+    private CrashRecord mergedRecord(Map.Entry<RequestFingerprint, CrashRecord> pending) {
+        return storedRecord(pending.getKey()).merge(pending.getValue());
     }
 
-    /**
-     * Goes on after a write.
-     *
-     * @param request the request
-     * @param record what was written
-     * @param write what is known of the write
-     */
-    private void written(RequestFingerprint request, CrashRecord record, WriteResult write) {
+    private void onWritten(RequestFingerprint request, CrashRecord record, WriteResult write) {
         switch (write.outcome()) {
             case WRITTEN -> {
-                note(request, write.version(), record);
+                noteRow(request, write.version(), record);
                 mWriting = false;
                 write();
             }
-            case CONFLICT, OUTDATED -> readAgain();
-            default -> writeLater();
+            case CONFLICT, OUTDATED -> readTable();
+            default -> retryWrite();
         }
     }
 
-    /** Tries a write again after a while. */
-    private void writeLater() {
+    private void retryWrite() {
         mNode.control()
                 .later(
                         () -> {
@@ -225,23 +197,24 @@
                         RETRY_MILLIS);
     }
 
-    /** Reads what another router wrote, to merge it in. */
-    private void readAgain() {
+    /** Reads the table to merge in another router's write. */
+    private void readTable() {
         mStore.read(TABLE, "")
                 .whenComplete(
-                        (page, failure) -> mNode.control().execute(() -> read(page, failure)));
+                        (page, failure) -> mNode.control().execute(() -> onRead(page, failure)));
     }
 
     /**
-     * Goes on after a read.
+     * Continues after the table was read for a merge.
      *
-     * @param page what was read, or null
-     * @param failure why nothing was read, or null
+     * @param page the table, or null
+     * @param failure why it was not read, or null
      */
-    private void read(RowPage page, Throwable failure) {
+    private void onRead(RowPage page, Throwable failure) {
         if (failure != null) {
-            LOGGER.warn("quarantine not read cause={}", String.valueOf(failure.getMessage()));
-            writeLater();
+            LOGGER.warn(
+                    "cannot read quarantine table cause={}", String.valueOf(failure.getMessage()));
+            retryWrite();
             return;
         }
         onSnapshot(page.rows());
@@ -250,32 +223,32 @@
     }
 
     /**
-     * {@inheritDoc} What the rows held stays known, and the hall's reader has it stored again where
-     * the copy lacks it.
+     * {@inheritDoc} The records of the rows stay in quarantine, and the hall's table reader stores
+     * those again that the restored table lacks.
      */
     @Override
     public void onRestored() {
         if (mExchange.isTableReader()) {
-            mStored.forEach(
+            mRows.forEach(
                     (request, stored) ->
-                            mWanted.merge(request, stored.record(), CrashRecord::merge));
+                            mPending.merge(request, stored.record(), CrashRecord::merge));
         }
-        mStored.clear();
-        mNode.control().later(this::write, TablePollTimings.restoreMillis());
+        mRows.clear();
+        mNode.control().later(this::write, TablePollTimings.randomRestoreDelayMillis());
     }
 
     /**
-     * {@inheritDoc} A row that this router saw just now stays: what another router told of the
-     * table may be older.
+     * {@inheritDoc} A missing row that this router saw a short time ago is kept, since a table sent
+     * by another router may be older.
      */
     @Override
     public void onSnapshot(List<Row> rows) {
-        Set<RequestFingerprint> gone = new HashSet<>(mStored.keySet());
+        Set<RequestFingerprint> gone = new HashSet<>(mRows.keySet());
         for (Row row : rows) {
-            request(row).ifPresent(gone::remove);
+            decodeFingerprint(row).ifPresent(gone::remove);
         }
-        gone.removeIf(request -> ageMillis(mStored.get(request)) <= mSettings.knownMillis());
-        gone.forEach(this::dropped);
+        gone.removeIf(request -> ageMillis(mRows.get(request)) <= mSettings.knownMillis());
+        gone.forEach(this::onDeleted);
         onChanges(rows);
     }
 
@@ -283,7 +256,7 @@
     @Override
     public void onChanges(List<Row> rows) {
         for (Row row : rows) {
-            request(row).ifPresent(request -> take(request, row));
+            decodeFingerprint(row).ifPresent(request -> apply(request, row));
         }
     }
 
@@ -292,131 +265,84 @@
     public void onStoreUnavailable() {}
 
     /**
-     * Takes a row, unless a newer one is known. One that another writer left says nothing and is
-     * written over.
-     *
-     * @param request the request that it is of
-     * @param row the row
+     * Applies a row, unless a newer version is known. A row that cannot be decoded holds no record
+     * and will be overwritten.
      */
-    private void take(RequestFingerprint request, Row row) {
-        if (!news(request, row.version())) {
+    private void apply(RequestFingerprint request, Row row) {
+        if (!isNewer(request, row.version())) {
             return;
         }
         if (row.deleted()) {
-            dropped(request);
+            onDeleted(request);
             return;
         }
         CrashRecord record =
-                mFaults.decode(row, each -> Json.read(each.value(), CrashRecord.class))
+                mDecoder.decode(row, each -> Json.read(each.value(), CrashRecord.class))
                         .orElse(CrashRecord.NONE);
-        note(request, row.version(), record);
+        noteRow(request, row.version(), record);
         CrashReport report = new CrashReport(request, record);
         mTraffic.execute(() -> mQuarantine.merge(report));
     }
 
-    /**
-     * Notes what a row says, unless a newer version of it is known.
-     *
-     * @param request the request that it is of
-     * @param version its version
-     * @param record what it says
-     */
-    private void note(RequestFingerprint request, long version, CrashRecord record) {
-        if (news(request, version)) {
-            mStored.put(request, new Stored(version, record, mNode.millis()));
+    /** Notes the content of a row, unless a newer version is known. */
+    private void noteRow(RequestFingerprint request, long version, CrashRecord record) {
+        if (isNewer(request, version)) {
+            mRows.put(request, new StoredRow(version, record, mNode.millis()));
         }
     }
 
-    /**
-     * Returns whether a version of a row is newer than what is known of it.
-     *
-     * @param request the request that it is of
-     * @param version the version
-     * @return whether it is
-     */
-    private boolean news(RequestFingerprint request, long version) {
-        Stored known = mStored.get(request);
+    private boolean isNewer(RequestFingerprint request, long version) {
+        StoredRow known = mRows.get(request);
         return known == null || known.version() < version;
     }
 
-    /**
-     * Makes a row.
-     *
-     * @param request the request that it is of
-     * @param value what it says, as encoded
-     * @param version its version
-     * @return the row
-     */
     private static Row row(RequestFingerprint request, byte[] value, long version) {
         return new Row(TABLE, "", request.value(), value, version, false);
     }
 
-    /**
-     * Forgets a request whose row was deleted.
-     *
-     * @param request the request
-     */
-    private void dropped(RequestFingerprint request) {
-        if (mStored.remove(request) != null) {
+    private void onDeleted(RequestFingerprint request) {
+        if (mRows.remove(request) != null) {
             LOGGER.info("quarantine row deleted content={}", request);
             mTraffic.execute(() -> mQuarantine.remove(request));
         }
     }
 
-    /**
-     * Reads a row's key.
-     *
-     * @param row the row
-     * @return the request that it is of, or empty where another writer left it
-     */
-    private Optional<RequestFingerprint> request(Row row) {
-        return mFaults.decode(row, each -> new RequestFingerprint(each.key()));
+    private Optional<RequestFingerprint> decodeFingerprint(Row row) {
+        return mDecoder.decode(row, each -> new RequestFingerprint(each.key()));
     }
 
-    /** Deletes rows that are too old or too many, if this router reads for its hall. */
-    private void clean() {
+    /** Deletes expired and surplus rows, if this router is its hall's table reader. */
+    private void cleanUp() {
         if (!mExchange.isTableReader()) {
             return;
         }
-        List<RequestFingerprint> oldest = new ArrayList<>(mStored.keySet());
-        oldest.sort(Comparator.comparingLong(request -> mStored.get(request).version()));
-        int left = oldest.size();
+        List<RequestFingerprint> oldest = new ArrayList<>(mRows.keySet());
+        oldest.sort(Comparator.comparingLong(request -> mRows.get(request).version()));
+        int remaining = oldest.size();
         for (RequestFingerprint request : oldest) {
-            Stored stored = mStored.get(request);
-            if (old(stored) || left > MOST_ROWS) {
-                left--;
-                drop(request, stored);
+            StoredRow stored = mRows.get(request);
+            if (isExpired(stored) || remaining > MAX_ROWS) {
+                remaining--;
+                delete(request, stored);
             }
         }
     }
 
-    /**
-     * Returns whether a row is too old.
-     *
-     * @param stored the row
-     * @return whether it is
-     */
-    private boolean old(Stored stored) {
+    private boolean isExpired(StoredRow stored) {
         return ageMillis(stored) > mSettings.retentionMillis(stored.record());
     }
 
     /**
-     * Returns for how long a row has been as it is.
+     * Returns the age of a row's version.
      *
-     * @param stored the row
-     * @return milliseconds since this router first saw it so
+     * @return milliseconds since this router first saw it
      */
-    private long ageMillis(Stored stored) {
-        return mNode.millis() - stored.since();
+    private long ageMillis(StoredRow stored) {
+        return mNode.millis() - stored.sinceMillis();
     }
 
-    /**
-     * Deletes a row; one that could not be deleted is tried again the next time.
-     *
-     * @param request the request that it is of
-     * @param stored the row
-     */
-    private void drop(RequestFingerprint request, Stored stored) {
+    /** Deletes a row; the next cleanup retries a failed deletion. */
+    private void delete(RequestFingerprint request, StoredRow stored) {
         mStore.delete(row(request, new byte[0], stored.version()))
                 .thenAccept(
                         write ->
@@ -424,7 +350,7 @@
                                         .execute(
                                                 () -> {
                                                     if (write.outcome() == Outcome.WRITTEN) {
-                                                        dropped(request);
+                                                        onDeleted(request);
                                                     }
                                                 }));
     }
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/cluster/RelayPlan.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/cluster/RelayPlan.java
@@ -11,97 +11,88 @@
 import org.troutpier.daemon.peer.Membership.Member;
 
 /**
- * To whom a router tells its load and from whom it hears that of the others. Immutable; a pure
- * decision of who is known, what each can do and who can be used. Few routers tell each other
- * directly. Of many, the ablest usable router of each hall is its relay: the others of the hall
- * report to it, and the relays of all halls tell each other of their groups. The next of each hall
- * stands by, connected to all that would need it. A router's messages so grow with its hall's size
- * at most, not with that of the whole.
+ * The routers to which a router reports its load and which report to it. Immutable; computed only
+ * from the known routers, their capacities and which of them are reachable. Up to {@link
+ * #MAX_DIRECT_ROUTERS} routers all report to each other. Of more, the usable router of each hall
+ * with the greatest capacity is its relay: the others of the hall report to it, and the relays of
+ * all halls exchange the totals of their groups. The next router of each hall is a standby,
+ * connected to all routers that would need it. So the number of a router's messages grows at most
+ * with the size of its hall, not with that of the fleet.
  *
- * @param direct whether all routers tell each other
- * @param reader whether this router reads shared tables for its hall; of many it relays too
- * @param wanted the routers to be connected to
- * @param reportTo whom this router reports to; empty for a relay and where all tell each other
- * @param relays the other relays of all halls; empty for a router that is no relay
+ * @param direct whether all routers report to each other
+ * @param tableReader whether this router reads shared tables of the store for its hall; unless
+ *     {@code direct}, it is also the hall's relay
+ * @param connectionTargets the routers to be connected to
+ * @param reportTo the relay to which this router reports; empty for a relay and where {@code
+ *     direct}
+ * @param relays the relays of the other halls; empty for a router that is not a relay
  */
 record RelayPlan(
         boolean direct,
-        boolean reader,
-        List<Member> wanted,
+        boolean tableReader,
+        List<Member> connectionTargets,
         Optional<Member> reportTo,
         List<Member> relays) {
 
     /**
-     * Up to how many routers all tell each other, so that word comes in one step. Reports of seven
-     * others cost 0.042 of a core (docs/CAPACITY.md); twice as many are borne.
+     * Largest number of routers that all report to each other, so that a report takes one hop.
+     * Reports of seven others cost 0.042 of a core (docs/CAPACITY.md); 15 others cost about twice
+     * as much, which is acceptable.
      */
-    static final int MOST_DIRECT = 16;
+    static final int MAX_DIRECT_ROUTERS = 16;
 
     /**
-     * How many routers of a hall are kept connected to relay: the relay and one that stands by. One
-     * that stood by as a second relay, told of all groups as well, doubled the relays that tell
-     * each other (ten of five halls). Without them it opens connections to the other relays when it
-     * takes the place.
+     * Number of routers of a hall that are kept connected as relays: the relay and a standby. The
+     * standby is not a second relay that receives all groups too: that doubled the relays that
+     * report to each other (ten for five halls). So it opens connections to the other relays only
+     * when it takes over.
      */
-    static final int CANDIDATES = 2;
+    static final int RELAY_CANDIDATES = 2;
 
     /**
-     * Makes a plan.
+     * Computes a plan.
      *
-     * @param self this router
-     * @param live all routers that may be there, this one included
-     * @param points how much each can do
+     * @param live all routers that may be running, including this one
+     * @param capacity a router's capacity; see {@link RouterCapacity}
      * @param usable whether another router is connected and answers
-     * @return the plan
      */
     static RelayPlan of(
             Member self,
             List<Member> live,
-            ToIntFunction<Member> points,
+            ToIntFunction<Member> capacity,
             Predicate<Incarnation> usable) {
-        Predicate<Member> here =
+        Predicate<Member> available =
                 member ->
                         member.incarnation().equals(self.incarnation())
                                 || usable.test(member.incarnation());
         List<Member> ranked = new ArrayList<>(live);
         ranked.sort(
-                Comparator.comparingInt(points)
+                Comparator.comparingInt(capacity)
                         .reversed()
                         .thenComparing(member -> member.incarnation().instance().value()));
-        Ranking ownHall = Ranking.of(self.hall(), ranked, here);
-        boolean reader = ownHall.isFirst(self);
-        if (live.size() <= MOST_DIRECT) {
-            return new RelayPlan(true, reader, live, Optional.empty(), List.of());
+        Ranking ownHall = Ranking.of(self.hall(), ranked, available);
+        boolean tableReader = ownHall.isFirst(self);
+        if (live.size() <= MAX_DIRECT_ROUTERS) {
+            return new RelayPlan(true, tableReader, live, Optional.empty(), List.of());
         }
-        List<Member> wanted = new ArrayList<>(ownHall.candidates());
-        if (reader) {
+        List<Member> connectionTargets = new ArrayList<>(ownHall.candidates());
+        if (tableReader) {
             List<Member> relays = new ArrayList<>();
             for (HallId hall : otherHalls(self, live)) {
-                Ranking other = Ranking.of(hall, ranked, here);
-                wanted.addAll(other.candidates());
+                Ranking other = Ranking.of(hall, ranked, available);
+                connectionTargets.addAll(other.candidates());
                 other.first().ifPresent(relays::add);
             }
-            return new RelayPlan(false, true, wanted, Optional.empty(), relays);
+            return new RelayPlan(false, true, connectionTargets, Optional.empty(), relays);
         }
-        return new RelayPlan(false, false, wanted, ownHall.first(), List.of());
+        return new RelayPlan(false, false, connectionTargets, ownHall.first(), List.of());
     }
 
-    /**
-     * Returns whether this router relays for its hall.
-     *
-     * @return whether it does: its hall's reader, unless all tell each other
-     */
-    boolean relay() {
-        return reader && !direct;
+    /** Returns whether this router is the relay of its hall. */
+    boolean isRelay() {
+        return tableReader && !direct;
     }
 
-    /**
-     * Returns the other halls.
-     *
-     * @param self this router
-     * @param live all routers
-     * @return the halls, each once
-     */
     private static List<HallId> otherHalls(Member self, List<Member> live) {
         return live.stream()
                 .map(Member::hall)
@@ -111,23 +102,21 @@
     }
 
     /**
-     * The routers of one hall that may relay. Immutable.
+     * The routers of one hall that may be its relay. Immutable.
      *
-     * @param candidates those to be connected to: the first that are usable and all that rank
+     * @param candidates the routers to be connected to: the first usable ones, and all that rank
      *     before the last of them
-     * @param first the first that is usable, if any is
+     * @param first the first usable router, if any
      */
     private record Ranking(List<Member> candidates, Optional<Member> first) {
 
         /**
          * Ranks a hall's routers.
          *
-         * @param hall the hall
-         * @param ranked all routers, the ablest first
-         * @param here whether a router can be used
-         * @return the ranking
+         * @param ranked all routers, by descending capacity
+         * @param available whether a router can be used
          */
-        static Ranking of(HallId hall, List<Member> ranked, Predicate<Member> here) {
+        static Ranking of(HallId hall, List<Member> ranked, Predicate<Member> available) {
             List<Member> candidates = new ArrayList<>();
             List<Member> usable = new ArrayList<>();
             for (Member member : ranked) {
@@ -135,22 +124,16 @@
                     continue;
                 }
                 candidates.add(member);
-                if (here.test(member)) {
+                if (available.test(member)) {
                     usable.add(member);
                 }
-                if (usable.size() == CANDIDATES) {
+                if (usable.size() == RELAY_CANDIDATES) {
                     break;
                 }
             }
             return new Ranking(candidates, usable.stream().findFirst());
         }
 
-        /**
-         * Returns whether a router is the first.
-         *
-         * @param member the router
-         * @return whether it is
-         */
         boolean isFirst(Member member) {
             return first.filter(member::equals).isPresent();
         }
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/cluster/ReportScope.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/cluster/ReportScope.java
@@ -1,11 +1,11 @@
 package org.troutpier.daemon.cluster;
 
-/** Whose load a report tells of. */
+/** The routers whose load a report covers. */
 public enum ReportScope {
-    /** The sender's own. */
+    /** The sender. */
     OWN,
-    /** That of a relay and the routers of its hall that report to it. */
+    /** A relay and the routers of its hall that report to it. */
     GROUP,
-    /** That of all routers but the receiver, as the receiver's relay knows it. */
+    /** All routers but the receiver, as known to the receiver's relay. */
     REST
 }
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/cluster/RetainedUsage.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/cluster/RetainedUsage.java
@@ -9,106 +9,88 @@
 import org.troutpier.daemon.organisation.UsageReport;
 
 /**
- * What organisations used at routers that have fallen silent or started again, for as long as it
- * lies in the window of limits. Confined to the control thread. Invariant: what one source used is
- * kept once, and fades to nothing within the window.
+ * Retains the usage by organisations at routers that stopped reporting or restarted, until it has
+ * left the window of usage limits. Confined to the control thread. Invariant: the usage of one
+ * source is held once and fades to nothing within the window.
  */
 final class RetainedUsage {
 
-    /** How long the window is, milliseconds. */
     private final long mWindowMillis;
 
-    /** What each source used. */
-    private final Map<Source, Kept> mKept = new HashMap<>();
+    private final Map<Source, Entry> mEntries = new HashMap<>();
 
     /**
-     * Whose use it is.
+     * The origin of usage.
      *
-     * @param scope a router's own, or that of a hall's group
-     * @param name the router's instance, or the hall
+     * @param scope {@link ReportScope#OWN} for a single router, {@link ReportScope#GROUP} for a
+     *     hall's group
+     * @param name the router's instance or the hall
      */
     record Source(ReportScope scope, String name) {}
 
     /**
-     * What a source used.
+     * The last known usage of a source.
      *
-     * @param use what it told last
-     * @param at when that was, milliseconds
+     * @param usage the usage
+     * @param reportedMillis when it was reported, milliseconds on the monotonic clock
      */
-    private record Kept(UsageReport use, long at) {}
+    private record Entry(UsageReport usage, long reportedMillis) {}
 
-    /**
-     * Creates a memory of nothing.
-     *
-     * @param windowMillis how long the window is, milliseconds
-     */
     RetainedUsage(long windowMillis) {
         mWindowMillis = windowMillis;
     }
 
     /**
-     * Keeps what a source used.
+     * Retains a source's last reported usage, in addition to what is left of its earlier usage.
      *
-     * @param source whose use it is
-     * @param use what it told last
-     * @param at when that was, milliseconds
+     * @param reportedMillis when it was reported, milliseconds on the monotonic clock
      */
-    void keep(Source source, UsageReport use, long at) {
-        if (!use.used().isEmpty()) {
-            mKept.merge(
+    void retain(Source source, UsageReport usage, long reportedMillis) {
+        if (!usage.used().isEmpty()) {
+            mEntries.merge(
                     source,
-                    new Kept(use, at),
-                    (before, more) -> new Kept(left(before, at).plus(List.of(more.use())), at));
+                    new Entry(usage, reportedMillis),
+                    (before, added) ->
+                            new Entry(
+                                    remaining(before, reportedMillis).plus(List.of(added.usage())),
+                                    reportedMillis));
         }
     }
 
-    /**
-     * Forgets a source that tells of itself again.
-     *
-     * @param source whose use it was
-     */
-    void forget(Source source) {
-        mKept.remove(source);
+    void remove(Source source) {
+        mEntries.remove(source);
     }
 
-    /**
-     * Returns whether it is known what a source used.
-     *
-     * @param source whose use it is
-     * @return whether it is kept
-     */
-    boolean keeps(Source source) {
-        return mKept.containsKey(source);
+    boolean contains(Source source) {
+        return mEntries.containsKey(source);
     }
 
     /**
-     * Sums up what is left in the window.
+     * Returns the total of what is left in the window.
      *
-     * @param scopes the scopes that count
-     * @param speaks whether a source's use is told by another
+     * @param scopes the counted scopes
+     * @param covered whether a source's usage is part of a current report
      * @param now the monotonic clock, milliseconds
-     * @return the use
      */
-    UsageReport sum(Set<ReportScope> scopes, Predicate<Source> speaks, long now) {
-        mKept.values().removeIf(kept -> now - kept.at() >= mWindowMillis);
-        List<UsageReport> left = new ArrayList<>();
-        mKept.forEach(
-                (source, kept) -> {
-                    if (scopes.contains(source.scope()) && !speaks.test(source)) {
-                        left.add(left(kept, now));
+    UsageReport total(Set<ReportScope> scopes, Predicate<Source> covered, long now) {
+        mEntries.values().removeIf(entry -> now - entry.reportedMillis() >= mWindowMillis);
+        List<UsageReport> remaining = new ArrayList<>();
+        mEntries.forEach(
+                (source, entry) -> {
+                    if (scopes.contains(source.scope()) && !covered.test(source)) {
+                        remaining.add(remaining(entry, now));
                     }
                 });
-        return left.isEmpty() ? UsageReport.NONE : UsageReport.NONE.plus(left);
+        return remaining.isEmpty() ? UsageReport.NONE : UsageReport.NONE.plus(remaining);
     }
 
     /**
-     * Returns what of a source's use is left in the window, taken to have been even.
+     * Returns the part of a source's usage that is still in the window, assuming that it was spread
+     * evenly over it.
      *
-     * @param kept the use
      * @param now the monotonic clock, milliseconds
-     * @return what is left
      */
-    private UsageReport left(Kept kept, long now) {
-        return kept.use().after((now - kept.at()) / (double) mWindowMillis);
+    private UsageReport remaining(Entry entry, long now) {
+        return entry.usage().after((now - entry.reportedMillis()) / (double) mWindowMillis);
     }
 }
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/cluster/RouterCapacity.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/cluster/RouterCapacity.java
@@ -3,17 +3,16 @@
 import org.troutpier.common.settings.Check;
 
 /**
- * How much a router can do for the others, so that slow or narrow instances are spared. Immutable
- * and thread safe.
+ * A router's capacity to work for the others; slow instances and narrow links are avoided.
+ * Immutable and thread safe.
  *
- * @param points hundredths of a core, or megabits a second of its link, whichever is less
+ * @param points hundredths of a core or megabits a second of its link, whichever is less
  */
 public record RouterCapacity(int points) implements Comparable<RouterCapacity> {
 
-    /** How many points a core is worth. */
     private static final int POINTS_PER_CORE = 100;
 
-    /** Checks the field. */
+    /** Validates the field. */
     public RouterCapacity {
         Check.range("points", points, 0, Integer.MAX_VALUE);
     }
@@ -21,9 +20,8 @@
     /**
      * Returns the capacity of an instance.
      *
-     * @param cores how many cores it may use
-     * @param linkMegabits how much its link carries, Mbit/s
-     * @return the capacity
+     * @param cores the cores that it may use
+     * @param linkMegabits the bandwidth of its link, Mbit/s
      */
     public static RouterCapacity of(double cores, double linkMegabits) {
         return new RouterCapacity((int) Math.min(cores * POINTS_PER_CORE, linkMegabits));
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/cluster/TableExchange.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/cluster/TableExchange.java
@@ -17,64 +17,53 @@
 import org.troutpier.daemon.rows.TableFollower;
 
 /**
- * Tables that routers read for each other: the hall's reader shares its pages, and a router that
- * the store does not answer asks one that it may answer. Without the asking, a router that the
- * store left unanswered for twelve seconds sent work to an upstream that had left for as long,
- * though it heard all seven others, which knew within half a second. Confined to the control
- * thread. Invariant: what is told is as old as the teller says, so that two routers which are both
- * unanswered do not keep an old table alive between them.
+ * Shares the store's tables between routers: the table reader of each hall publishes its pages, and
+ * a router that the store does not answer requests the table from another. Without these requests,
+ * a router that got no answer for twelve seconds kept sending work to an upstream that had left,
+ * although it was connected to seven routers that had known within half a second. Confined to the
+ * control thread. Invariant: a table's age is sent with it, so that two routers without an answer
+ * cannot keep an old table alive by sending it to each other.
  */
 public final class TableExchange {
 
-    /** The router's hall. */
     private final HallId mHall;
 
-    /** Connections to the others. */
     private final PeerLinks mLinks;
 
-    /** To whom this router tells what. */
     private final Supplier<RelayPlan> mPlan;
 
-    /** The routers that report to this one. */
-    private final Supplier<Set<Incarnation>> mLocals;
+    private final Supplier<Set<Incarnation>> mGroupMembers;
 
-    /** The followers by table. */
     private final Map<String, TableFollower> mFollowers = new HashMap<>();
 
-    /** How many times another router was asked: each time the next one is. */
-    private int mAsked;
+    /** Number of table requests sent; selects the next router to ask. */
+    private int mRequestCount;
 
     /**
      * Creates an exchange.
      *
      * @param hall the router's hall
-     * @param links connections to the others
-     * @param plan to whom this router tells what; asked each time
-     * @param locals the routers that report to this one; asked each time
+     * @param plan supplies the current plan
+     * @param groupMembers supplies the routers that report to this one
      */
     TableExchange(
             HallId hall,
             PeerLinks links,
             Supplier<RelayPlan> plan,
-            Supplier<Set<Incarnation>> locals) {
+            Supplier<Set<Incarnation>> groupMembers) {
         mHall = hall;
         mLinks = links;
         mPlan = plan;
-        mLocals = locals;
+        mGroupMembers = groupMembers;
     }
 
-    /**
-     * Sets who follows a table.
-     *
-     * @param table the table
-     * @param follower takes pages and tells the table
-     */
-    void follow(String table, TableFollower follower) {
+    void register(String table, TableFollower follower) {
         mFollowers.put(table, follower);
     }
 
     /**
-     * Shares pages of a table, without asking for it. Confined to the control thread.
+     * Publishes pages of a table, without requesting it from others. Confined to the control
+     * thread.
      *
      * @param exchange the exchange
      * @param table the table
@@ -85,38 +74,41 @@
         /** {@inheritDoc} */
         @Override
         public void publish(long after, long version, long unbrokenMillis, List<Row> rows) {
-            exchange.share(new SharedPage(table, after, version, unbrokenMillis, rows));
+            exchange.publish(new SharedPage(table, after, version, unbrokenMillis, rows));
         }
 
         /**
-         * Starts to follow the table, by calls to the store and by what other routers tell of it.
+         * Starts to follow the table, by calls to the store and by pages of other routers.
          *
-         * @param node the router's identity, threads, clock and metrics
-         * @param store the store
-         * @param pace how the table is followed
+         * @param timing the timing of the calls
          * @param listener receives what is read, on the control thread
-         * @param sharer shares what is read
-         * @return what follows it
+         * @param publisher publishes what is read
          */
         public TableFollower follow(
                 Node node,
                 RowStore store,
-                TableFollower.PollTiming pace,
+                TableFollower.PollTiming timing,
                 TableFollower.Listener listener,
-                TableFollower.ChangePublisher sharer) {
+                TableFollower.ChangePublisher publisher) {
             TableFollower follower =
                     new TableFollower(
-                            node.control(), store, table, pace, listener, sharer, node::millis);
-            exchange.follow(table, follower);
+                            node.control(),
+                            store,
+                            table,
+                            timing,
+                            listener,
+                            publisher,
+                            node::millis);
+            exchange.register(table, follower);
             follower.start();
             return follower;
         }
     }
 
     /**
-     * Shares pages of a table and asks for it. Confined to the control thread.
+     * Publishes pages of a table and requests it from others. Confined to the control thread.
      *
-     * @param pages shares the pages
+     * @param pages publishes the pages
      */
     public record ForWholeTable(ForPages pages) implements TableFollower.ChangePublisher {
 
@@ -129,92 +121,72 @@
         /** {@inheritDoc} */
         @Override
         public void requestTable(long version) {
-            pages.exchange().ask(pages.table(), version);
+            pages.exchange().requestTable(pages.table(), version);
         }
     }
 
-    /**
-     * Shares a page with the others of this hall, if this router reads for them.
-     *
-     * @param page the page
-     */
-    private void share(SharedPage page) {
-        if (mPlan.get().reader()) {
-            mLinks.sendAll(hallMates(), new PeerMessage.Page(page));
+    /** Publishes a page to the other routers of this hall, if this router is its table reader. */
+    private void publish(SharedPage page) {
+        if (mPlan.get().tableReader()) {
+            mLinks.sendAll(hallPeers(), new PeerMessage.Page(page));
         }
     }
 
     /**
-     * Returns the others of this hall.
+     * Returns the other routers of this hall.
      *
-     * @return all that are known where routers tell each other directly; those that report to this
-     *     one where it relays
+     * @return all known ones where routers report to each other directly, else those that report to
+     *     this relay
      */
-    private Set<Incarnation> hallMates() {
+    private Set<Incarnation> hallPeers() {
         if (!mPlan.get().direct()) {
-            return mLocals.get();
+            return mGroupMembers.get();
         }
-        List<Member> mates = new ArrayList<>(mPlan.get().wanted());
-        mates.removeIf(member -> !member.hall().equals(mHall));
-        return LoadRelay.incarnations(mates);
+        List<Member> peers = new ArrayList<>(mPlan.get().connectionTargets());
+        peers.removeIf(member -> !member.hall().equals(mHall));
+        return LoadRelay.incarnations(peers);
     }
 
     /**
-     * Asks another router for a table: each time the next of those that are connected, since some
-     * may be unanswered too.
+     * Requests a table from another router. Each request goes to the next connected router, since
+     * some may get no answer from the store either.
      *
-     * @param table the table
      * @param version the newest version that this router knows
      */
-    private void ask(String table, long version) {
+    private void requestTable(String table, long version) {
         List<Incarnation> connected = new ArrayList<>();
-        for (Member member : mPlan.get().wanted()) {
+        for (Member member : mPlan.get().connectionTargets()) {
             if (mLinks.isConnected(member.incarnation())) {
                 connected.add(member.incarnation());
             }
         }
         if (!connected.isEmpty()) {
-            Incarnation next = connected.get(mAsked++ % connected.size());
+            Incarnation next = connected.get(mRequestCount++ % connected.size());
             mLinks.send(next, new PeerMessage.TableAsked(table, version));
         }
     }
 
-    /**
-     * Takes a page.
-     *
-     * @param page the page
-     */
-    void heard(SharedPage page) {
+    void onPage(SharedPage page) {
         TableFollower follower = mFollowers.get(page.table());
         if (follower != null) {
             follower.applyShared(page.after(), page.version(), page.unbrokenMillis(), page.rows());
         }
     }
 
-    /**
-     * Tells a router that asked, if this one knows the table well enough.
-     *
-     * @param from who asked
-     * @param asked what it asked for
-     */
-    void heard(Incarnation from, PeerMessage.TableAsked asked) {
-        TableFollower follower = mFollowers.get(asked.table());
+    /** Answers a request for a table, if this router knows the table well enough. */
+    void onTableRequest(Incarnation from, PeerMessage.TableAsked request) {
+        TableFollower follower = mFollowers.get(request.table());
         if (follower != null) {
-            follower.stateSince(asked.version())
-                    .map(state -> new PeerMessage.TableTold(asked.table(), state))
-                    .ifPresent(told -> mLinks.send(from, told));
+            follower.stateSince(request.version())
+                    .map(state -> new PeerMessage.TableTold(request.table(), state))
+                    .ifPresent(answer -> mLinks.send(from, answer));
         }
     }
 
-    /**
-     * Takes a table that another router told.
-     *
-     * @param told the table
-     */
-    void heard(PeerMessage.TableTold told) {
-        TableFollower follower = mFollowers.get(told.table());
+    void onTableState(PeerMessage.TableTold state) {
+        TableFollower follower = mFollowers.get(state.table());
         if (follower != null) {
-            follower.applyPeerState(told.state());
+            follower.applyPeerState(state.state());
         }
     }
 }
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/cluster/TablePollTimings.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/cluster/TablePollTimings.java
@@ -4,125 +4,121 @@
 import org.troutpier.daemon.rows.TableFollower.PollTiming;
 
 /**
- * How tables are followed that one router of each hall reads for the others, by the time in which a
- * change must be acted on. Not to be instantiated; stateless and thread safe.
+ * Poll timings of tables that the table reader of each hall reads for the others, derived from the
+ * time in which a change must take effect. Stateless and thread safe.
  */
 public final class TablePollTimings {
 
     /**
-     * Which part of the time in which a configuration must be in force one call waits for a change:
-     * a call that hangs is given up within it.
+     * Fraction of a configuration's adoption time for which one call waits for a change: a call
+     * that hangs is abandoned within that time.
      */
-    private static final double CONFIGURATION_WAIT_PART = 0.35;
+    private static final double CONFIGURATION_WAIT_FRACTION = 0.35;
 
     /**
-     * Which part of the time in which a configuration must be in force passes after a page that
-     * another router shared before this one reads itself: a router that shares no more is noticed
-     * in time.
+     * Fraction of a configuration's adoption time for which a page shared by another router is
+     * valid: a router that stops sharing is noticed in time.
      */
-    private static final double CONFIGURATION_SHARED_PART = 0.55;
+    private static final double CONFIGURATION_SHARED_FRACTION = 0.55;
 
     /**
-     * Which part of the time after which a leaving upstream must get no work passes between two
-     * reads. Each upstream writes its row every heartbeat, so a call that waited for a change would
-     * return at once.
+     * Fraction of the drain time between two reads of the upstreams. Each upstream writes its row
+     * at every heartbeat, so a call that waits for a change would return immediately.
      */
-    private static final double DIRECTORY_PAUSE_PART = 0.35;
+    private static final double DIRECTORY_PAUSE_FRACTION = 0.35;
 
-    /** The same for the time after which a leaving upstream must get no work. */
-    private static final double DIRECTORY_SHARED_PART = 0.525;
+    /** Fraction of the drain time for which a page shared by another router is valid. */
+    private static final double DIRECTORY_SHARED_FRACTION = 0.525;
 
     /**
-     * How long a read of the upstreams is waited for before the next is made beside it,
-     * milliseconds. A call into a silent connection ends after a second; waited for, it let the
-     * store's return be noticed 1.1 to 1.4 s late, which together with the time that a missing
-     * upstream is believed is more than the users allow.
+     * Time after which an unanswered read of the upstreams is supplemented by another call,
+     * milliseconds. A call on a dead connection fails after a second; if it is waited for, the
+     * store's return is noticed 1.1 to 1.4 s late, and together with the time for which a missing
+     * upstream is kept that exceeds the users' limit.
      */
     private static final long DIRECTORY_RETRY_MILLIS = 400;
 
     /**
-     * The same for the configuration, milliseconds: other routers hand it on, so fewer calls do.
-     * With 400 in place of this and of the member table's pace, a day with two losses of the store
-     * at over half of the routers took 1055 calls, against 864 without calls beside others.
+     * The same time for the configuration, milliseconds. Routers also send it to each other, so
+     * fewer calls suffice: with 400 here and in the member table's timing, a day with two losses of
+     * the store at over half of the routers took 1055 calls, against 864 without such additional
+     * calls.
      */
     private static final long CONFIGURATION_RETRY_MILLIS = 700;
 
     /**
-     * Which part of the time in which each router must know of a request that is no longer run one
-     * call waits for a change. Routers tell each other at once; the table is for those that were
-     * cut off or not there, so each hall's reader makes two calls in three seconds and no more.
+     * Fraction of the time in which each router must know a quarantined request for which one call
+     * waits for a change. Routers notify each other immediately and the table is for those that
+     * were disconnected or not running, so two calls in three seconds by each hall's table reader
+     * suffice.
      */
-    private static final double QUARANTINE_WAIT_PART = 0.5;
+    private static final double QUARANTINE_WAIT_FRACTION = 0.5;
 
     /**
-     * The same for the pause between two calls: in the second in which upstreams end, several
-     * routers write, and each row would answer a call.
+     * Fraction of the same time between two calls: when upstreams crash, several routers write
+     * within a second, and each row would answer a call.
      */
-    private static final double QUARANTINE_PAUSE_PART = 0.1;
+    private static final double QUARANTINE_PAUSE_FRACTION = 0.1;
 
-    /** The same for the time after a page that another router shared. */
-    private static final double QUARANTINE_SHARED_PART = 0.7;
+    /** Fraction of the same time for which a page shared by another router is valid. */
+    private static final double QUARANTINE_SHARED_FRACTION = 0.7;
 
-    /** The same for the time after which the next call is made beside one that hangs. */
-    private static final double QUARANTINE_RETRY_PART = 0.2;
+    /** Fraction of the same time after which a call that hangs is supplemented by another. */
+    private static final double QUARANTINE_RETRY_FRACTION = 0.2;
 
     /**
-     * Within which time routers write rows again that a copy of the store lacks, milliseconds: they
-     * know what the rows held meanwhile.
+     * Time over which routers spread writing rows again that a restored store lacks, milliseconds.
+     * They know the content of the rows in the meantime.
      */
-    private static final long RESTORE_MILLIS = 3000;
+    private static final long RESTORE_SPREAD_MILLIS = 3000;
 
-    /** Not to be instantiated. */
     private TablePollTimings() {}
 
     /**
-     * Draws when rows are written again that a copy of the store lacks.
+     * Returns a random delay before rows are written again that a restored store lacks.
      *
-     * @return milliseconds from now
+     * @return milliseconds
      */
-    static long restoreMillis() {
-        return ThreadLocalRandom.current().nextLong(RESTORE_MILLIS);
+    static long randomRestoreDelayMillis() {
+        return ThreadLocalRandom.current().nextLong(RESTORE_SPREAD_MILLIS);
     }
 
     /**
-     * Returns how the operator's table is followed.
+     * Returns the timing for the configuration table.
      *
-     * @param inForceMillis in which time a configuration must be in force, milliseconds
-     * @return the pace
+     * @param adoptionMillis time in which a configuration must be in force, milliseconds
      */
-    public static PollTiming configuration(int inForceMillis) {
+    public static PollTiming configuration(int adoptionMillis) {
         return new PollTiming(
-                (int) (inForceMillis * CONFIGURATION_WAIT_PART),
+                (int) (adoptionMillis * CONFIGURATION_WAIT_FRACTION),
                 0,
-                (long) (inForceMillis * CONFIGURATION_SHARED_PART),
+                (long) (adoptionMillis * CONFIGURATION_SHARED_FRACTION),
                 CONFIGURATION_RETRY_MILLIS);
     }
 
     /**
-     * Returns how the table of requests is followed that are no longer run.
+     * Returns the timing for the quarantine table.
      *
-     * @param knownMillis in which time each router must know of one, milliseconds
-     * @return the pace
+     * @param knownMillis time in which each router must know a quarantined request, milliseconds
      */
     public static PollTiming quarantine(int knownMillis) {
         return new PollTiming(
-                (int) (knownMillis * QUARANTINE_WAIT_PART),
-                (long) (knownMillis * QUARANTINE_PAUSE_PART),
-                (long) (knownMillis * QUARANTINE_SHARED_PART),
-                (long) (knownMillis * QUARANTINE_RETRY_PART));
+                (int) (knownMillis * QUARANTINE_WAIT_FRACTION),
+                (long) (knownMillis * QUARANTINE_PAUSE_FRACTION),
+                (long) (knownMillis * QUARANTINE_SHARED_FRACTION),
+                (long) (knownMillis * QUARANTINE_RETRY_FRACTION));
     }
 
     /**
-     * Returns how the table of upstreams is followed.
+     * Returns the timing for the table of upstreams.
      *
-     * @param drainMillis after which time a leaving upstream must get no work, milliseconds
-     * @return the pace
+     * @param drainMillis time after which a leaving upstream must get no work, milliseconds
      */
     public static PollTiming upstreams(int drainMillis) {
         return new PollTiming(
                 1,
-                (long) (drainMillis * DIRECTORY_PAUSE_PART),
-                (long) (drainMillis * DIRECTORY_SHARED_PART),
+                (long) (drainMillis * DIRECTORY_PAUSE_FRACTION),
+                (long) (drainMillis * DIRECTORY_SHARED_FRACTION),
                 DIRECTORY_RETRY_MILLIS);
     }
 }
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/cluster/UpstreamUsage.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/cluster/UpstreamUsage.java
@@ -3,37 +3,31 @@
 import com.fasterxml.jackson.annotation.JsonFormat;
 
 /**
- * What one router has under way at one upstream, and how its calls there ended lately. Immutable
- * and thread safe.
+ * One router's usage of one upstream, and the recent outcomes of its calls. Immutable and thread
+ * safe.
  *
- * @param calls calls under way
+ * @param calls calls in progress
  * @param tokens the tokens of these calls; 0 for plain calls
- * @param failed calls that failed lately
- * @param succeeded calls that went well lately
+ * @param failed recent calls that failed
+ * @param succeeded recent calls that succeeded
  */
 @JsonFormat(shape = JsonFormat.Shape.ARRAY)
 public record UpstreamUsage(int calls, long tokens, int failed, int succeeded) {
 
-    /** Nothing under way. */
+    /** No usage. */
     public static final UpstreamUsage NONE = new UpstreamUsage(0, 0, 0, 0);
 
     /**
-     * Creates the use of an upstream of whose calls none has ended lately.
+     * Returns the usage of an upstream none of whose calls has ended recently.
      *
-     * @param calls calls under way
+     * @param calls calls in progress
      * @param tokens the tokens of these calls
-     * @return the use
      */
     public static UpstreamUsage of(int calls, long tokens) {
         return new UpstreamUsage(calls, tokens, 0, 0);
     }
 
-    /**
-     * Returns the use of two routers together.
-     *
-     * @param other the other's
-     * @return the sum
-     */
+    /** Returns the sum of this usage and another. */
     public UpstreamUsage plus(UpstreamUsage other) {
         return new UpstreamUsage(
                 calls + other.calls,
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/cluster/package-info.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/cluster/package-info.java
@@ -1,2 +1,5 @@
-/** What routers that serve the same upstreams tell each other: load, demand, configurations. */
+/**
+ * Exchange of load, demand, configurations and table pages between routers that serve the same
+ * upstreams.
+ */
 package org.troutpier.daemon.cluster;
--- a/troutpier-daemon/src/test/java/org/troutpier/daemon/cluster/LoneRouter.java
+++ b/troutpier-daemon/src/test/java/org/troutpier/daemon/cluster/IsolatedRouter.java
@@ -14,7 +14,7 @@
 import org.troutpier.daemon.route.CurrentConfiguration;
 
 /** A router that no other reaches: it notes to whom it would connect and hears nothing. */
-final class LoneRouter implements PeerLinks, PeerNoticeListener {
+final class IsolatedRouter implements PeerLinks, PeerNoticeListener {
 
     /** Where each router would be reached. */
     static final Address ADDRESS = new Address("127.0.0.1", 1);
@@ -24,7 +24,7 @@
 
     final PeerExchange mExchange;
 
-    LoneRouter(Node node) {
+    IsolatedRouter(Node node) {
         mExchange =
                 new PeerExchange(
                         node,
--- a/troutpier-daemon/src/test/java/org/troutpier/daemon/cluster/LoadViewTest.java
+++ b/troutpier-daemon/src/test/java/org/troutpier/daemon/cluster/LoadViewTest.java
@@ -60,7 +60,7 @@
     public void aFreshViewIsNotAskedForAgain() {
         decide(1);
         mQuestions.get(0).run();
-        mTime.pass(LoadView.ForDecisions.FRESH_MILLIS);
+        mTime.pass(LoadView.ForDecisions.MAX_AGE_MILLIS);
         decide(1);
         assertEquals(mDecisions, 2);
         mTime.pass(1);
@@ -71,7 +71,7 @@
     @Test
     public void withoutAnAnswerADecisionIsMadeInTime() {
         decide(1);
-        mTime.pass(LoadView.ForDecisions.MOST_MILLIS);
+        mTime.pass(LoadView.ForDecisions.MAX_WAIT_MILLIS);
         assertEquals(mDecisions, 1);
         assertEquals(mMetrics.counter("view.unanswered").getCount(), 1);
     }
@@ -79,7 +79,8 @@
     @Test
     public void anAnswerThatComesTooLateEndsNoLaterQuestion() {
         decide(1);
-        mTime.pass(LoadView.ForDecisions.MOST_MILLIS + LoadView.ForDecisions.FRESH_MILLIS + 1);
+        mTime.pass(
+                LoadView.ForDecisions.MAX_WAIT_MILLIS + LoadView.ForDecisions.MAX_AGE_MILLIS + 1);
         decide(1);
         mQuestions.get(0).run();
         mTime.pass(1);
--- a/troutpier-daemon/src/test/java/org/troutpier/daemon/cluster/MemberRegistryTest.java
+++ b/troutpier-daemon/src/test/java/org/troutpier/daemon/cluster/MemberRegistryTest.java
@@ -32,7 +32,7 @@
     private ManualTime mTime;
     private VersionedRows mRows;
     private List<Integer> mCounts;
-    private LoneRouter mRouter;
+    private IsolatedRouter mRouter;
     private int mReads;
     private int mWrites;
     private int mFirstStarts;
@@ -80,11 +80,11 @@
         mWrites = 0;
         mFirstStarts = 0;
         Node node = TestNode.of("self", mTime.control(), mTime::nanos);
-        mRouter = new LoneRouter(node);
+        mRouter = new IsolatedRouter(node);
         new MemberRegistry(
                         node,
                         new CountingStore(),
-                        LoneRouter.ADDRESS,
+                        IsolatedRouter.ADDRESS,
                         RouterCapacity.of(1, 1000),
                         mRouter.mExchange,
                         mCounts::add,
--- a/troutpier-daemon/src/test/java/org/troutpier/daemon/cluster/PeerExchangeTest.java
+++ b/troutpier-daemon/src/test/java/org/troutpier/daemon/cluster/PeerExchangeTest.java
@@ -164,7 +164,7 @@
         Map<UpstreamIncarnation, RateReport> mRates = Map.of();
 
         private void report() {
-            mExchange.tell(
+            mExchange.publishLoad(
                     new LoadReport(
                             mConfiguration.version(),
                             1,
@@ -203,7 +203,7 @@
                             mKeys,
                             new TableExchange.ForWholeTable(pages),
                             mTime::millis);
-            mExchange.tables().follow(TABLE, follower);
+            mExchange.tables().register(TABLE, follower);
             follower.start();
         }
 
@@ -277,7 +277,7 @@
                         self.hall().value(),
                         10);
         mRouters.values()
-                .forEach(each -> each.mExchange.listed(self.incarnation().instance(), row));
+                .forEach(each -> each.mExchange.updateMember(self.incarnation().instance(), row));
     }
 
     private List<Router> living() {
--- a/troutpier-daemon/src/test/java/org/troutpier/daemon/cluster/QuarantineTableTest.java
+++ b/troutpier-daemon/src/test/java/org/troutpier/daemon/cluster/QuarantineTableTest.java
@@ -42,7 +42,7 @@
 
         Router(String name) {
             Node node = TestNode.of(name, mControl, mTime::nanos);
-            PeerExchange exchange = new LoneRouter(node).mExchange;
+            PeerExchange exchange = new IsolatedRouter(node).mExchange;
             mTable =
                     new QuarantineTable(
                             node, mStore, exchange, SETTINGS, mQuarantine, Runnable::run);
