--- a/troutpier-daemon/src/test/java/org/troutpier/daemon/cluster/RelayPlanTest.java
+++ b/troutpier-daemon/src/test/java/org/troutpier/daemon/cluster/RelayPlanTest.java
@@ -59,11 +59,11 @@
 
     @Test
     public void fewRoutersTellEachOtherDirectly() {
-        routers(RelayPlan.MOST_DIRECT, 3);
+        routers(RelayPlan.MAX_DIRECT_ROUTERS, 3);
         RelayPlan plan = plan(0);
         assertTrue(plan.direct());
-        assertEquals(plan.wanted(), mLive);
-        assertFalse(plan.relay());
+        assertEquals(plan.connectionTargets(), mLive);
+        assertFalse(plan.isRelay());
     }
 
     @Test
@@ -72,15 +72,15 @@
         RelayPlan plan = plan(0);
         assertFalse(plan.direct());
         assertEquals(plan.reportTo().get(), mLive.get(6));
-        assertEquals(numbers(plan.wanted()), Set.of(6, 9));
+        assertEquals(numbers(plan.connectionTargets()), Set.of(6, 9));
         RelayPlan relay = plan(6);
-        assertTrue(relay.relay());
-        assertTrue(relay.reader());
+        assertTrue(relay.isRelay());
+        assertTrue(relay.tableReader());
         assertTrue(relay.reportTo().isEmpty());
         assertEquals(numbers(relay.relays()), Set.of(7, 8));
-        assertEquals(numbers(relay.wanted()), Set.of(6, 9, 7, 10, 8, 11));
-        assertFalse(plan(9).reader());
-        assertFalse(plan(9).relay());
+        assertEquals(numbers(relay.connectionTargets()), Set.of(6, 9, 7, 10, 8, 11));
+        assertFalse(plan(9).tableReader());
+        assertFalse(plan(9).isRelay());
         assertEquals(plan(9).reportTo().get(), mLive.get(6));
     }
 
@@ -89,10 +89,10 @@
         routers(30, 3);
         mSilent.add(mLive.get(6).incarnation());
         assertEquals(plan(3).reportTo().get(), mLive.get(9));
-        assertEquals(numbers(plan(3).wanted()), Set.of(6, 9, 0));
-        assertTrue(plan(9).reader());
-        assertTrue(plan(9).relay());
-        assertFalse(plan(0).relay());
+        assertEquals(numbers(plan(3).connectionTargets()), Set.of(6, 9, 0));
+        assertTrue(plan(9).tableReader());
+        assertTrue(plan(9).isRelay());
+        assertFalse(plan(0).isRelay());
         assertEquals(numbers(plan(7).relays()), Set.of(9, 8));
     }
 
@@ -101,7 +101,7 @@
         routers(8, 3);
         int readers = 0;
         for (int number = 0; number < 8; number++) {
-            readers += plan(number).reader() ? 1 : 0;
+            readers += plan(number).tableReader() ? 1 : 0;
         }
         assertEquals(readers, 3);
     }
@@ -109,7 +109,7 @@
     @Test
     public void aRoutersConnectionsGrowWithHallsNotWithRouters() {
         routers(1800, 6);
-        assertTrue(plan(50).wanted().size() <= RelayPlan.CANDIDATES);
+        assertTrue(plan(50).connectionTargets().size() <= RelayPlan.RELAY_CANDIDATES);
         assertTrue(plan(6).relays().size() < 6);
     }
 }
--- a/troutpier-daemon/src/test/java/org/troutpier/daemon/cluster/ReportPaceTest.java
+++ b/troutpier-daemon/src/test/java/org/troutpier/daemon/cluster/ReportSchedulerTest.java
@@ -7,30 +7,30 @@
 import org.troutpier.daemon.node.ManualTime;
 
 /** How often a router tells its load. */
-public final class ReportPaceTest {
+public final class ReportSchedulerTest {
 
     private ManualTime mTime;
     private int mReports;
-    private ReportPace mPace;
+    private ReportScheduler mScheduler;
 
     @BeforeMethod
     void start() {
         mTime = new ManualTime();
         mReports = 0;
-        mPace = new ReportPace(mTime.loop(), this::report);
-        mPace.reported();
+        mScheduler = new ReportScheduler(mTime.loop(), this::report);
+        mScheduler.recordReport();
     }
 
     private void report() {
         mReports++;
-        mPace.reported();
+        mScheduler.recordReport();
     }
 
     /** 20 reports a second before, which told of each token: 5 now. */
     @Test
     public void aStreamOfTokensIsToldFiveTimesASecond() {
         for (int token = 0; token < 200; token++) {
-            mPace.grown();
+            mScheduler.onTokensAdded();
             mTime.pass(5);
         }
         assertEquals(mReports, 5, 1);
@@ -38,35 +38,35 @@
 
     @Test
     public void aCallThatBeginsIsToldAtOnceWhereTheLastReportIsOld() {
-        mTime.pass(ReportPace.CHANGED_MILLIS);
-        mPace.changed();
+        mTime.pass(ReportScheduler.CALL_INTERVAL_MILLIS);
+        mScheduler.onCallChange();
         mTime.pass(1);
         assertEquals(mReports, 1);
     }
 
     @Test
     public void aCallThatEndsDoesNotWaitForAReportOfGrowth() {
-        mPace.grown();
+        mScheduler.onTokensAdded();
         mTime.pass(10);
-        mPace.changed();
-        mTime.pass(ReportPace.CHANGED_MILLIS - 10);
+        mScheduler.onCallChange();
+        mTime.pass(ReportScheduler.CALL_INTERVAL_MILLIS - 10);
         assertEquals(mReports, 1);
-        mTime.pass(ReportPace.GROWN_MILLIS);
+        mTime.pass(ReportScheduler.TOKEN_INTERVAL_MILLIS);
         assertEquals(mReports, 1);
     }
 
     @Test
     public void growthDoesNotDelayAReportOfACall() {
-        mPace.changed();
-        mPace.grown();
-        mTime.pass(ReportPace.CHANGED_MILLIS);
+        mScheduler.onCallChange();
+        mScheduler.onTokensAdded();
+        mTime.pass(ReportScheduler.CALL_INTERVAL_MILLIS);
         assertEquals(mReports, 1);
     }
 
     @Test
     public void callsThatBeginAllTheTimeAreToldTwentyTimesASecond() {
         for (int call = 0; call < 1000; call++) {
-            mPace.changed();
+            mScheduler.onCallChange();
             mTime.pass(1);
         }
         assertEquals(mReports, 20, 1);
