--- a/troutpier-daemon/src/test/java/org/troutpier/daemon/cluster/IsolatedRouter.java
+++ b/troutpier-daemon/src/test/java/org/troutpier/daemon/cluster/IsolatedRouter.java
@@ -13,13 +13,12 @@
 import org.troutpier.daemon.quarantine.CrashReport;
 import org.troutpier.daemon.route.CurrentConfiguration;
 
-/** A router that no other reaches: it notes to whom it would connect and hears nothing. */
+/** A router that no other reaches: it records its connection attempts and receives nothing. */
 final class IsolatedRouter implements PeerLinks, PeerNoticeListener {
 
-    /** Where each router would be reached. */
     static final Address ADDRESS = new Address("127.0.0.1", 1);
 
-    /** The routers to which connections were to be opened. */
+    /** The routers to which connections were requested. */
     final List<String> mConnected = new ArrayList<>();
 
     final PeerExchange mExchange;
@@ -29,7 +28,7 @@
                 new PeerExchange(
                         node,
                         ADDRESS,
-                        (members, hearer) -> this,
+                        (members, listener) -> this,
                         new CurrentConfiguration(),
                         bytes -> null,
                         new PeerLoads(),
--- a/troutpier-daemon/src/test/java/org/troutpier/daemon/cluster/LimitSimulation.java
+++ b/troutpier-daemon/src/test/java/org/troutpier/daemon/cluster/LimitSimulation.java
@@ -26,63 +26,63 @@
 import org.troutpier.daemon.route.UsageLimit;
 
 /**
- * Routers that keep the limits of organisations, in virtual time: the real count and decision at
- * each, views of each other that are late, and routers that are cut off, killed, frozen or started.
- * A single run is a function of its seed.
+ * Simulates routers that enforce usage limits, in virtual time: the real limiter at each router,
+ * delayed views of each other, and routers that are partitioned, killed, frozen or started. A run
+ * is determined by its seed.
  */
 final class LimitSimulation {
 
-    /** How strictly limits are kept, as the users' page has it. */
+    /** The tolerance of the users' limits. */
     static final UsageSettings SETTINGS = new UsageSettings(8, 0.1, 120_000);
 
     private static final long STEP_MILLIS = 50;
     private static final HallId HALL = new HallId("hall");
     private static final int WINDOW_STEPS = (int) (SETTINGS.windowMillis() / STEP_MILLIS);
 
-    /** How routers keep a limit. */
-    enum Way {
-        /** Each counts and tells, and the sum decides. */
+    /** How routers enforce a limit. */
+    enum Strategy {
+        /** Each router reports its usage, and decides by the total. */
         TOLD,
-        /** Each has a fixed part. */
+        /** Each router has a fixed share. */
         FIXED_PART,
-        /** A router that all know hands out parts on demand. */
+        /** One router grants shares to the others on demand. */
         GRANTS
     }
 
     private final Random mRandom;
-    private final Way mWay;
-    private final int mRouters;
-    private final long mLateMillis;
-    private final List<Router> mAll = new ArrayList<>();
-    private final Map<Integer, Group> mGroups = new HashMap<>();
-    private final List<Asking> mAsking = new ArrayList<>();
+    private final Strategy mStrategy;
+    private final int mRouterCount;
+    private final long mViewDelayMillis;
+    private final List<Router> mRouters = new ArrayList<>();
+    private final Map<Integer, Partition> mPartitions = new HashMap<>();
+    private final List<Workload> mWorkloads = new ArrayList<>();
     private long mNow = 100_000;
     private long mVersion = 1;
 
-    /** An organisation, what it asks, and what became of it. */
-    static final class Asking {
+    /** An organisation, the requests that it sends, and their outcome. */
+    static final class Workload {
         Organisation mOrganisation;
         final double mMeanCost;
-        double mAskedPerSecond;
-        final Deque<Double> mRun = new ArrayDeque<>();
-        double mWindow;
-        double mMostOver;
-        long mAsked;
+        double mOfferedPerSecond;
+        final Deque<Double> mAdmittedSteps = new ArrayDeque<>();
+        double mWindowCost;
+        double mMaxBoundRatio;
+        long mRequests;
         long mRefused;
-        double mRunCost;
+        double mAdmittedCost;
 
-        /** By when a lowered limit binds, and what bound before. */
-        long mBindsAt;
+        /** When a lowered limit takes effect, milliseconds, and the bound until then. */
+        long mBindsAtMillis;
 
-        double mBoundBefore;
+        double mPreviousBound;
 
-        Asking(String name, double perSecond, double meanCost, double askedPart) {
-            mOrganisation = named(name, perSecond);
+        Workload(String name, double perSecond, double meanCost, double offeredFraction) {
+            mOrganisation = createOrganisation(name, perSecond);
             mMeanCost = meanCost;
-            mAskedPerSecond = perSecond * askedPart;
+            mOfferedPerSecond = perSecond * offeredFraction;
         }
 
-        static Organisation named(String name, double perSecond) {
+        static Organisation createOrganisation(String name, double perSecond) {
             return new Organisation(
                     new PartnerId(name),
                     Set.of(),
@@ -96,33 +96,33 @@
         }
     }
 
-    /** Routers that hear each other, and what they told. */
-    private static final class Group {
+    /** Routers that are connected to each other, and their reports. */
+    private static final class Partition {
         final PeerLoads mLoads = new PeerLoads(SETTINGS);
-        final Map<Incarnation, UsageReport> mHeard = new HashMap<>();
-        final Deque<Told> mOnTheWay = new ArrayDeque<>();
+        final Map<Incarnation, UsageReport> mUsage = new HashMap<>();
+        final Deque<DelayedReport> mInFlight = new ArrayDeque<>();
 
-        /** What the routers that hand out parts have given, by organisation. */
-        final Map<PartnerId, Deque<double[]>> mGiven = new HashMap<>();
+        /** The shares granted, by organisation, as pairs of time and cost. */
+        final Map<PartnerId, Deque<double[]>> mGrants = new HashMap<>();
 
-        long mSince;
+        long mFormedMillis;
     }
 
     /** A report that arrives later. */
-    private record Told(long at, Incarnation from, UsageReport use) {}
+    private record DelayedReport(long arrivalMillis, Incarnation from, UsageReport usage) {}
 
-    /** One router. */
+    /** A router. */
     private final class Router implements PeerUsage {
         final int mNumber;
-        int mStart;
-        int mGroup;
+        int mStarts;
+        int mPartition;
         boolean mDown;
         long mDownUntil;
         long mFrozenUntil;
-        OrganisationLimiter mUse;
+        OrganisationLimiter mLimiter;
         final Map<PartnerId, Double> mGranted = new HashMap<>();
-        UsageReport mElsewhere = UsageReport.NONE;
-        int mHeard;
+        UsageReport mPeerUsage = UsageReport.NONE;
+        int mPeerCount;
 
         Router(int number) {
             mNumber = number;
@@ -130,57 +130,57 @@
         }
 
         Incarnation incarnation() {
-            return new Incarnation("router-" + mNumber + "~" + mStart);
+            return new Incarnation("router-" + mNumber + "~" + mStarts);
         }
 
         void start() {
-            mStart++;
+            mStarts++;
             mGranted.clear();
-            mElsewhere = UsageReport.NONE;
-            mHeard = 0;
-            mUse =
+            mPeerUsage = UsageReport.NONE;
+            mPeerCount = 0;
+            mLimiter =
                     new OrganisationLimiter(
                             SETTINGS,
                             () -> mNow,
                             mRandom,
                             this,
-                            () -> mRouters,
+                            () -> mRouterCount,
                             new MetricRegistry());
-            mUse.applyConfiguration(configuration());
+            mLimiter.applyConfiguration(configuration());
         }
 
-        boolean works() {
+        boolean isRunning() {
             return !mDown && mNow >= mFrozenUntil;
         }
 
         @Override
         public UsageReport organisations() {
-            return mElsewhere;
+            return mPeerUsage;
         }
 
         @Override
         public int peerCount() {
-            return mHeard;
+            return mPeerCount;
         }
     }
 
-    LimitSimulation(long seed, Way way, int routers, long lateMillis) {
+    LimitSimulation(long seed, Strategy strategy, int routerCount, long viewDelayMillis) {
         mRandom = new Random(seed);
-        mWay = way;
-        mRouters = routers;
-        mLateMillis = lateMillis;
-        mGroups.put(0, new Group());
+        mStrategy = strategy;
+        mRouterCount = routerCount;
+        mViewDelayMillis = viewDelayMillis;
+        mPartitions.put(0, new Partition());
     }
 
-    Asking organisation(String name, double perSecond, double meanCost, double askedPart) {
-        Asking asking = new Asking(name, perSecond, meanCost, askedPart);
-        mAsking.add(asking);
-        return asking;
+    Workload addWorkload(String name, double perSecond, double meanCost, double offeredFraction) {
+        Workload workload = new Workload(name, perSecond, meanCost, offeredFraction);
+        mWorkloads.add(workload);
+        return workload;
     }
 
-    void begin() {
-        for (int number = 0; number < mRouters; number++) {
-            mAll.add(new Router(number));
+    void startRouters() {
+        for (int number = 0; number < mRouterCount; number++) {
+            mRouters.add(new Router(number));
         }
         mNow += SETTINGS.windowMillis() + 1000;
     }
@@ -190,38 +190,39 @@
                 mVersion,
                 List.of(),
                 List.of(),
-                mAsking.stream().map(each -> each.mOrganisation).toList(),
+                mWorkloads.stream().map(each -> each.mOrganisation).toList(),
                 ServerLimits.DEFAULT,
                 new byte[0]);
     }
 
-    /** Changes a limit; a lower one binds a window after all routers have it. */
-    void limit(Asking asking, double perSecond) {
-        asking.mBoundBefore = asking.bound();
-        asking.mBindsAt = mNow + SETTINGS.windowMillis() + 1;
-        asking.mOrganisation = Asking.named(asking.mOrganisation.id().value(), perSecond);
+    /** Changes a limit; a lowered one takes effect one window after all routers have it. */
+    void changeLimit(Workload workload, double perSecond) {
+        workload.mPreviousBound = workload.bound();
+        workload.mBindsAtMillis = mNow + SETTINGS.windowMillis() + 1;
+        workload.mOrganisation =
+                Workload.createOrganisation(workload.mOrganisation.id().value(), perSecond);
         mVersion++;
-        mAll.forEach(router -> router.mUse.applyConfiguration(configuration()));
+        mRouters.forEach(router -> router.mLimiter.applyConfiguration(configuration()));
     }
 
-    /** Kills some routers; they start again after a while and know nothing. */
+    /** Kills a share of the routers; they restart after a time without their state. */
     void kill(double share, long millis) {
-        for (Router router : mAll) {
+        for (Router router : mRouters) {
             if (mRandom.nextDouble() < share) {
                 router.mDownUntil = mNow + millis;
                 router.mDown = true;
             }
         }
         if (share >= 1) {
-            mGroups.clear();
-            mGroups.put(0, new Group());
-            mGroups.get(0).mSince = mNow + millis;
+            mPartitions.clear();
+            mPartitions.put(0, new Partition());
+            mPartitions.get(0).mFormedMillis = mNow + millis;
         }
     }
 
-    /** Freezes some routers. */
+    /** Freezes a share of the routers for a time. */
     void freeze(double share, long millis) {
-        mAll.forEach(
+        mRouters.forEach(
                 router -> {
                     if (mRandom.nextDouble() < share) {
                         router.mFrozenUntil = mNow + millis;
@@ -229,63 +230,68 @@
                 });
     }
 
-    /** Cuts some routers off: together in one group, or each from all others. */
-    void cut(double share, boolean together) {
-        for (Router router : mAll) {
+    /** Disconnects a share of the routers: together as one partition, or each from all others. */
+    void partition(double share, boolean together) {
+        for (Router router : mRouters) {
             if (mRandom.nextDouble() < share) {
-                router.mGroup = together ? 1 : 2 + router.mNumber;
-                mGroups.computeIfAbsent(router.mGroup, group -> new Group()).mSince = mNow;
+                router.mPartition = together ? 1 : 2 + router.mNumber;
+                mPartitions.computeIfAbsent(router.mPartition, group -> new Partition())
+                                .mFormedMillis =
+                        mNow;
             }
         }
     }
 
     void heal() {
-        mAll.forEach(router -> router.mGroup = 0);
+        mRouters.forEach(router -> router.mPartition = 0);
     }
 
-    void pass(double seconds) {
+    void advance(double seconds) {
         long steps = Math.round(seconds * 1000 / STEP_MILLIS);
         for (long step = 0; step < steps; step++) {
             mNow += STEP_MILLIS;
-            tell();
-            mAsking.forEach(this::ask);
+            exchangeReports();
+            mWorkloads.forEach(this::offerRequests);
         }
     }
 
-    /** Has all tell, and hear what was told a while ago. */
-    private void tell() {
-        for (Router router : mAll) {
+    /** Sends the routers' reports, and delivers those whose delay has passed. */
+    private void exchangeReports() {
+        for (Router router : mRouters) {
             if (router.mDown && mNow >= router.mDownUntil) {
                 router.mDown = false;
                 router.start();
             }
-            if (router.works()) {
-                mGroups.get(router.mGroup)
-                        .mOnTheWay
+            if (router.isRunning()) {
+                mPartitions
+                        .get(router.mPartition)
+                        .mInFlight
                         .add(
-                                new Told(
-                                        mNow + mLateMillis,
+                                new DelayedReport(
+                                        mNow + mViewDelayMillis,
                                         router.incarnation(),
-                                        router.mUse.report()));
+                                        router.mLimiter.report()));
             }
         }
-        mGroups.values().forEach(this::hear);
-        Map<Integer, UsageReport> sums = new HashMap<>();
-        mGroups.forEach(
-                (number, group) -> {
-                    group.mLoads.aggregate(mNow);
-                    sums.put(number, group.mLoads.organisations());
+        mPartitions.values().forEach(this::deliver);
+        Map<Integer, UsageReport> totals = new HashMap<>();
+        mPartitions.forEach(
+                (number, partition) -> {
+                    partition.mLoads.aggregate(mNow);
+                    totals.put(number, partition.mLoads.organisations());
                 });
-        for (Router router : mAll) {
-            if (router.works()) {
-                view(router, mGroups.get(router.mGroup), sums.get(router.mGroup));
+        for (Router router : mRouters) {
+            if (router.isRunning()) {
+                updateView(
+                        router, mPartitions.get(router.mPartition), totals.get(router.mPartition));
             }
         }
     }
 
-    private void hear(Group group) {
-        while (!group.mOnTheWay.isEmpty() && group.mOnTheWay.peek().at() <= mNow) {
-            Told told = group.mOnTheWay.poll();
+    private void deliver(Partition partition) {
+        while (!partition.mInFlight.isEmpty()
+                && partition.mInFlight.peek().arrivalMillis() <= mNow) {
+            DelayedReport delayed = partition.mInFlight.poll();
             LoadReport report =
                     new LoadReport(
                             1,
@@ -296,101 +302,110 @@
                             Set.of(),
                             Map.of(),
                             Map.of(),
-                            told.use(),
+                            delayed.usage(),
                             Map.of());
-            group.mLoads.update(told.from(), HALL, ReportScope.OWN, report, mNow);
-            group.mHeard.put(told.from(), told.use());
+            partition.mLoads.update(delayed.from(), HALL, ReportScope.OWN, report, mNow);
+            partition.mUsage.put(delayed.from(), delayed.usage());
         }
     }
 
-    /** Shows a router the sum of its group without itself. */
-    private void view(Router router, Group group, UsageReport sum) {
-        boolean heard = group.mHeard.containsKey(router.incarnation());
-        router.mHeard = Math.max(0, group.mLoads.peerCount() - (heard ? 1 : 0));
-        if (!heard) {
-            router.mElsewhere = sum;
+    /** Sets a router's view to the total of its partition without itself. */
+    private void updateView(Router router, Partition partition, UsageReport total) {
+        boolean known = partition.mUsage.containsKey(router.incarnation());
+        router.mPeerCount = Math.max(0, partition.mLoads.peerCount() - (known ? 1 : 0));
+        if (!known) {
+            router.mPeerUsage = total;
             return;
         }
-        router.mElsewhere = minus(sum, group.mHeard.get(router.incarnation()));
+        router.mPeerUsage = minus(total, partition.mUsage.get(router.incarnation()));
     }
 
-    private static UsageReport minus(UsageReport sum, UsageReport own) {
-        Map<PartnerId, RecentUsage> left = new HashMap<>(sum.used());
+    private static UsageReport minus(UsageReport total, UsageReport own) {
+        Map<PartnerId, RecentUsage> difference = new HashMap<>(total.used());
         own.used()
                 .forEach(
                         (id, used) ->
-                                left.merge(
+                                difference.merge(
                                         id,
                                         new RecentUsage(
                                                 -used.window(), -used.pace(), -used.asked()),
                                         RecentUsage::plus));
-        return new UsageReport(Math.max(0, sum.forgotten() - own.forgotten()), left);
+        return new UsageReport(Math.max(0, total.forgotten() - own.forgotten()), difference);
     }
 
-    /** Has an organisation's callers ask, and judges what upstreams ran. */
-    private void ask(Asking asking) {
-        double mean = asking.mAskedPerSecond * STEP_MILLIS / 1000.0 / asking.mMeanCost;
-        double run = 0;
-        for (int left = Arrivals.poisson(mRandom, mean); left > 0; left--) {
-            Router router = mAll.get((int) (mRouters * Math.pow(mRandom.nextDouble(), 1.5)));
-            if (!router.works()) {
+    /** Sends an organisation's requests, and checks what was admitted against the bound. */
+    private void offerRequests(Workload workload) {
+        double mean = workload.mOfferedPerSecond * STEP_MILLIS / 1000.0 / workload.mMeanCost;
+        double admittedCost = 0;
+        for (int remaining = Arrivals.poisson(mRandom, mean); remaining > 0; remaining--) {
+            Router router =
+                    mRouters.get((int) (mRouterCount * Math.pow(mRandom.nextDouble(), 1.5)));
+            if (!router.isRunning()) {
                 continue;
             }
-            double cost = Math.round(asking.mMeanCost * (0.3 + 1.4 * mRandom.nextDouble()));
-            asking.mAsked++;
-            if (letIn(router, asking, cost)) {
-                run += cost;
+            double cost = Math.round(workload.mMeanCost * (0.3 + 1.4 * mRandom.nextDouble()));
+            workload.mRequests++;
+            if (admit(router, workload, cost)) {
+                admittedCost += cost;
             } else {
-                asking.mRefused++;
+                workload.mRefused++;
             }
         }
-        asking.mRun.add(run);
-        asking.mRunCost += run;
-        asking.mWindow += run;
-        if (asking.mRun.size() > WINDOW_STEPS) {
-            asking.mWindow -= asking.mRun.poll();
+        workload.mAdmittedSteps.add(admittedCost);
+        workload.mAdmittedCost += admittedCost;
+        workload.mWindowCost += admittedCost;
+        if (workload.mAdmittedSteps.size() > WINDOW_STEPS) {
+            workload.mWindowCost -= workload.mAdmittedSteps.poll();
         }
         double bound =
-                mNow < asking.mBindsAt
-                        ? Math.max(asking.mBoundBefore, asking.bound())
-                        : asking.bound();
-        asking.mMostOver = Math.max(asking.mMostOver, asking.mWindow / bound);
+                mNow < workload.mBindsAtMillis
+                        ? Math.max(workload.mPreviousBound, workload.bound())
+                        : workload.bound();
+        workload.mMaxBoundRatio = Math.max(workload.mMaxBoundRatio, workload.mWindowCost / bound);
     }
 
-    private boolean letIn(Router router, Asking asking, double cost) {
-        if (mWay == Way.GRANTS) {
-            return granted(router, asking, cost);
+    private boolean admit(Router router, Workload workload, double cost) {
+        if (mStrategy == Strategy.GRANTS) {
+            return admitByGrant(router, workload, cost);
         }
-        if (mWay == Way.FIXED_PART) {
-            router.mElsewhere = UsageReport.NONE;
-            router.mHeard = 0;
+        if (mStrategy == Strategy.FIXED_PART) {
+            router.mPeerUsage = UsageReport.NONE;
+            router.mPeerCount = 0;
         }
         Optional<OrganisationLimiter.Refusal> refusal =
-                router.mUse.admit(asking.mOrganisation, cost);
+                router.mLimiter.admit(workload.mOrganisation, cost);
         return refusal.isEmpty();
     }
 
     /**
-     * Asks the router that hands out parts of a limit: it gives what is needed while what it gave
-     * in the window leaves room, and where it began anew, no more than the limit's even use.
+     * Requests a share from the granting router. It grants what fits into the limit beside the
+     * grants in the window, and after a restart no more than the limit spread evenly over the
+     * window.
      */
-    private boolean granted(Router router, Asking asking, double cost) {
-        Group group = mGroups.get(router.mGroup);
-        Deque<double[]> given =
-                group.mGiven.computeIfAbsent(asking.mOrganisation.id(), id -> new ArrayDeque<>());
-        while (!given.isEmpty() && given.peek()[0] <= mNow - SETTINGS.windowMillis()) {
-            given.poll();
+    private boolean admitByGrant(Router router, Workload workload, double cost) {
+        Partition partition = mPartitions.get(router.mPartition);
+        Deque<double[]> grants =
+                partition.mGrants.computeIfAbsent(
+                        workload.mOrganisation.id(), id -> new ArrayDeque<>());
+        while (!grants.isEmpty() && grants.peek()[0] <= mNow - SETTINGS.windowMillis()) {
+            grants.poll();
         }
-        double sum = given.stream().mapToDouble(each -> each[1]).sum();
-        double limit = asking.mOrganisation.limit().allowance(SETTINGS.windowSeconds());
-        double since =
-                Math.max(0, Math.min(1, (mNow - group.mSince) / (double) SETTINGS.windowMillis()));
-        long members = mAll.stream().filter(each -> each.mGroup == router.mGroup).count();
-        double most = limit * since * members / mRouters;
-        if (sum + cost > most) {
+        double sum = grants.stream().mapToDouble(each -> each[1]).sum();
+        double limit = workload.mOrganisation.limit().allowance(SETTINGS.windowSeconds());
+        double age =
+                Math.max(
+                        0,
+                        Math.min(
+                                1,
+                                (mNow - partition.mFormedMillis)
+                                        / (double) SETTINGS.windowMillis()));
+        long members =
+                mRouters.stream().filter(each -> each.mPartition == router.mPartition).count();
+        double allowed = limit * age * members / mRouterCount;
+        if (sum + cost > allowed) {
             return false;
         }
-        given.add(new double[] {mNow, cost});
+        grants.add(new double[] {mNow, cost});
         return true;
     }
 }
--- a/troutpier-daemon/src/test/java/org/troutpier/daemon/cluster/LoadViewTest.java
+++ b/troutpier-daemon/src/test/java/org/troutpier/daemon/cluster/LoadViewTest.java
@@ -9,11 +9,11 @@
 import org.testng.annotations.Test;
 import org.troutpier.daemon.node.ManualTime;
 
-/** When a decision is made by what the others have under way now. */
+/** Tests when decisions are run by {@link LoadView.ForDecisions}. */
 public final class LoadViewTest {
 
     private ManualTime mTime;
-    private List<Runnable> mQuestions;
+    private List<Runnable> mQueries;
     private int mDecisions;
     private LoadView mView;
     private MetricRegistry mMetrics;
@@ -21,10 +21,10 @@
     @BeforeMethod
     void start() {
         mTime = new ManualTime();
-        mQuestions = new ArrayList<>();
+        mQueries = new ArrayList<>();
         mDecisions = 0;
         mMetrics = new MetricRegistry();
-        mView = new LoadView.ForDecisions(mTime.loop(), mQuestions::add, mMetrics);
+        mView = new LoadView.ForDecisions(mTime.loop(), mQueries::add, mMetrics);
     }
 
     private void decide(int count) {
@@ -38,38 +38,38 @@
         decide(3);
         mTime.pass(1);
         assertEquals(mDecisions, 0);
-        assertEquals(mQuestions.size(), 1);
-        mQuestions.get(0).run();
+        assertEquals(mQueries.size(), 1);
+        mQueries.get(0).run();
         mTime.pass(1);
         assertEquals(mDecisions, 3);
     }
 
     @Test
-    public void aDecisionThatThrowsKeepsNoOtherFromBeingMade() {
+    public void aDecisionThatThrowsDoesNotPreventOthers() {
         mView.whenFresh(
                 () -> {
                     throw new IllegalStateException("thrown by the test");
                 });
         decide(1);
-        mQuestions.get(0).run();
+        mQueries.get(0).run();
         mTime.pass(1);
         assertEquals(mDecisions, 1);
     }
 
     @Test
-    public void aFreshViewIsNotAskedForAgain() {
+    public void aFreshViewIsNotQueriedAgain() {
         decide(1);
-        mQuestions.get(0).run();
+        mQueries.get(0).run();
         mTime.pass(LoadView.ForDecisions.MAX_AGE_MILLIS);
         decide(1);
         assertEquals(mDecisions, 2);
         mTime.pass(1);
         decide(1);
-        assertEquals(mQuestions.size(), 2);
+        assertEquals(mQueries.size(), 2);
     }
 
     @Test
-    public void withoutAnAnswerADecisionIsMadeInTime() {
+    public void aDecisionIsMadeInTimeWithoutAnAnswer() {
         decide(1);
         mTime.pass(LoadView.ForDecisions.MAX_WAIT_MILLIS);
         assertEquals(mDecisions, 1);
@@ -77,15 +77,15 @@
     }
 
     @Test
-    public void anAnswerThatComesTooLateEndsNoLaterQuestion() {
+    public void aLateAnswerDoesNotEndALaterQuery() {
         decide(1);
         mTime.pass(
                 LoadView.ForDecisions.MAX_WAIT_MILLIS + LoadView.ForDecisions.MAX_AGE_MILLIS + 1);
         decide(1);
-        mQuestions.get(0).run();
+        mQueries.get(0).run();
         mTime.pass(1);
         assertEquals(mDecisions, 1);
-        mQuestions.get(1).run();
+        mQueries.get(1).run();
         mTime.pass(1);
         assertEquals(mDecisions, 2);
     }
--- a/troutpier-daemon/src/test/java/org/troutpier/daemon/cluster/MemberRegistryTest.java
+++ b/troutpier-daemon/src/test/java/org/troutpier/daemon/cluster/MemberRegistryTest.java
@@ -24,7 +24,7 @@
 import org.troutpier.standins.platform.VersionedRows;
 import org.troutpier.standins.platform.VersionedRows.Key;
 
-/** How a router finds the others though another writer leaves rows in their table. */
+/** Tests how a router registers and finds the others, also with foreign rows in their table. */
 public final class MemberRegistryTest {
 
     private static final String TABLE = "troutpier_members";
@@ -72,10 +72,10 @@
         mTime = new ManualTime();
         mRows = new VersionedRows();
         mCounts = new ArrayList<>();
-        join();
+        startRouter();
     }
 
-    private void join() {
+    private void startRouter() {
         mReads = 0;
         mWrites = 0;
         mFirstStarts = 0;
@@ -94,14 +94,14 @@
     }
 
     @Test
-    public void anInstanceThatNeverRanIsToldFromOneThatStartsAgain() {
+    public void aFirstStartIsDistinguishedFromARestart() {
         assertEquals(mFirstStarts, 1);
-        join();
+        startRouter();
         assertEquals(mFirstStarts, 0);
     }
 
     @Test
-    public void aRowThatACopyLacksIsWrittenAgain() {
+    public void aRowMissingInARestoredStoreIsWrittenAgain() {
         VersionedRows.Copy empty = new VersionedRows().copy();
         mRows.restore(empty);
         mTime.pass(8000);
@@ -110,7 +110,7 @@
     }
 
     @Test
-    public void aRowThatACopyHasIsNotWrittenAgain() {
+    public void aRowOfARestoredStoreIsNotWrittenAgain() {
         VersionedRows.Copy copy = mRows.copy();
         put("other", member("other"));
         mTime.pass(6000);
@@ -119,18 +119,21 @@
         assertEquals(mWrites, 1);
     }
 
-    /** Wrote twice before: its first write was in conflict with the row of its earlier start. */
+    /**
+     * Guards against a second write: the first one conflicted with the row of the router's earlier
+     * start.
+     */
     @Test
-    public void aRouterThatStartsAgainWritesItsRowOnce() {
-        join();
+    public void aRestartedRouterWritesItsRowOnce() {
+        startRouter();
         assertEquals(mWrites, 1);
         String row = mRows.row(new Key(TABLE, "", "self")).orElseThrow().value();
         assertTrue(row.contains("self~"), row);
     }
 
-    /** Before, each router read the table itself after each start of another. */
+    /** Guards against each router reading the table after each start of another. */
     @Test
-    public void aRouterThatIsToldOfStartsDoesNotReadThemItself() {
+    public void aRouterThatReceivesPagesDoesNotReadTheTable() {
         Member reader =
                 new Member(new Incarnation("reader~1"), new HallId("hall"), "127.0.0.1:8", false);
         mReads = 0;
@@ -183,7 +186,7 @@
     }
 
     @Test(dataProvider = "foreign")
-    public void aRowOfAnotherWriterNamesNoRouterAndTheOthersAreFound(String key, String value) {
+    public void aForeignRowNamesNoRouterAndOtherRoutersAreFound(String key, String value) {
         put(key, value);
         put("third", member("third"));
         mTime.pass(2000);
@@ -193,7 +196,7 @@
     }
 
     @Test
-    public void aRouterThatIsKnownStaysSoWhenItsRowIsOverwritten() {
+    public void aKnownRouterRemainsKnownWhenItsRowIsOverwritten() {
         put("other", member("other"));
         mTime.pass(2000);
         put("other", "no JSON");
@@ -204,7 +207,7 @@
     }
 
     @Test
-    public void thisRoutersOwnRowIsWrittenAgain() {
+    public void theOwnRowIsWrittenAgain() {
         Key self = new Key(TABLE, "", "self");
         String own = mRows.row(self).orElseThrow().value();
         put("self", "no JSON");
--- a/troutpier-daemon/src/test/java/org/troutpier/daemon/cluster/PeerExchangeTest.java
+++ b/troutpier-daemon/src/test/java/org/troutpier/daemon/cluster/PeerExchangeTest.java
@@ -43,15 +43,15 @@
 import org.troutpier.standins.platform.VersionedRows;
 import org.troutpier.standins.platform.VersionedRows.Key;
 
-/** Many routers that tell each other of their load, over a network in memory. */
+/** Tests load reports between many routers over a network in memory. */
 public final class PeerExchangeTest {
 
-    private static final int MANY = 40;
+    private static final int MANY_ROUTERS = 40;
     private static final int HALLS = 3;
     private static final String TABLE = "table";
     private static final long ROUND_TRIP_MILLIS = 2;
     private static final UpstreamIncarnation ENGINE = UpstreamIncarnation.of("engine");
-    private static final long SETTLED_MILLIS = 8000;
+    private static final long RECOVERY_MILLIS = 8000;
 
     private ManualTime mTime;
     private static final RoutingConfiguration VERSION_ONE =
@@ -59,22 +59,22 @@
                     1, List.of(), List.of(), List.of(), ServerLimits.DEFAULT, new byte[] {1});
 
     private Map<Incarnation, Router> mRouters;
-    private Set<Set<Incarnation>> mCuts;
+    private Set<Set<Incarnation>> mCutLinks;
 
-    /** The keys of a table, and since when they are known without a break. */
-    private static final class Keys implements TableFollower.Listener {
+    /** The keys of a table, and since when they are known without a gap. */
+    private static final class TableKeys implements TableFollower.Listener {
 
-        private final Set<String> mListed = new HashSet<>();
-        private long mSince;
+        private final Set<String> mKeys = new HashSet<>();
+        private long mUnbrokenSince;
 
         @Override
         public void onConfirmed(boolean own, long since) {
-            mSince = since;
+            mUnbrokenSince = since;
         }
 
         @Override
         public void onSnapshot(List<Row> rows) {
-            mListed.clear();
+            mKeys.clear();
             onChanges(rows);
         }
 
@@ -82,9 +82,9 @@
         public void onChanges(List<Row> rows) {
             for (Row row : rows) {
                 if (row.deleted()) {
-                    mListed.remove(row.key());
+                    mKeys.remove(row.key());
                 } else {
-                    mListed.add(row.key());
+                    mKeys.add(row.key());
                 }
             }
         }
@@ -93,29 +93,29 @@
         public void onStoreUnavailable() {}
     }
 
-    /** One router and its links. */
+    /** A router and its links. */
     private final class Router implements PeerLinks {
         final CurrentConfiguration mConfiguration = new CurrentConfiguration();
-        int mHandedOn;
+        int mConfigurationsSent;
 
         final Member mSelf;
         final ManualTime.PausableControl mControl = mTime.control();
         final PeerLoads mLoads = new PeerLoads();
         final Set<Incarnation> mConnected = new HashSet<>();
         final List<SharedPage> mPages = new ArrayList<>();
-        final List<String> mRefused = new ArrayList<>();
-        final List<CrashReport> mCrashed = new ArrayList<>();
+        final List<String> mRefusals = new ArrayList<>();
+        final List<CrashReport> mCrashes = new ArrayList<>();
 
-        /** Upstreams that leave as others reported. */
+        /** The leaving upstreams that others announced. */
         final List<UpstreamIncarnation> mLeaving = new ArrayList<>();
 
         final PeerExchange mExchange;
-        final Keys mKeys = new Keys();
+        final TableKeys mTableKeys = new TableKeys();
         FakeRowStore mStore;
-        PeerMesh.MessageListener mHearer;
+        PeerMesh.MessageListener mListener;
         boolean mDead;
         int mSent;
-        int mHeardMessages;
+        int mMessagesReceived;
 
         Router(int number) {
             String name = String.format("router-%02d", number);
@@ -128,8 +128,8 @@
                     new PeerExchange(
                             node,
                             address,
-                            (members, hearer) -> {
-                                mHearer = hearer;
+                            (members, listener) -> {
+                                mListener = listener;
                                 return this;
                             },
                             mConfiguration,
@@ -138,12 +138,12 @@
                             new PeerNoticeListener() {
                                 @Override
                                 public void onRequestsRefused(List<String> keys) {
-                                    mRefused.addAll(keys);
+                                    mRefusals.addAll(keys);
                                 }
 
                                 @Override
                                 public void onUpstreamsCrashed(List<CrashReport> reports) {
-                                    mCrashed.addAll(reports);
+                                    mCrashes.addAll(reports);
                                 }
 
                                 @Override
@@ -157,10 +157,10 @@
 
         int mCalls = 1;
 
-        /** What organisations used here. */
-        UsageReport mUse = UsageReport.NONE;
+        /** The usage by organisations at this router. */
+        UsageReport mUsage = UsageReport.NONE;
 
-        /** What was heard and sent here of upstreams that name rates. */
+        /** The rates that upstreams announced to this router, and its usage. */
         Map<UpstreamIncarnation, RateReport> mRates = Map.of();
 
         private void report() {
@@ -174,23 +174,23 @@
                             Set.of(),
                             Map.of(ENGINE, UpstreamUsage.of(mCalls, 10)),
                             Map.of(),
-                            mUse,
+                            mUsage,
                             mRates));
         }
 
         private boolean reaches(Router other) {
             return !mDead
                     && !other.mDead
-                    && !mCuts.contains(Set.of(mSelf.incarnation(), other.mSelf.incarnation()));
+                    && !mCutLinks.contains(Set.of(mSelf.incarnation(), other.mSelf.incarnation()));
         }
 
-        private void note(PeerMessage message) {
+        private void recordPage(PeerMessage message) {
             if (message instanceof PeerMessage.Page page) {
                 mPages.add(page.page());
             }
         }
 
-        /** Follows a table whose store answers this router, or does not. */
+        /** Follows a table; {@code mStore.mSilent} decides whether its store answers. */
         private void follow(VersionedRows rows) {
             mStore = new FakeRowStore(rows);
             TableExchange.ForPages pages = new TableExchange.ForPages(mExchange.tables(), TABLE);
@@ -200,7 +200,7 @@
                             mStore,
                             TABLE,
                             new TableFollower.PollTiming(1, 700, 1050, 400),
-                            mKeys,
+                            mTableKeys,
                             new TableExchange.ForWholeTable(pages),
                             mTime::millis);
             mExchange.tables().register(TABLE, follower);
@@ -230,16 +230,16 @@
                 return false;
             }
             mSent++;
-            mHandedOn += message instanceof PeerMessage.Configuration ? 1 : 0;
+            mConfigurationsSent += message instanceof PeerMessage.Configuration ? 1 : 0;
             Router other = mRouters.get(to);
             mTime.loop()
                     .schedule(
                             () -> {
                                 if (reaches(other)) {
-                                    other.note(message);
-                                    other.mHeardMessages++;
+                                    other.recordPage(message);
+                                    other.mMessagesReceived++;
                                     other.mControl.execute(
-                                            () -> other.mHearer.onMessage(mSelf, message));
+                                            () -> other.mListener.onMessage(mSelf, message));
                                 }
                             },
                             ROUND_TRIP_MILLIS / 2);
@@ -256,7 +256,7 @@
     void start() {
         mTime = new ManualTime();
         mRouters = new LinkedHashMap<>();
-        mCuts = new HashSet<>();
+        mCutLinks = new HashSet<>();
     }
 
     private void routers(int count) {
@@ -264,10 +264,10 @@
             Router router = new Router(number);
             mRouters.put(router.mSelf.incarnation(), router);
         }
-        mRouters.values().forEach(this::list);
+        mRouters.values().forEach(this::register);
     }
 
-    private void list(Router router) {
+    private void register(Router router) {
         Member self = router.mSelf;
         MemberRow row =
                 new MemberRow(
@@ -280,14 +280,14 @@
                 .forEach(each -> each.mExchange.updateMember(self.incarnation().instance(), row));
     }
 
-    private List<Router> living() {
+    private List<Router> liveRouters() {
         return mRouters.values().stream().filter(router -> !router.mDead).toList();
     }
 
-    private void assertAllKnowAll() {
-        List<Router> living = living();
-        for (Router router : living) {
-            int others = living.size() - 1;
+    private void assertAggregatesComplete() {
+        List<Router> live = liveRouters();
+        for (Router router : live) {
+            int others = live.size() - 1;
             assertEquals(router.mLoads.peerCount(), others, "routers at " + router.mSelf);
             assertEquals(
                     router.mLoads.upstreamUsage(ENGINE).calls(),
@@ -297,18 +297,18 @@
     }
 
     @Test
-    public void fewRoutersKnowOfEachOther() {
+    public void fewRoutersExchangeLoadsDirectly() {
         routers(8);
         mTime.pass(1000);
-        assertAllKnowAll();
+        assertAggregatesComplete();
     }
 
-    private int handedOn() {
-        return mRouters.values().stream().mapToInt(router -> router.mHandedOn).sum();
+    private int configurationsSent() {
+        return mRouters.values().stream().mapToInt(router -> router.mConfigurationsSent).sum();
     }
 
     @Test
-    public void aVersionThatAllReadThemselvesIsHandedOnToNobody() {
+    public void aVersionThatAllReadFromTheStoreIsNotForwarded() {
         routers(8);
         mTime.pass(1000);
         int apart = 0;
@@ -317,11 +317,11 @@
             router.mConfiguration.adoptIfNewer(VERSION_ONE, "store");
         }
         mTime.pass(2000);
-        assertEquals(handedOn(), 0);
+        assertEquals(configurationsSent(), 0);
     }
 
     @Test
-    public void aRouterThatDoesNotReadTheStoreIsHandedTheVersionWithinASecond() {
+    public void aRouterWithoutTheStoreReceivesTheVersionWithinASecond() {
         routers(8);
         mTime.pass(1000);
         Router last = mRouters.values().stream().skip(7).findFirst().orElseThrow();
@@ -332,31 +332,31 @@
         }
         mTime.pass(1000);
         assertEquals(last.mConfiguration.version(), 1);
-        assertTrue(handedOn() <= 7, "handed on " + handedOn());
+        assertTrue(configurationsSent() <= 7, "configurations sent " + configurationsSent());
     }
 
     @Test
-    public void manyRoutersKnowOfEachOtherOverRelays() {
-        routers(MANY);
+    public void manyRoutersExchangeLoadsOverRelays() {
+        routers(MANY_ROUTERS);
         mTime.pass(2000);
-        assertAllKnowAll();
+        assertAggregatesComplete();
     }
 
     @Test
-    public void aRoutersMessagesDoNotGrowWithAllOthers() {
-        routers(MANY);
+    public void aRoutersMessagesDoNotGrowWithTheFleet() {
+        routers(MANY_ROUTERS);
         mTime.pass(2000);
         mRouters.values().forEach(router -> router.mSent = 0);
         mTime.pass(1000);
         List<Integer> sent =
                 mRouters.values().stream().map(router -> router.mSent).sorted().toList();
-        assertTrue(sent.get(MANY / 2) <= 12, "messages a second at most routers " + sent);
-        assertTrue(sent.get(MANY - 1) <= 60, "messages a second at relays " + sent);
+        assertTrue(sent.get(MANY_ROUTERS / 2) <= 12, "messages a second at most routers " + sent);
+        assertTrue(sent.get(MANY_ROUTERS - 1) <= 60, "messages a second at relays " + sent);
     }
 
     @Test
-    public void anUnchangedLoadIsHandedOnSeldom() {
-        routers(MANY);
+    public void anUnchangedLoadIsForwardedRarely() {
+        routers(MANY_ROUTERS);
         mTime.pass(2000);
         mRouters.values().forEach(router -> router.mSent = 0);
         mTime.pass(1000);
@@ -365,33 +365,37 @@
     }
 
     /**
-     * Where the load of all changed all the time, each of 40 routers heard 20 reports a second
-     * though it decided nothing.
+     * Guards against reports that nothing uses: while the load of all routers changed all the time,
+     * each of 40 routers received 20 reports a second although it made no decision.
      */
     @Test
-    public void aRouterThatDecidesNothingHearsFewReports() {
-        routers(MANY);
+    public void aRouterWithoutDecisionsReceivesFewReports() {
+        routers(MANY_ROUTERS);
         mTime.pass(2000);
-        mRouters.values().forEach(router -> router.mHeardMessages = 0);
+        mRouters.values().forEach(router -> router.mMessagesReceived = 0);
         for (int round = 0; round < 20; round++) {
             mRouters.values().forEach(router -> router.mCalls++);
             mTime.pass(100);
         }
-        List<Integer> heard =
-                mRouters.values().stream().map(router -> router.mHeardMessages).sorted().toList();
-        assertTrue(heard.get(MANY - 1 - HALLS) <= 6, "messages in two seconds " + heard);
+        List<Integer> received =
+                mRouters.values().stream()
+                        .map(router -> router.mMessagesReceived)
+                        .sorted()
+                        .toList();
+        assertTrue(
+                received.get(MANY_ROUTERS - 1 - HALLS) <= 6, "messages in two seconds " + received);
     }
 
-    private Router oneOfManyThatChanges() {
-        routers(MANY);
+    private Router changeOneOfMany() {
+        routers(MANY_ROUTERS);
         mTime.pass(2000);
-        Router changed = List.copyOf(mRouters.values()).get(MANY - 1);
+        Router changed = List.copyOf(mRouters.values()).get(MANY_ROUTERS - 1);
         changed.mCalls = 5;
         changed.report();
         return changed;
     }
 
-    private int asked(Collection<Router> routers) {
+    private int countAnswers(Collection<Router> routers) {
         int[] answers = {0};
         for (Router router : routers) {
             router.mControl.execute(() -> router.mExchange.refreshLoads(() -> answers[0]++));
@@ -401,112 +405,115 @@
     }
 
     @Test
-    public void aChangedLoadIsKnownAtOnceToWhoAsks() {
-        Router changed = oneOfManyThatChanges();
+    public void aChangedLoadIsKnownImmediatelyAfterAQuery() {
+        Router changed = changeOneOfMany();
         mTime.pass(60);
-        assertEquals(asked(living()), MANY);
-        for (Router router : living()) {
-            int calls = router == changed ? MANY - 1 : MANY - 2 + changed.mCalls;
+        assertEquals(countAnswers(liveRouters()), MANY_ROUTERS);
+        for (Router router : liveRouters()) {
+            int calls = router == changed ? MANY_ROUTERS - 1 : MANY_ROUTERS - 2 + changed.mCalls;
             assertEquals(
                     router.mLoads.upstreamUsage(ENGINE).calls(), calls, "calls at " + router.mSelf);
         }
     }
 
     @Test
-    public void aLoadIsKnownAtOnceToRoutersOfTheSameHallThatAsk() {
-        Router changed = oneOfManyThatChanges();
+    public void aLoadIsKnownImmediatelyInItsHallAfterAQuery() {
+        Router changed = changeOneOfMany();
         mTime.pass(ROUND_TRIP_MILLIS / 2);
-        List<Router> mates = new ArrayList<>(living());
-        mates.removeIf(router -> !router.mSelf.hall().equals(changed.mSelf.hall()));
-        mates.remove(changed);
-        assertEquals(asked(mates), mates.size());
-        for (Router router : mates) {
-            int calls = MANY - 2 + changed.mCalls;
+        List<Router> peers = new ArrayList<>(liveRouters());
+        peers.removeIf(router -> !router.mSelf.hall().equals(changed.mSelf.hall()));
+        peers.remove(changed);
+        assertEquals(countAnswers(peers), peers.size());
+        for (Router router : peers) {
+            int calls = MANY_ROUTERS - 2 + changed.mCalls;
             assertEquals(
                     router.mLoads.upstreamUsage(ENGINE).calls(), calls, "calls at " + router.mSelf);
         }
     }
 
     @Test
-    public void aRelayThatDiesOrStandsStillIsReplaced() {
-        routers(MANY);
+    public void aDeadOrFrozenRelayIsReplaced() {
+        routers(MANY_ROUTERS);
         mTime.pass(2000);
         List<Router> all = List.copyOf(mRouters.values());
         all.get(0).mDead = true;
         all.get(1).mControl.pause(true);
-        mTime.pass(SETTLED_MILLIS);
+        mTime.pass(RECOVERY_MILLIS);
         all.get(1).mDead = true;
-        mTime.pass(SETTLED_MILLIS);
-        assertAllKnowAll();
+        mTime.pass(RECOVERY_MILLIS);
+        assertAggregatesComplete();
     }
 
-    /** Has one router report something, and expects that all others have it at once. */
-    private <T> void assertReachesAllAtOnce(
+    /** Publishes something at one router, and expects that all others receive it immediately. */
+    private <T> void assertReachesAllImmediately(
             T notice, BiConsumer<PeerExchange, T> report, Function<Router, List<T>> received) {
-        routers(MANY);
+        routers(MANY_ROUTERS);
         mTime.pass(2000);
         List<Router> all = List.copyOf(mRouters.values());
-        report.accept(all.get(MANY - 1).mExchange, notice);
+        report.accept(all.get(MANY_ROUTERS - 1).mExchange, notice);
         mTime.pass(20);
-        for (Router router : all.subList(0, MANY - 1)) {
+        for (Router router : all.subList(0, MANY_ROUTERS - 1)) {
             assertEquals(received.apply(router), List.of(notice), "reported to " + router.mSelf);
         }
     }
 
     @Test
-    public void aRequestUnderWhichAnUpstreamEndedIsToldToAllAtOnce() {
+    public void aCrashIsAnnouncedToAllImmediately() {
         CrashReport report =
                 new CrashReport(
                         RequestFingerprint.of("host", "/path", new byte[0]),
                         new CrashRecord(0, Set.of(ENGINE)));
-        assertReachesAllAtOnce(report, PeerExchange::announceCrash, router -> router.mCrashed);
+        assertReachesAllImmediately(report, PeerExchange::announceCrash, router -> router.mCrashes);
     }
 
     @Test
-    public void anUpstreamThatSaysThatItLeavesIsReportedToAllAtOnce() {
-        assertReachesAllAtOnce(ENGINE, PeerExchange::announceLeaving, router -> router.mLeaving);
+    public void aLeavingUpstreamIsAnnouncedToAllImmediately() {
+        assertReachesAllImmediately(
+                ENGINE, PeerExchange::announceLeaving, router -> router.mLeaving);
     }
 
     @Test
-    public void aRateThatOneRouterHeardAndWhatAllSentIsKnownToAllOnce() {
-        routers(MANY);
+    public void anAnnouncedRateAndItsUsageAreCountedOnceAtEachRouter() {
+        routers(MANY_ROUTERS);
         mTime.pass(2000);
         List<Router> all = List.copyOf(mRouters.values());
         RecentUsage one = new RecentUsage(1, 1, 2);
         RateReport sent = new RateReport(LastAnnouncedRate.NEVER, one, List.of(2L));
         all.forEach(router -> router.mRates = Map.of(ENGINE, sent));
-        all.get(MANY - 1).mRates =
+        all.get(MANY_ROUTERS - 1).mRates =
                 Map.of(ENGINE, new RateReport(new LastAnnouncedRate(3.6, 100), one, List.of(2L)));
         mTime.pass(1000);
         for (Router router : all) {
             router.mExchange.refreshLoads(() -> {});
         }
         mTime.pass(20);
-        for (Router router : all.subList(0, MANY - 1)) {
+        for (Router router : all.subList(0, MANY_ROUTERS - 1)) {
             RateReport rate = router.mLoads.rate(ENGINE, mTime.millis());
             assertEquals(rate.named().perSecond(), 3.6, "named at " + router.mSelf);
             assertTrue(rate.named().ageMillis() >= 100, "age " + rate.named());
             assertTrue(rate.named().ageMillis() < 1000, "age " + rate.named());
-            assertEquals(rate.use(), new RecentUsage(MANY - 1, MANY - 1, 2 * (MANY - 1)));
-            assertEquals(rate.asked(), List.of(2L * (MANY - 1)));
+            assertEquals(
+                    rate.use(),
+                    new RecentUsage(MANY_ROUTERS - 1, MANY_ROUTERS - 1, 2 * (MANY_ROUTERS - 1)));
+            assertEquals(rate.asked(), List.of(2L * (MANY_ROUTERS - 1)));
         }
     }
 
     @Test
-    public void aRefusalIsToldToAll() {
-        routers(MANY);
+    public void aRefusalIsAnnouncedToAll() {
+        routers(MANY_ROUTERS);
         mTime.pass(2000);
         List<Router> all = List.copyOf(mRouters.values());
-        all.get(MANY - 1).mExchange.announceRefusal("key");
+        all.get(MANY_ROUTERS - 1).mExchange.announceRefusal("key");
         mTime.pass(500);
-        for (Router router : all.subList(0, MANY - 1)) {
-            assertTrue(router.mRefused.contains("key"), "told to " + router.mSelf);
+        for (Router router : all.subList(0, MANY_ROUTERS - 1)) {
+            assertTrue(router.mRefusals.contains("key"), "sent to " + router.mSelf);
         }
     }
 
     @Test
-    public void theReaderOfAHallSharesWithItsHallOnly() {
-        routers(MANY);
+    public void aTableReaderSharesPagesWithItsHallOnly() {
+        routers(MANY_ROUTERS);
         mTime.pass(2000);
         List<Router> all = List.copyOf(mRouters.values());
         List<Row> rows = List.of(new Row(TABLE, "", "k", new byte[0], 2, false));
@@ -515,14 +522,14 @@
                         new TableExchange.ForPages(router.mExchange.tables(), TABLE)
                                 .publish(1, 2, 0, rows));
         mTime.pass(100);
-        for (int number = 0; number < MANY; number++) {
+        for (int number = 0; number < MANY_ROUTERS; number++) {
             int expected = number < HALLS ? 0 : 1;
             assertEquals(all.get(number).mPages.size(), expected, "pages at " + number);
         }
     }
 
-    /** Has all follow a table with one entry, and lets them settle. */
-    private VersionedRows followed() {
+    /** Has all routers follow a table with one entry, and waits until they know it. */
+    private VersionedRows followTable() {
         VersionedRows rows = new VersionedRows();
         rows.put(new Key(TABLE, "", "leaving"), "");
         mTime.pass(2000);
@@ -534,117 +541,121 @@
         return rows;
     }
 
-    private static void assertKnown(List<Router> routers, String... keys) {
+    private static void assertKeys(List<Router> routers, String... keys) {
         for (Router router : routers) {
-            assertEquals(router.mKeys.mListed, Set.of(keys), "known at " + router.mSelf);
+            assertEquals(router.mTableKeys.mKeys, Set.of(keys), "known at " + router.mSelf);
         }
     }
 
     /**
-     * Three of eight routers got no answer of the store for twelve seconds, and sent work to an
-     * upstream that had left all the while: 10 s and more after the others dropped it. Told by
-     * them, they drop it within 1.9 s of its leaving.
+     * Guards against routers that go on sending work to an upstream that has left: three of eight
+     * routers got no answer from the store for twelve seconds, and dropped the upstream 10 s and
+     * more after the others. With the table from the others, they drop it within 1.9 s of its
+     * leaving.
      */
     @Test
-    public void routersThatTheStoreDoesNotAnswerAreToldByTheOthers() {
+    public void routersWithoutTheStoreReceiveTheTableFromOthers() {
         routers(8);
-        VersionedRows rows = followed();
+        VersionedRows rows = followTable();
         List<Router> all = List.copyOf(mRouters.values());
         all.subList(0, 3).forEach(router -> router.mStore.mSilent = true);
         rows.drop(new Key(TABLE, "", "leaving"));
         mTime.pass(1900);
-        assertKnown(all);
+        assertKeys(all);
         rows.put(new Key(TABLE, "", "coming"), "");
         rows.forget();
         mTime.pass(1900);
-        assertKnown(all, "coming");
+        assertKeys(all, "coming");
     }
 
     @Test
-    public void oneThatWasToldAllTheWhileKnowsTheTableWithoutABreakWhenTheStoreAnswersAgain() {
+    public void aTableReceivedFromOthersHasNoGapWhenTheStoreReturns() {
         routers(8);
-        VersionedRows rows = followed();
+        VersionedRows rows = followTable();
         Router unanswered = List.copyOf(mRouters.values()).get(2);
         unanswered.mStore.mSilent = true;
         mTime.pass(5000);
         unanswered.mStore.mSilent = false;
         rows.drop(new Key(TABLE, "", "leaving"));
         mTime.pass(800);
-        assertKnown(List.of(unanswered));
-        assertTrue(mTime.millis() - unanswered.mKeys.mSince > 5800, "there was no break");
+        assertKeys(List.of(unanswered));
+        assertTrue(
+                mTime.millis() - unanswered.mTableKeys.mUnbrokenSince > 5800, "there was no gap");
     }
 
     @Test
-    public void aHallThatTheStoreDoesNotAnswerIsToldByItsRelays() {
-        routers(MANY);
-        VersionedRows rows = followed();
+    public void aHallWithoutTheStoreReceivesTheTableOverItsRelay() {
+        routers(MANY_ROUTERS);
+        VersionedRows rows = followTable();
         List<Router> all = List.copyOf(mRouters.values());
-        for (int number = 0; number < MANY; number += HALLS) {
+        for (int number = 0; number < MANY_ROUTERS; number += HALLS) {
             all.get(number).mStore.mSilent = true;
         }
         rows.drop(new Key(TABLE, "", "leaving"));
         mTime.pass(4000);
-        assertKnown(all);
+        assertKeys(all);
     }
 
     @Test
-    public void routersThatAreAllUnansweredDoNotKeepAnOldTableAlive() {
+    public void routersWithoutTheStoreDoNotKeepAnOldTableAlive() {
         routers(8);
-        VersionedRows rows = followed();
+        VersionedRows rows = followTable();
         List<Router> all = List.copyOf(mRouters.values());
         all.forEach(router -> router.mStore.mSilent = true);
         mTime.pass(10_000);
         all.forEach(router -> router.mStore.mSilent = false);
         rows.drop(new Key(TABLE, "", "leaving"));
         mTime.pass(1200);
-        assertKnown(all);
+        assertKeys(all);
         for (Router router : all) {
-            assertTrue(mTime.millis() - router.mKeys.mSince < 1300, "a break at " + router.mSelf);
+            assertTrue(
+                    mTime.millis() - router.mTableKeys.mUnbrokenSince < 1300,
+                    "a gap at " + router.mSelf);
         }
     }
 
     @Test
-    public void atRandomTheSumsAreRightAgainAfterKillsFreezesAndCuts() {
+    public void aggregatesRecoverAfterRandomKillsFreezesAndCuts() {
         long seed = System.nanoTime();
         System.out.println("PeerExchangeTest seed " + seed);
-        disturb(seed);
+        injectFaults(seed);
     }
 
-    private void disturb(long seed) {
+    private void injectFaults(long seed) {
         Random random = new Random(seed);
-        routers(MANY);
+        routers(MANY_ROUTERS);
         mTime.pass(2000);
         for (int round = 0; round < 12; round++) {
-            List<Router> living = living();
-            Router frozen = living.get(random.nextInt(living.size()));
-            Router killed = living.get(random.nextInt(living.size()));
-            Router one = living.get(random.nextInt(living.size()));
-            Router other = living.get(random.nextInt(living.size()));
+            List<Router> live = liveRouters();
+            Router frozen = live.get(random.nextInt(live.size()));
+            Router killed = live.get(random.nextInt(live.size()));
+            Router one = live.get(random.nextInt(live.size()));
+            Router other = live.get(random.nextInt(live.size()));
             frozen.mControl.pause(true);
             if (one != other) {
-                mCuts.add(Set.of(one.mSelf.incarnation(), other.mSelf.incarnation()));
+                mCutLinks.add(Set.of(one.mSelf.incarnation(), other.mSelf.incarnation()));
             }
             killed.mDead = true;
             mTime.pass(random.nextInt(3000));
             frozen.mControl.pause(false);
             mTime.pass(random.nextInt(3000));
-            mCuts.clear();
-            mTime.pass(SETTLED_MILLIS);
-            assertAllKnowAll();
+            mCutLinks.clear();
+            mTime.pass(RECOVERY_MILLIS);
+            assertAggregatesComplete();
         }
     }
 
     /**
-     * A router that had taken a relay's place while it did not hear it was then answered by no
-     * relay and so never gave the place up.
+     * Guards against a standby that stays a relay: one that had taken over while the relay was
+     * unreachable then received nothing from any relay, so it never stepped down.
      */
     @Test
-    public void aRouterThatStoodInForARelayGivesThePlaceUp() {
-        disturb(54);
+    public void aStandbyRelayStepsDown() {
+        injectFaults(54);
     }
 
     @Test
-    public void aRouterThatStoodInForARelayGivesThePlaceUpToo() {
-        disturb(4_387_585_923_097L);
+    public void aStandbyRelayStepsDownInAnotherSequence() {
+        injectFaults(4_387_585_923_097L);
     }
 }
--- a/troutpier-daemon/src/test/java/org/troutpier/daemon/cluster/PeerFailureDetectorTest.java
+++ b/troutpier-daemon/src/test/java/org/troutpier/daemon/cluster/PeerFailureDetectorTest.java
@@ -8,7 +8,7 @@
 import org.testng.annotations.Test;
 import org.troutpier.common.id.Incarnation;
 
-/** Which routers have fallen silent. */
+/** Tests which routers are suspected. */
 public final class PeerFailureDetectorTest {
 
     private final Incarnation mRouter = new Incarnation("router~1");
@@ -20,7 +20,7 @@
     }
 
     @Test
-    public void aRouterThatIsHeardIsNotSuspected() {
+    public void aRouterThatSendsMessagesIsNotSuspected() {
         for (long now = 0; now < 5000; now += 250) {
             mDetector.recordContact(mRouter, now);
             mDetector.update(Set.of(mRouter), now);
@@ -29,7 +29,7 @@
     }
 
     @Test
-    public void anExpectedRouterThatIsSilentIsSuspectedForAWhile() {
+    public void aSilentRouterIsSuspectedForALimitedTime() {
         mDetector.update(Set.of(mRouter), 0);
         mDetector.update(Set.of(mRouter), PeerFailureDetector.TIMEOUT_MILLIS);
         assertFalse(mDetector.isSuspected(mRouter));
@@ -46,7 +46,7 @@
     }
 
     @Test
-    public void aSuspectedRouterThatIsHeardIsUsedAgain() {
+    public void aMessageEndsASuspicion() {
         mDetector.update(Set.of(mRouter), 0);
         mDetector.update(Set.of(mRouter), 2000);
         assertTrue(mDetector.isSuspected(mRouter));
--- a/troutpier-daemon/src/test/java/org/troutpier/daemon/cluster/QuarantineTableTest.java
+++ b/troutpier-daemon/src/test/java/org/troutpier/daemon/cluster/QuarantineTableTest.java
@@ -21,11 +21,11 @@
 import org.troutpier.standins.platform.VersionedRows;
 import org.troutpier.standins.platform.VersionedRows.Key;
 
-/** Routers that hear of each other through the store only know which requests are not run. */
+/** Tests the quarantine of routers that are connected only through the store. */
 public final class QuarantineTableTest {
 
     private static final QuarantineSettings SETTINGS = new QuarantineSettings(3, 60, 3000, "");
-    private static final RequestFingerprint GUILTY =
+    private static final RequestFingerprint REQUEST =
             RequestFingerprint.of("host", "/guilty", new byte[0]);
 
     private ManualTime mTime;
@@ -51,12 +51,12 @@
 
         void crash(int... upstreams) {
             for (int upstream : upstreams) {
-                mQuarantine.recordCrash(GUILTY, UpstreamIncarnation.of("upstream-" + upstream));
+                mQuarantine.recordCrash(REQUEST, UpstreamIncarnation.of("upstream-" + upstream));
             }
         }
 
-        boolean holds() {
-            return mQuarantine.isQuarantined(GUILTY);
+        boolean isQuarantined() {
+            return mQuarantine.isQuarantined(REQUEST);
         }
     }
 
@@ -77,35 +77,35 @@
     }
 
     @Test
-    public void aRouterThatNobodyToldKnowsWithinTheTimeThatIsSet() {
+    public void aRouterWithoutPeersLearnsFromTheStoreInTime() {
         Router one = router("one");
         Router other = router("other");
         one.crash(1, 2, 3);
         mTime.pass(SETTINGS.knownMillis());
-        assertTrue(other.holds());
+        assertTrue(other.isQuarantined());
     }
 
     @Test
-    public void endsThatTwoRoutersWriteAtTheSameTimeCountTogether() {
+    public void crashesWrittenConcurrentlyAreMerged() {
         Router one = router("one");
         Router other = router("other");
         one.crash(1, 2);
         other.crash(3, 4);
         mTime.pass(SETTINGS.knownMillis());
-        assertTrue(one.holds() && other.holds());
+        assertTrue(one.isQuarantined() && other.isQuarantined());
         assertEquals(one.mQuarantine.records(), other.mQuarantine.records());
-        assertEquals(one.mQuarantine.records().get(GUILTY).ended().size(), 4);
+        assertEquals(one.mQuarantine.records().get(REQUEST).ended().size(), 4);
     }
 
     @Test
-    public void aRouterThatStartsAfterAllHaveLostTheirMemoryKnows() {
+    public void aRouterStartedAfterALossOfAllLoadsTheQuarantine() {
         router("one").crash(1, 2, 3);
         mTime.pass(SETTINGS.knownMillis());
-        assertTrue(router("later").holds());
+        assertTrue(router("later").isQuarantined());
     }
 
     @Test
-    public void whatACopyLacksStaysKnownAndIsStoredAgain() {
+    public void aRecordMissingInARestoredStoreIsStoredAgain() {
         Router one = router("one");
         VersionedRows.Copy copy = mRows.copy();
         one.crash(1, 2, 3);
@@ -114,26 +114,26 @@
         mRows.restore(copy);
         assertEquals(rows(), 0);
         mTime.pass(3L * SETTINGS.knownMillis());
-        assertTrue(one.holds());
+        assertTrue(one.isQuarantined());
         assertEquals(rows(), 1);
-        assertTrue(router("later").holds());
+        assertTrue(router("later").isQuarantined());
     }
 
     @Test
-    public void aRouterThatStoodStillKnowsSoonAfterItGoesOn() {
+    public void aFrozenRouterLearnsSoonAfterItResumes() {
         Router one = router("one");
-        Router still = router("still");
-        still.mControl.pause(true);
+        Router frozen = router("still");
+        frozen.mControl.pause(true);
         one.crash(1, 2, 3);
         mTime.pass(10_000);
-        assertFalse(still.holds());
-        still.mControl.pause(false);
+        assertFalse(frozen.isQuarantined());
+        frozen.mControl.pause(false);
         mTime.pass(SETTINGS.knownMillis());
-        assertTrue(still.holds());
+        assertTrue(frozen.isQuarantined());
     }
 
     @Test
-    public void whatIsFoundOutWhileTheStoreIsAwayIsToldOnItsReturn() {
+    public void aCrashDuringAStoreOutageIsStoredOnItsReturn() {
         Router one = router("one");
         one.mStore.mAway = true;
         one.crash(1, 2, 3);
@@ -141,11 +141,11 @@
         assertEquals(rows(), 0);
         one.mStore.mAway = false;
         mTime.pass(1000);
-        assertTrue(router("later").holds());
+        assertTrue(router("later").isQuarantined());
     }
 
     @Test
-    public void aWriteWhoseAnswerWasLostIsMadeSure() {
+    public void aWriteWithALostAnswerIsRepeated() {
         Router one = router("one");
         one.mStore.mCarrier = (work, answer) -> answer.run();
         one.crash(1, 2, 3);
@@ -156,37 +156,43 @@
                     answer.run();
                 };
         mTime.pass(1000);
-        assertTrue(router("later").holds());
+        assertTrue(router("later").isQuarantined());
     }
 
-    /** Each knows of one end when it finds it, so none of them stored it. */
+    /**
+     * Guards against a crash record that no router stores: each router found one crash, which is
+     * too few to be stored.
+     */
     @Test
-    public void endsThatThreeRoutersFindInTheSameMomentAreStoredToo() {
+    public void crashesFoundByThreeRoutersAtTheSameTimeAreStored() {
         List<Router> routers = List.of(router("one"), router("two"), router("three"));
         for (int number = 0; number < routers.size(); number++) {
             routers.get(number).crash(number);
         }
         for (Router router : routers) {
-            CrashRecord found = router.mQuarantine.records().get(GUILTY);
-            routers.forEach(each -> each.mQuarantine.merge(new CrashReport(GUILTY, found)));
+            CrashRecord found = router.mQuarantine.records().get(REQUEST);
+            routers.forEach(each -> each.mQuarantine.merge(new CrashReport(REQUEST, found)));
         }
         mTime.pass(SETTINGS.knownMillis());
-        assertTrue(router("later").holds());
+        assertTrue(router("later").isQuarantined());
     }
 
-    /** What another router tells of the table may be older than what this one wrote. */
+    /**
+     * Guards against removing a row that this router wrote: a table sent by another router may be
+     * older.
+     */
     @Test
-    public void aTableFromBeforeTheRowWasWrittenForgetsNothing() {
+    public void aTableOlderThanTheRowRemovesNothing() {
         Router one = router("one");
         one.crash(1, 2, 3);
         mTime.pass(SETTINGS.knownMillis() / 10);
         assertEquals(rows(), 1);
         one.mTable.onSnapshot(List.of());
-        assertTrue(one.holds());
+        assertTrue(one.isQuarantined());
     }
 
     @Test
-    public void aSingleEndIsNoRow() {
+    public void aSingleCrashWritesNoRow() {
         Router one = router("one");
         one.crash(1);
         mTime.pass(1000);
@@ -197,29 +203,29 @@
     }
 
     @Test
-    public void aRequestThatIsClearedIsClearedEverywhere() {
+    public void aClearedRequestIsClearedEverywhere() {
         Router one = router("one");
         Router other = router("other");
         one.crash(1, 2, 3);
         mTime.pass(SETTINGS.knownMillis());
-        assertEquals(other.mQuarantine.clear(GUILTY.shortName()), 1);
+        assertEquals(other.mQuarantine.clear(REQUEST.shortName()), 1);
         mTime.pass(SETTINGS.knownMillis());
-        assertFalse(one.holds());
-        assertFalse(router("later").holds());
+        assertFalse(one.isQuarantined());
+        assertFalse(router("later").isQuarantined());
     }
 
     @Test
-    public void aRowThatAnOperatorDeletesClearsIt() {
+    public void aRowDeletedByAnOperatorClearsTheRequest() {
         Router one = router("one");
         one.crash(1, 2, 3);
         mTime.pass(SETTINGS.knownMillis());
-        mRows.drop(new Key(QuarantineTable.TABLE, "", GUILTY.value()));
+        mRows.drop(new Key(QuarantineTable.TABLE, "", REQUEST.value()));
         mTime.pass(SETTINGS.knownMillis());
-        assertFalse(one.holds());
+        assertFalse(one.isQuarantined());
     }
 
     @Test
-    public void rowsAreDeletedWhenTheirTimeIsOver() {
+    public void expiredRowsAreDeleted() {
         router("one").crash(1, 2, 3);
         mTime.pass(55_000);
         assertEquals(rows(), 1);
@@ -228,13 +234,13 @@
     }
 
     @Test
-    public void rowsOfAnotherWriterNameNoRequest() {
+    public void foreignRowsNameNoRequest() {
         mRows.put(new Key(QuarantineTable.TABLE, "", "foreign"), "[0,[]]");
-        mRows.put(new Key(QuarantineTable.TABLE, "", GUILTY.value()), "%%");
+        mRows.put(new Key(QuarantineTable.TABLE, "", REQUEST.value()), "%%");
         Router one = router("one");
         assertTrue(one.mQuarantine.isEmpty());
         one.crash(1, 2, 3);
         mTime.pass(SETTINGS.knownMillis());
-        assertTrue(router("later").holds());
+        assertTrue(router("later").isQuarantined());
     }
 }
--- a/troutpier-daemon/src/test/java/org/troutpier/daemon/cluster/RelayPlanTest.java
+++ b/troutpier-daemon/src/test/java/org/troutpier/daemon/cluster/RelayPlanTest.java
@@ -14,7 +14,7 @@
 import org.troutpier.common.id.Incarnation;
 import org.troutpier.daemon.peer.Membership.Member;
 
-/** To whom a router tells its load. */
+/** Tests to which routers a router reports its load. */
 public final class RelayPlanTest {
 
     private final List<Member> mLive = new ArrayList<>();
@@ -37,8 +37,8 @@
         }
     }
 
-    /** Routers with numbers from 6 to 11 can do more than the others. */
-    private static int points(Member member) {
+    /** Routers 6 to 11 have a greater capacity than the others. */
+    private static int capacity(Member member) {
         int number = Integer.parseInt(member.incarnation().value().substring(7, 9));
         return number >= 6 && number < 12 ? 150 : 10;
     }
@@ -47,7 +47,7 @@
         return RelayPlan.of(
                 mLive.get(number),
                 mLive,
-                RelayPlanTest::points,
+                RelayPlanTest::capacity,
                 router -> !mSilent.contains(router));
     }
 
@@ -58,7 +58,7 @@
     }
 
     @Test
-    public void fewRoutersTellEachOtherDirectly() {
+    public void fewRoutersReportDirectly() {
         routers(RelayPlan.MAX_DIRECT_ROUTERS, 3);
         RelayPlan plan = plan(0);
         assertTrue(plan.direct());
@@ -67,7 +67,7 @@
     }
 
     @Test
-    public void ofManyTheAblestOfTheHallRelays() {
+    public void theRouterWithTheGreatestCapacityRelaysForItsHall() {
         routers(30, 3);
         RelayPlan plan = plan(0);
         assertFalse(plan.direct());
@@ -85,7 +85,7 @@
     }
 
     @Test
-    public void aRelayThatIsSilentIsFollowedByTheNext() {
+    public void aSilentRelayIsReplacedByTheNext() {
         routers(30, 3);
         mSilent.add(mLive.get(6).incarnation());
         assertEquals(plan(3).reportTo().get(), mLive.get(9));
@@ -97,7 +97,7 @@
     }
 
     @Test
-    public void oneReaderOfEachHallIsThereWithFewRoutersToo() {
+    public void eachHallHasOneTableReaderWithFewRouters() {
         routers(8, 3);
         int readers = 0;
         for (int number = 0; number < 8; number++) {
@@ -107,7 +107,7 @@
     }
 
     @Test
-    public void aRoutersConnectionsGrowWithHallsNotWithRouters() {
+    public void connectionsGrowWithHallsNotWithRouters() {
         routers(1800, 6);
         assertTrue(plan(50).connectionTargets().size() <= RelayPlan.RELAY_CANDIDATES);
         assertTrue(plan(6).relays().size() < 6);
--- a/troutpier-daemon/src/test/java/org/troutpier/daemon/cluster/ReportSchedulerTest.java
+++ b/troutpier-daemon/src/test/java/org/troutpier/daemon/cluster/ReportSchedulerTest.java
@@ -6,7 +6,7 @@
 import org.testng.annotations.Test;
 import org.troutpier.daemon.node.ManualTime;
 
-/** How often a router tells its load. */
+/** Tests how often a router reports its load. */
 public final class ReportSchedulerTest {
 
     private ManualTime mTime;
@@ -26,9 +26,9 @@
         mScheduler.recordReport();
     }
 
-    /** 20 reports a second before, which told of each token: 5 now. */
+    /** Guards against a report for each token, 20 a second; five are sent. */
     @Test
-    public void aStreamOfTokensIsToldFiveTimesASecond() {
+    public void addedTokensAreReportedFiveTimesASecond() {
         for (int token = 0; token < 200; token++) {
             mScheduler.onTokensAdded();
             mTime.pass(5);
@@ -37,7 +37,7 @@
     }
 
     @Test
-    public void aCallThatBeginsIsToldAtOnceWhereTheLastReportIsOld() {
+    public void aCallIsReportedImmediatelyIfTheLastReportIsOld() {
         mTime.pass(ReportScheduler.CALL_INTERVAL_MILLIS);
         mScheduler.onCallChange();
         mTime.pass(1);
@@ -45,7 +45,7 @@
     }
 
     @Test
-    public void aCallThatEndsDoesNotWaitForAReportOfGrowth() {
+    public void aCallDoesNotWaitForAReportOfTokens() {
         mScheduler.onTokensAdded();
         mTime.pass(10);
         mScheduler.onCallChange();
@@ -56,7 +56,7 @@
     }
 
     @Test
-    public void growthDoesNotDelayAReportOfACall() {
+    public void addedTokensDoNotDelayAReportOfACall() {
         mScheduler.onCallChange();
         mScheduler.onTokensAdded();
         mTime.pass(ReportScheduler.CALL_INTERVAL_MILLIS);
@@ -64,7 +64,7 @@
     }
 
     @Test
-    public void callsThatBeginAllTheTimeAreToldTwentyTimesASecond() {
+    public void frequentCallsAreReportedTwentyTimesASecond() {
         for (int call = 0; call < 1000; call++) {
             mScheduler.onCallChange();
             mTime.pass(1);
--- a/troutpier-daemon/src/test/java/org/troutpier/daemon/cluster/TablePollTimingsTest.java
+++ b/troutpier-daemon/src/test/java/org/troutpier/daemon/cluster/TablePollTimingsTest.java
@@ -5,16 +5,16 @@
 import org.testng.annotations.Test;
 import org.troutpier.daemon.rows.TableFollower.PollTiming;
 
-/** How often shared tables are read. */
+/** Tests how often shared tables are read. */
 public final class TablePollTimingsTest {
 
     @Test
-    public void aConfigurationIsReadWithinTheTimeInWhichItMustBeInForce() {
+    public void theConfigurationIsReadWithinItsAdoptionTime() {
         assertEquals(TablePollTimings.configuration(2000), new PollTiming(700, 0, 1100, 700));
     }
 
     @Test
-    public void upstreamsAreReadWithinTheTimeInWhichALeavingOneMustGetNoWork() {
+    public void upstreamsAreReadWithinTheDrainTime() {
         assertEquals(TablePollTimings.upstreams(2000), new PollTiming(1, 700, 1050, 400));
     }
 }
