--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/cluster/PeerLoads.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/cluster/PeerLoads.java
@@ -199,10 +199,8 @@
     }
 
     /**
-     * Returns whether a current report covers a hall's group.
-     *
-     * @param source the source of retained usage; nothing else covers a single router's own load
-     * @return whether it is a group that is covered
+     * Returns whether a source is a hall's group that a current report covers. No other report
+     * covers a single router's own load.
      */
     private boolean isCoveredGroup(RetainedUsage.Source source) {
         return source.scope() == ReportScope.GROUP
