--- /dev/null
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/cluster/UpstreamUsage.java
@@ -0,0 +1,38 @@
+package org.troutpier.daemon.cluster;
+
+import com.fasterxml.jackson.annotation.JsonFormat;
+
+/**
+ * One router's usage of one upstream, and the recent outcomes of its calls. Immutable and thread
+ * safe.
+ *
+ * @param calls calls in progress
+ * @param tokens the tokens of these calls; 0 for plain calls
+ * @param failed recent calls that failed
+ * @param succeeded recent calls that succeeded
+ */
+@JsonFormat(shape = JsonFormat.Shape.ARRAY)
+public record UpstreamUsage(int calls, long tokens, int failed, int succeeded) {
+
+    /** No usage. */
+    public static final UpstreamUsage NONE = new UpstreamUsage(0, 0, 0, 0);
+
+    /**
+     * Returns the usage of an upstream none of whose calls has ended recently.
+     *
+     * @param calls calls in progress
+     * @param tokens the tokens of these calls
+     */
+    public static UpstreamUsage of(int calls, long tokens) {
+        return new UpstreamUsage(calls, tokens, 0, 0);
+    }
+
+    /** Returns the sum of this usage and another. */
+    public UpstreamUsage plus(UpstreamUsage other) {
+        return new UpstreamUsage(
+                calls + other.calls,
+                tokens + other.tokens,
+                failed + other.failed,
+                succeeded + other.succeeded);
+    }
+}
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/role/RoleController.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/role/RoleController.java
@@ -279,7 +279,7 @@
     private long decodingTokens(List<UpstreamEntry> engines) {
         return engines.stream()
                 .filter(engine -> !isPrefill(engine))
-                .mapToLong(engine -> mPeers.upstreamUse(engine.incarnation()).tokens())
+                .mapToLong(engine -> mPeers.upstreamUsage(engine.incarnation()).tokens())
                 .sum();
     }
 
@@ -339,7 +339,7 @@
                 .filter(each -> isPrefill(each) != toPrefill)
                 .sorted(
                         Comparator.<UpstreamEntry>comparingLong(
-                                        each -> mPeers.upstreamUse(each.incarnation()).tokens())
+                                        each -> mPeers.upstreamUsage(each.incarnation()).tokens())
                                 .thenComparing(UpstreamEntry::incarnation))
                 .limit(count)
                 .map(
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/UpstreamLoads.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/UpstreamLoads.java
@@ -15,7 +15,7 @@
 import org.troutpier.common.id.HallId;
 import org.troutpier.common.id.UpstreamIncarnation;
 import org.troutpier.daemon.cluster.PeerLoads;
-import org.troutpier.daemon.cluster.UpstreamUse;
+import org.troutpier.daemon.cluster.UpstreamUsage;
 import org.troutpier.daemon.decision.FailureRate;
 import org.troutpier.daemon.decision.SlidingWindowSum;
 import org.troutpier.daemon.directory.UpstreamEntry;
@@ -277,7 +277,7 @@
     /** Returns the tokens that the routers themselves have in flight at an engine. */
     long routerTokens(UpstreamEntry engine) {
         return load(engine.incarnation()).mTokens
-                + mPeers.upstreamUse(engine.incarnation()).tokens();
+                + mPeers.upstreamUsage(engine.incarnation()).tokens();
     }
 
     /**
@@ -295,7 +295,7 @@
     /** Returns the number of calls that all routers are known to have in flight at an upstream. */
     public int calls(UpstreamEntry upstream) {
         return load(upstream.incarnation()).mCalls
-                + mPeers.upstreamUse(upstream.incarnation()).calls();
+                + mPeers.upstreamUsage(upstream.incarnation()).calls();
     }
 
     /** Returns the number of calls that this router has in flight at an upstream. */
@@ -435,7 +435,7 @@
      * @param now the current time, milliseconds
      */
     private void ejectIfFailing(UpstreamEntry upstream, long now) {
-        UpstreamUse peers = mPeers.upstreamUse(upstream.incarnation());
+        UpstreamUsage peers = mPeers.upstreamUsage(upstream.incarnation());
         Load load = load(upstream.incarnation());
         int failed = peers.failed() + (int) Math.round(load.mRecentFailures.sum(now));
         if (failed == 0) {
@@ -537,9 +537,9 @@
      * @return the usage of each upstream with calls in flight, unattributed tokens to share, or
      *     recent failures
      */
-    public Map<UpstreamIncarnation, UpstreamUse> usage() {
+    public Map<UpstreamIncarnation, UpstreamUsage> usage() {
         long now = mLoop.millis();
-        Map<UpstreamIncarnation, UpstreamUse> usage = new HashMap<>();
+        Map<UpstreamIncarnation, UpstreamUsage> usage = new HashMap<>();
         mLoads.forEach(
                 (id, load) -> {
                     long unattributed = load.mUnattributedShared ? unattributedTokens(load) : 0;
@@ -547,7 +547,7 @@
                     if (load.mCalls > 0 || unattributed > 0 || failed > 0) {
                         int succeeded = (int) Math.round(load.mRecentSuccesses.sum(now));
                         long tokens = load.mTokens + unattributed;
-                        usage.put(id, new UpstreamUse(load.mCalls, tokens, failed, succeeded));
+                        usage.put(id, new UpstreamUsage(load.mCalls, tokens, failed, succeeded));
                     }
                 });
         return usage;
--- a/troutpier-daemon/src/test/java/org/troutpier/daemon/cluster/RelayPlanTest.java
+++ b/troutpier-daemon/src/test/java/org/troutpier/daemon/cluster/RelayPlanTest.java
@@ -14,7 +14,7 @@
 import org.troutpier.common.id.Incarnation;
 import org.troutpier.daemon.peer.Membership.Member;
 
-/** To whom a router tells its load. */
+/** Tests to which routers a router reports its load. */
 public final class RelayPlanTest {
 
     private final List<Member> mLive = new ArrayList<>();
@@ -37,8 +37,8 @@
         }
     }
 
-    /** Routers with numbers from 6 to 11 can do more than the others. */
-    private static int points(Member member) {
+    /** Routers 6 to 11 have a greater capacity than the others. */
+    private static int capacity(Member member) {
         int number = Integer.parseInt(member.incarnation().value().substring(7, 9));
         return number >= 6 && number < 12 ? 150 : 10;
     }
@@ -47,7 +47,7 @@
         return RelayPlan.of(
                 mLive.get(number),
                 mLive,
-                RelayPlanTest::points,
+                RelayPlanTest::capacity,
                 router -> !mSilent.contains(router));
     }
 
@@ -58,58 +58,58 @@
     }
 
     @Test
-    public void fewRoutersTellEachOtherDirectly() {
-        routers(RelayPlan.MOST_DIRECT, 3);
+    public void fewRoutersReportDirectly() {
+        routers(RelayPlan.MAX_DIRECT_ROUTERS, 3);
         RelayPlan plan = plan(0);
         assertTrue(plan.direct());
-        assertEquals(plan.wanted(), mLive);
-        assertFalse(plan.relay());
+        assertEquals(plan.connectionTargets(), mLive);
+        assertFalse(plan.isRelay());
     }
 
     @Test
-    public void ofManyTheAblestOfTheHallRelays() {
+    public void theRouterWithTheGreatestCapacityRelaysForItsHall() {
         routers(30, 3);
         RelayPlan plan = plan(0);
         assertFalse(plan.direct());
         assertEquals(plan.reportTo().get(), mLive.get(6));
-        assertEquals(numbers(plan.wanted()), Set.of(6, 9));
+        assertEquals(numbers(plan.connectionTargets()), Set.of(6, 9));
         RelayPlan relay = plan(6);
-        assertTrue(relay.relay());
-        assertTrue(relay.reader());
+        assertTrue(relay.isRelay());
+        assertTrue(relay.tableReader());
         assertTrue(relay.reportTo().isEmpty());
         assertEquals(numbers(relay.relays()), Set.of(7, 8));
-        assertEquals(numbers(relay.wanted()), Set.of(6, 9, 7, 10, 8, 11));
-        assertFalse(plan(9).reader());
-        assertFalse(plan(9).relay());
+        assertEquals(numbers(relay.connectionTargets()), Set.of(6, 9, 7, 10, 8, 11));
+        assertFalse(plan(9).tableReader());
+        assertFalse(plan(9).isRelay());
         assertEquals(plan(9).reportTo().get(), mLive.get(6));
     }
 
     @Test
-    public void aRelayThatIsSilentIsFollowedByTheNext() {
+    public void aSilentRelayIsReplacedByTheNext() {
         routers(30, 3);
         mSilent.add(mLive.get(6).incarnation());
         assertEquals(plan(3).reportTo().get(), mLive.get(9));
-        assertEquals(numbers(plan(3).wanted()), Set.of(6, 9, 0));
-        assertTrue(plan(9).reader());
-        assertTrue(plan(9).relay());
-        assertFalse(plan(0).relay());
+        assertEquals(numbers(plan(3).connectionTargets()), Set.of(6, 9, 0));
+        assertTrue(plan(9).tableReader());
+        assertTrue(plan(9).isRelay());
+        assertFalse(plan(0).isRelay());
         assertEquals(numbers(plan(7).relays()), Set.of(9, 8));
     }
 
     @Test
-    public void oneReaderOfEachHallIsThereWithFewRoutersToo() {
+    public void eachHallHasOneTableReaderWithFewRouters() {
         routers(8, 3);
         int readers = 0;
         for (int number = 0; number < 8; number++) {
-            readers += plan(number).reader() ? 1 : 0;
+            readers += plan(number).tableReader() ? 1 : 0;
         }
         assertEquals(readers, 3);
     }
 
     @Test
-    public void aRoutersConnectionsGrowWithHallsNotWithRouters() {
+    public void connectionsGrowWithHallsNotWithRouters() {
         routers(1800, 6);
-        assertTrue(plan(50).wanted().size() <= RelayPlan.CANDIDATES);
+        assertTrue(plan(50).connectionTargets().size() <= RelayPlan.RELAY_CANDIDATES);
         assertTrue(plan(6).relays().size() < 6);
     }
 }
