--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/RouterDaemon.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/RouterDaemon.java
@@ -239,7 +239,7 @@
                         mMembership,
                         mUpstreamRegistry,
                         mMesh::send,
-                        () -> holder.get().pumpAll()));
+                        () -> holder.get().dispatchAll()));
     }
 
     /**
@@ -347,7 +347,7 @@
     private void gauges(AdmissionController controller) {
         mNode.metrics().register("requests-carried", (Gauge<Integer>) () -> mRegistry.all().size());
         mNode.metrics().register("cancel.pending", (Gauge<Integer>) mCancels::pending);
-        mNode.metrics().register("admission.waiting", (Gauge<Integer>) controller::waiting);
+        mNode.metrics().register("admission.waiting", (Gauge<Integer>) controller::waitingCount);
     }
 
     /**
@@ -359,7 +359,7 @@
     private void upstreamLeaving(UpstreamId id, boolean leaving) {
         UpstreamState state = mUpstreamRegistry.get(id);
         if (state != null && leaving) {
-            state.leaving(true);
+            state.setLeaving(true);
         }
     }
 
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/admission/AdmissionController.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/admission/AdmissionController.java
@@ -100,7 +100,7 @@
     public void apply(Declarations declarations) {
         mDeclarations = declarations;
         mUpstreamRegistry.apply(declarations);
-        pumpAll();
+        dispatchAll();
     }
 
     /**
@@ -169,10 +169,10 @@
             UpstreamState main = grant.mainState();
             main.left(0);
             main.held(mNode.nanos().getAsLong() - grant.grantedNanos());
-            if (main.declared().role() != Role.SERVICE) {
+            if (main.declaration().role() != Role.SERVICE) {
                 mPermits.giveBack(main);
             }
-            pumpAll();
+            dispatchAll();
         }
     }
 
@@ -197,14 +197,14 @@
     public void refusedBy(UpstreamId id, boolean leaving) {
         UpstreamState state = mUpstreamRegistry.get(id);
         if (state != null && leaving) {
-            state.leaving(true);
+            state.setLeaving(true);
         } else if (state != null) {
             mPermits.refusedBy(state);
         }
     }
 
     /** Starts whatever can start now. */
-    public void pumpAll() {
+    public void dispatchAll() {
         for (String serves : List.copyOf(mQueues.keySet())) {
             pump(mQueues.get(serves));
         }
@@ -215,7 +215,7 @@
      *
      * @return the count, over all queues
      */
-    public int waiting() {
+    public int waitingCount() {
         return mQueues.values().stream().mapToInt(FairQueue::size).sum();
     }
 
@@ -315,11 +315,11 @@
         HallId hall = mNode.hall();
         Optional<UpstreamState> replica =
                 replicas.stream()
-                        .filter(state -> state.guessedRunning() < state.declared().slots())
+                        .filter(state -> state.estimatedRunning() < state.declaration().slots())
                         .min(
-                                Comparator.comparingInt(UpstreamState::guessedRunning)
+                                Comparator.comparingInt(UpstreamState::estimatedRunning)
                                         .thenComparing(
-                                                state -> !state.declared().hall().equals(hall)));
+                                                state -> !state.declaration().hall().equals(hall)));
         if (replica.isEmpty()) {
             return Decision.WAITS;
         }
@@ -339,8 +339,8 @@
     private Decision withoutUpstream(Ticket ticket, String detail) {
         boolean hope =
                 mUpstreamRegistry.all().stream()
-                        .filter(state -> state.declared().serves().equals(serves(ticket)))
-                        .anyMatch(state -> !state.declared().draining());
+                        .filter(state -> state.declaration().serves().equals(serves(ticket)))
+                        .anyMatch(state -> !state.declaration().draining());
         if (hope && !ticket.declared().hasTarget()) {
             return Decision.WAITS;
         }
@@ -366,7 +366,8 @@
      * @return those to choose from
      */
     private static List<UpstreamState> wanted(Ticket ticket, List<UpstreamState> states) {
-        Predicate<UpstreamState> avoided = state -> ticket.avoid().contains(state.declared().id());
+        Predicate<UpstreamState> avoided =
+                state -> ticket.avoid().contains(state.declaration().id());
         List<UpstreamState> others = states.stream().filter(avoided.negate()).toList();
         return others.isEmpty() ? states : others;
     }
@@ -398,7 +399,7 @@
                 refuse(ticket, ResultCode.TARGET_OUT_OF_REACH, "the target passed in the queue");
             }
         }
-        pumpAll();
+        dispatchAll();
     }
 
     /**
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/admission/CoordinatorPermits.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/admission/CoordinatorPermits.java
@@ -201,13 +201,13 @@
     /** {@inheritDoc} */
     @Override
     public boolean available(UpstreamState decode) {
-        return holding(decode.declared().id()).mFree > 0;
+        return holding(decode.declaration().id()).mFree > 0;
     }
 
     /** {@inheritDoc} */
     @Override
     public void take(UpstreamState decode) {
-        Holding holding = holding(decode.declared().id());
+        Holding holding = holding(decode.declaration().id());
         holding.mFree--;
         holding.mUsed++;
     }
@@ -215,7 +215,7 @@
     /** {@inheritDoc} */
     @Override
     public void giveBack(UpstreamState decode) {
-        Holding holding = holding(decode.declared().id());
+        Holding holding = holding(decode.declaration().id());
         holding.mUsed--;
         if (holding.mFree == 0) {
             holding.mIdleSince = now();
@@ -238,7 +238,7 @@
         }
         int each = Math.max(1, (waiting + engines - 1) / engines);
         for (UpstreamState decode : decodes) {
-            ask(decode.declared().id(), each);
+            ask(decode.declaration().id(), each);
         }
     }
 
@@ -272,7 +272,7 @@
                 new PeerMessage.PermitAsk(
                         engine.value(), holding.held(), holding.received(coordinator), wanted);
         if (coordinator.equals(self())) {
-            mNode.control().execute(() -> asked(self(), ask));
+            mNode.control().execute(() -> onAsk(self(), ask));
         } else {
             mSender.send(coordinator, ask);
         }
@@ -284,7 +284,7 @@
      * @param from who wants
      * @param ask what it holds and wants
      */
-    public void asked(Incarnation from, PeerMessage.PermitAsk ask) {
+    public void onAsk(Incarnation from, PeerMessage.PermitAsk ask) {
         UpstreamId engine = new UpstreamId(ask.engine());
         Allocation allocation = allocation(engine);
         if (allocation == null) {
@@ -304,7 +304,7 @@
      * @param from the router
      * @param report what it says
      */
-    public void reported(Incarnation from, PeerMessage.PermitReport report) {
+    public void onReport(Incarnation from, PeerMessage.PermitReport report) {
         Allocation allocation = allocation(new UpstreamId(report.engine()));
         if (allocation != null) {
             allocation.holds(from, report.held(), report.received());
@@ -325,7 +325,7 @@
             return;
         }
         allocation.mWishes.values().removeIf(wish -> now - wish.at() > WISH_NANOS);
-        int free = state.declared().slots() - allocation.out();
+        int free = state.declaration().slots() - allocation.out();
         while (free > 0 && !allocation.mWishes.isEmpty()) {
             Incarnation first = allocation.mWishes.keySet().iterator().next();
             Wish wish = allocation.mWishes.remove(first);
@@ -344,7 +344,7 @@
                             holder ->
                                     mSender.send(
                                             holder, new PeerMessage.PermitRecall(engine.value())));
-            recalled(engine);
+            returnIdle(engine);
         }
     }
 
@@ -357,7 +357,7 @@
     private void give(Incarnation to, PeerMessage.PermitGrant grant) {
         mNode.count("permits.granted");
         if (to.equals(self())) {
-            granted(self(), grant);
+            onGrant(self(), grant);
         } else {
             mSender.send(to, grant);
         }
@@ -369,7 +369,7 @@
      * @param from the coordinator
      * @param grant the permits
      */
-    public void granted(Incarnation from, PeerMessage.PermitGrant grant) {
+    public void onGrant(Incarnation from, PeerMessage.PermitGrant grant) {
         Holding holding = holding(new UpstreamId(grant.engine()));
         holding.mReceived = holding.received(from) + grant.count();
         holding.mGiver = from;
@@ -386,7 +386,7 @@
      *
      * @param engine the engine
      */
-    public void recalled(UpstreamId engine) {
+    public void returnIdle(UpstreamId engine) {
         Holding holding = holding(engine);
         if (holding.mFree > 0) {
             holding.mFree = 0;
@@ -413,7 +413,7 @@
                             new PeerMessage.PermitReport(
                                     engine.value(), holding.held(), holding.received(coordinator));
                     if (coordinator.equals(self())) {
-                        reported(self(), report);
+                        onReport(self(), report);
                     } else {
                         mSender.send(coordinator, report);
                     }
@@ -431,7 +431,7 @@
         mHoldings.forEach(
                 (engine, holding) -> {
                     if (holding.mFree > 0 && now - holding.mIdleSince > IDLE_NANOS) {
-                        recalled(engine);
+                        returnIdle(engine);
                     }
                 });
         mAllocations.forEach(
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/admission/DecodePermits.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/admission/DecodePermits.java
@@ -107,20 +107,20 @@
         /** {@inheritDoc} */
         @Override
         public boolean available(UpstreamState decode) {
-            int part = decode.declared().slots() / Math.max(1, mRouters.getAsInt());
-            return mTaken.getOrDefault(decode.declared().id(), 0) < Math.max(1, part);
+            int part = decode.declaration().slots() / Math.max(1, mRouters.getAsInt());
+            return mTaken.getOrDefault(decode.declaration().id(), 0) < Math.max(1, part);
         }
 
         /** {@inheritDoc} */
         @Override
         public void take(UpstreamState decode) {
-            mTaken.merge(decode.declared().id(), 1, Integer::sum);
+            mTaken.merge(decode.declaration().id(), 1, Integer::sum);
         }
 
         /** {@inheritDoc} */
         @Override
         public void giveBack(UpstreamState decode) {
-            mTaken.merge(decode.declared().id(), -1, Integer::sum);
+            mTaken.merge(decode.declaration().id(), -1, Integer::sum);
         }
 
         /** {@inheritDoc} */
@@ -142,7 +142,7 @@
         /** {@inheritDoc} */
         @Override
         public boolean available(UpstreamState decode) {
-            return decode.guessedRunning() < decode.declared().slots();
+            return decode.estimatedRunning() < decode.declaration().slots();
         }
 
         /** {@inheritDoc} */
@@ -160,7 +160,7 @@
         /** {@inheritDoc} */
         @Override
         public void refusedBy(UpstreamState decode) {
-            decode.published(Math.max(decode.declared().slots(), decode.publishedRunning()), 0);
+            decode.recordLoad(Math.max(decode.declaration().slots(), decode.reportedRunning()), 0);
         }
 
         /** {@inheritDoc} */
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/admission/Grant.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/admission/Grant.java
@@ -47,8 +47,8 @@
     Grant(UpstreamState prefill, UpstreamState main, long uncachedTokens, long grantedNanos) {
         mPrefill = prefill;
         mMain = main;
-        mPrefillDeclared = prefill == null ? null : prefill.declared();
-        mMainDeclared = main.declared();
+        mPrefillDeclared = prefill == null ? null : prefill.declaration();
+        mMainDeclared = main.declaration();
         mUncachedTokens = uncachedTokens;
         mTokensBefore = prefill == null ? 0 : prefill.guessedTokens();
         mGrantedNanos = grantedNanos;
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/caller/CallerFront.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/caller/CallerFront.java
@@ -24,7 +24,7 @@
 import org.troutpier.daemon.peer.PeerController;
 import org.troutpier.daemon.request.Arrival;
 import org.troutpier.daemon.request.CompletionExchange;
-import org.troutpier.daemon.request.CompletionExchange.CompletionOrder;
+import org.troutpier.daemon.request.CompletionExchange.CompletionRequest;
 import org.troutpier.daemon.request.ExchangeServices;
 import org.troutpier.daemon.request.ServiceExchange;
 
@@ -131,7 +131,7 @@
         Arrival arrival = new Arrival(exchange, id, declared, key, fingerprint, call);
         int limit = checked.partner().inFlightLimit();
         if (declared.kind() == Kind.COMPLETION) {
-            CompletionOrder order = order(exchange);
+            CompletionRequest order = order(exchange);
             new CompletionExchange(mServices, arrival, order).start(limit);
         } else {
             new ServiceExchange(mServices, arrival, servicePath(exchange)).start(limit);
@@ -282,7 +282,7 @@
      * @param exchange the request
      * @return the order
      */
-    private static CompletionOrder order(HttpExchange exchange) {
+    private static CompletionRequest order(HttpExchange exchange) {
         if (!exchange.method().equals("POST")) {
             throw new TroutpierException(ResultCode.METHOD_NOT_ALLOWED, exchange.method());
         }
@@ -308,7 +308,7 @@
             throw new TroutpierException(
                     ResultCode.MALFORMED_REQUEST, "stream must be true or false");
         }
-        return new CompletionOrder(prompt.textValue(), maxTokens, stream.asBoolean());
+        return new CompletionRequest(prompt.textValue(), maxTokens, stream.asBoolean());
     }
 
     /**
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/operator/CommandHandler.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/operator/CommandHandler.java
@@ -218,12 +218,12 @@
         @Override
         public Reply visitCancel(CommandParser.CancelContext cancel) {
             RequestExchange running = mRegistry.get(new RequestId(cancel.name.getText()));
-            if (running == null || !mRights.covers(running.declared().partner())) {
+            if (running == null || !mRights.covers(running.requestClass().partner())) {
                 throw new TroutpierException(
                         ResultCode.MALFORMED_REQUEST,
                         "this router carries no request " + cancel.name.getText());
             }
-            running.cancelBy(mRights.toString());
+            running.cancel(mRights.toString());
             return new Rows(
                     List.of("id", "state"),
                     List.of(Map.of("id", running.id().value(), "state", "cancelled")));
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/operator/Inventory.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/operator/Inventory.java
@@ -110,12 +110,12 @@
         List<Map<String, String>> rows = new ArrayList<>();
         long now = mNode.nanos().getAsLong();
         for (RequestExchange running : mRegistry.all()) {
-            if (rights.covers(running.declared().partner())) {
+            if (rights.covers(running.requestClass().partner())) {
                 rows.add(
                         row(
                                 "id", running.id(),
-                                "partner", running.declared().partner(),
-                                "class", running.declared().name(),
+                                "partner", running.requestClass().partner(),
+                                "class", running.requestClass().name(),
                                 "state", running.currentStage().label(),
                                 "upstream", running.currentUpstream(),
                                 "age_ms", (now - running.arrivalNanos()) / NANOS));
@@ -134,17 +134,17 @@
         List<Map<String, String>> rows = new ArrayList<>();
         long now = mNode.nanos().getAsLong();
         for (UpstreamState state : mUpstreamRegistry.all()) {
-            if (rights.covers(state.declared().owner())) {
+            if (rights.covers(state.declaration().owner())) {
                 rows.add(
                         row(
-                                "id", state.declared().id(),
-                                "owner", state.declared().owner(),
-                                "role", state.declared().role().label(),
-                                "serves", state.declared().serves(),
-                                "hall", state.declared().hall(),
-                                "slots", state.declared().slots(),
-                                "mine", state.mine(),
-                                "running", state.guessedRunning(),
+                                "id", state.declaration().id(),
+                                "owner", state.declaration().owner(),
+                                "role", state.declaration().role().label(),
+                                "serves", state.declaration().serves(),
+                                "hall", state.declaration().hall(),
+                                "slots", state.declaration().slots(),
+                                "mine", state.localRequests(),
+                                "running", state.estimatedRunning(),
                                 "state", condition(state, now)));
             }
         }
@@ -163,13 +163,13 @@
      * @return one word
      */
     private static String condition(UpstreamState state, long now) {
-        if (state.declared().draining()) {
+        if (state.declaration().draining()) {
             return "draining";
         }
         if (state.isLeaving()) {
             return "leaving";
         }
-        return state.usable(now) ? "live" : "silent";
+        return state.isUsable(now) ? "live" : "silent";
     }
 
     /**
@@ -182,13 +182,13 @@
         Map<String, int[]> sums = new LinkedHashMap<>();
         long now = mNode.nanos().getAsLong();
         for (UpstreamState state : mUpstreamRegistry.all()) {
-            Role role = state.declared().role();
-            String key = state.declared().serves() + " " + role.label();
-            if (rights.covers(state.declared().owner()) && state.usable(now)) {
+            Role role = state.declaration().role();
+            String key = state.declaration().serves() + " " + role.label();
+            if (rights.covers(state.declaration().owner()) && state.isUsable(now)) {
                 int[] sum = sums.computeIfAbsent(key, any -> new int[3]);
                 sum[0]++;
-                sum[1] += state.declared().slots();
-                sum[2] += state.guessedRunning();
+                sum[1] += state.declaration().slots();
+                sum[2] += state.estimatedRunning();
             }
         }
         List<Map<String, String>> rows = new ArrayList<>();
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/peer/PeerController.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/peer/PeerController.java
@@ -294,14 +294,14 @@
         if (message instanceof PeerMessage.Heartbeat heartbeat) {
             onHeartbeat(from, heartbeat);
         } else if (message instanceof PeerMessage.PermitAsk ask) {
-            mPermits.ifPresent(permits -> permits.asked(sender, ask));
+            mPermits.ifPresent(permits -> permits.onAsk(sender, ask));
         } else if (message instanceof PeerMessage.PermitReport report) {
-            mPermits.ifPresent(permits -> permits.reported(sender, report));
+            mPermits.ifPresent(permits -> permits.onReport(sender, report));
         } else if (message instanceof PeerMessage.PermitGrant grant) {
-            mPermits.ifPresent(permits -> permits.granted(sender, grant));
+            mPermits.ifPresent(permits -> permits.onGrant(sender, grant));
         } else if (message instanceof PeerMessage.PermitRecall recall) {
             UpstreamId engine = new UpstreamId(recall.engine());
-            mPermits.ifPresent(permits -> permits.recalled(engine));
+            mPermits.ifPresent(permits -> permits.returnIdle(engine));
         } else if (message instanceof PeerMessage.Prepare prepare) {
             mMesh.send(sender, new PeerMessage.Prepared(prepare.change(), obstacle(prepare)));
         } else if (message instanceof PeerMessage.Prepared prepared) {
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/placement/PairSelector.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/placement/PairSelector.java
@@ -93,8 +93,8 @@
             return predicted(
                     blocks,
                     promptTokens,
-                    least(prefills, UpstreamState::publishedRunning),
-                    least(decodes, UpstreamState::publishedRunning));
+                    least(prefills, UpstreamState::reportedRunning),
+                    least(decodes, UpstreamState::reportedRunning));
         }
     }
 
@@ -131,7 +131,7 @@
                 List<UpstreamState> prefills,
                 List<UpstreamState> decodes) {
             UpstreamState decode = least(decodes, this::decodeCost);
-            HallId near = decode.declared().hall();
+            HallId near = decode.declaration().hall();
             return prefills.stream()
                     .map(prefill -> predicted(blocks, promptTokens, prefill, decode))
                     .min(Comparator.comparingDouble(pair -> cost(pair, near)))
@@ -145,8 +145,8 @@
          * @return nanoseconds
          */
         private double decodeCost(UpstreamState decode) {
-            double away = decode.declared().hall().equals(mHall) ? 0 : HALL_NANOS;
-            return away + decode.guessedRunning() * RUNNING_NANOS;
+            double away = decode.declaration().hall().equals(mHall) ? 0 : HALL_NANOS;
+            return away + decode.estimatedRunning() * RUNNING_NANOS;
         }
 
         /**
@@ -157,7 +157,7 @@
          * @return nanoseconds
          */
         private static double cost(Pair pair, HallId near) {
-            double away = pair.prefill().declared().hall().equals(near) ? 0 : HALL_NANOS;
+            double away = pair.prefill().declaration().hall().equals(near) ? 0 : HALL_NANOS;
             return pair.firstTokenNanos() + away;
         }
     }
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/placement/UpstreamRegistry.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/placement/UpstreamRegistry.java
@@ -63,9 +63,9 @@
      */
     public List<UpstreamState> usable(String serves, Role role, long now) {
         return mStates.values().stream()
-                .filter(state -> state.declared().role() == role)
-                .filter(state -> state.declared().serves().equals(serves))
-                .filter(state -> state.usable(now))
+                .filter(state -> state.declaration().role() == role)
+                .filter(state -> state.declaration().serves().equals(serves))
+                .filter(state -> state.isUsable(now))
                 .toList();
     }
 }
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/placement/UpstreamState.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/placement/UpstreamState.java
@@ -90,7 +90,7 @@
      *
      * @return the declaration
      */
-    public UpstreamDeclaration declared() {
+    public UpstreamDeclaration declaration() {
         return mDeclared;
     }
 
@@ -109,7 +109,7 @@
      * @param now the time
      * @return whether it is in service, not leaving, and did not fail a moment ago
      */
-    public boolean usable(long now) {
+    public boolean isUsable(long now) {
         boolean cooling = mCooled && now - mCoolUntil < 0;
         return !mDeclared.draining() && !mLeaving && !cooling;
     }
@@ -131,7 +131,7 @@
      *
      * @param now the time
      */
-    public void silent(long now) {
+    public void recordMissedReport(long now) {
         mSilences++;
         if (mSilences >= SILENCES) {
             unreached(now);
@@ -143,7 +143,7 @@
      *
      * @param leaving whether it is
      */
-    public void leaving(boolean leaving) {
+    public void setLeaving(boolean leaving) {
         mLeaving = leaving;
     }
 
@@ -162,7 +162,7 @@
      * @param running how many requests it has
      * @param waitingTokens how many tokens it has waiting
      */
-    public void published(int running, long waitingTokens) {
+    public void recordLoad(int running, long waitingTokens) {
         mSilences = 0;
         mCooled = false;
         mPublishedRunning = running;
@@ -197,7 +197,7 @@
      *
      * @return the count
      */
-    public int mine() {
+    public int localRequests() {
         return mMine;
     }
 
@@ -207,7 +207,7 @@
      *
      * @return the guess
      */
-    public int guessedRunning() {
+    public int estimatedRunning() {
         return Math.max(mMine, mPublishedRunning + mMine - mMineAtPublished);
     }
 
@@ -216,7 +216,7 @@
      *
      * @return the number, late
      */
-    public int publishedRunning() {
+    public int reportedRunning() {
         return mPublishedRunning;
     }
 
@@ -305,7 +305,7 @@
      *
      * @param block the block's name
      */
-    public void cached(long block) {
+    public void addCachedBlock(long block) {
         mBlocks.add(block);
         if (mBlocks.size() > MOST_BLOCKS) {
             mBlocks.remove(mBlocks.iterator().next());
@@ -317,7 +317,7 @@
      *
      * @return the number
      */
-    public long lastEvent() {
+    public long lastEventNumber() {
         return mLastEvent;
     }
 
@@ -326,7 +326,7 @@
      *
      * @param number its number
      */
-    public void lastEvent(long number) {
+    public void setLastEventNumber(long number) {
         mLastEvent = number;
     }
 }
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/request/CompletionExchange.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/request/CompletionExchange.java
@@ -47,7 +47,7 @@
     private static final byte[] DONE = "data: [DONE]\n\n".getBytes(StandardCharsets.US_ASCII);
 
     /** What was asked. */
-    private final CompletionOrder mOrder;
+    private final CompletionRequest mOrder;
 
     /** The prompt's prefix blocks. */
     private final List<Long> mBlocks;
@@ -92,7 +92,7 @@
      * @param maxTokens how many tokens at most
      * @param stream whether the answer is streamed
      */
-    public record CompletionOrder(String prompt, int maxTokens, boolean stream) {}
+    public record CompletionRequest(String prompt, int maxTokens, boolean stream) {}
 
     /**
      * Creates an exchange.
@@ -101,7 +101,7 @@
      * @param arrival the request as it arrived
      * @param order what was asked
      */
-    public CompletionExchange(ExchangeServices services, Arrival arrival, CompletionOrder order) {
+    public CompletionExchange(ExchangeServices services, Arrival arrival, CompletionRequest order) {
         super(services, arrival);
         mOrder = order;
         mBlocks = PromptBlocks.of(order.prompt());
@@ -112,7 +112,7 @@
     protected Ticket ticket(long arrivalNanos, Set<UpstreamId> avoid, Ticket.Answer answer) {
         return new Ticket(
                 id(),
-                declared(),
+                requestClass(),
                 mBlocks,
                 PromptBlocks.tokens(mOrder.prompt()),
                 arrivalNanos,
@@ -140,7 +140,7 @@
                 new Engines.PrefillOrder(
                         attempt,
                         services().node().incarnation(),
-                        declared().partner().value(),
+                        requestClass().partner().value(),
                         arrival().call(),
                         mOrder.prompt(),
                         mText.toString(),
@@ -361,9 +361,10 @@
         final long nanosPerMilli = 1_000_000L;
         long first = (mFirstNanos - arrivalNanos()) / nanosPerMilli;
         long between = mTokens < 2 ? 0 : (mSince - mFirstNanos) / (mTokens - 1) / nanosPerMilli;
-        boolean firstInTime = !declared().hasTarget() || first <= declared().firstTokenMillis();
+        boolean firstInTime =
+                !requestClass().hasTarget() || first <= requestClass().firstTokenMillis();
         boolean restInTime =
-                declared().perTokenMillis() == 0 || between <= declared().perTokenMillis();
+                requestClass().perTokenMillis() == 0 || between <= requestClass().perTokenMillis();
         count(firstInTime && restInTime ? "good" : "late");
     }
 
@@ -374,7 +375,7 @@
      * @param many how many
      */
     private void count(String what, int many) {
-        String name = "requests." + declared().partner() + "." + what;
+        String name = "requests." + requestClass().partner() + "." + what;
         services().node().metrics().counter(name).inc(many);
     }
 
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/request/ExchangeRegistry.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/request/ExchangeRegistry.java
@@ -30,7 +30,7 @@
      * @return whether it was added
      */
     boolean add(RequestExchange exchange, int limit) {
-        AtomicInteger count = count(exchange.declared().partner());
+        AtomicInteger count = count(exchange.requestClass().partner());
         if (count.incrementAndGet() > limit) {
             count.decrementAndGet();
             return false;
@@ -46,7 +46,7 @@
      */
     void remove(RequestExchange exchange) {
         if (mExchanges.remove(exchange.id().value(), exchange)) {
-            count(exchange.declared().partner()).decrementAndGet();
+            count(exchange.requestClass().partner()).decrementAndGet();
         }
     }
 
@@ -56,7 +56,7 @@
      * @param attempt the attempt
      * @return whether its request is here
      */
-    public boolean carries(String attempt) {
+    public boolean containsAttempt(String attempt) {
         int separator = attempt.indexOf(ATTEMPT_SEPARATOR);
         return mExchanges.containsKey(separator < 0 ? attempt : attempt.substring(0, separator));
     }
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/request/Knowledge.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/request/OutcomeTracker.java
@@ -9,7 +9,7 @@
  * decision, confined to the request's event loop. Invariants: "not run" is never said once any
  * attempt may have run; once an attempt was lost, nothing but "unknown" is said.
  */
-public final class Knowledge {
+public final class OutcomeTracker {
 
     /** Whether an upstream may have run any of it. */
     private boolean mMayHaveRun;
@@ -22,7 +22,7 @@
      *
      * @param end how the attempt ended
      */
-    public void learn(AttemptEnd end) {
+    public void recordAttemptEnd(AttemptEnd end) {
         if (end.notStarted()) {
             return;
         }
@@ -37,7 +37,7 @@
      *
      * @param atUpstream whether one has it
      */
-    public void mayHaveRun(boolean atUpstream) {
+    public void recordAtUpstream(boolean atUpstream) {
         mMayHaveRun |= atUpstream;
     }
 
@@ -56,7 +56,7 @@
      * @param wished the code that fits the last step
      * @return the same, or what is known where it would say too much
      */
-    public ResultCode truthful(ResultCode wished) {
+    public ResultCode reportableCode(ResultCode wished) {
         boolean lost = mKnown != null && mKnown.family() == Family.OUTCOME_UNKNOWN;
         if (lost && wished.family() != Family.OUTCOME_UNKNOWN) {
             return mKnown;
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/request/RequestExchange.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/request/RequestExchange.java
@@ -72,7 +72,7 @@
     private int mAttempts;
 
     /** What is known of the work. */
-    private final Knowledge mKnowledge = new Knowledge();
+    private final OutcomeTracker mOutcomeTracker = new OutcomeTracker();
 
     /** The upstreams that failed it. */
     private final Set<UpstreamId> mAvoid = new HashSet<>();
@@ -105,20 +105,22 @@
             return;
         }
         count("accepted");
-        event("accepted", declared().partner() + "/" + declared().name());
+        event("accepted", requestClass().partner() + "/" + requestClass().name());
         exchange().onGone(this::callerGone);
         mDeadline =
                 exchange()
                         .loop()
                         .schedule(
-                                this::deadline, declared().deadlineMillis(), TimeUnit.MILLISECONDS);
+                                this::deadline,
+                                requestClass().deadlineMillis(),
+                                TimeUnit.MILLISECONDS);
         if (mArrival.key() == null) {
             enqueue();
         } else {
             stage(Stage.CLAIMING);
             mServices
                     .claims()
-                    .begin(declared(), mArrival.key(), mArrival.fingerprint())
+                    .begin(requestClass(), mArrival.key(), mArrival.fingerprint())
                     .thenAccept(outcome -> onLoop(() -> claimed(outcome)));
         }
     }
@@ -146,7 +148,7 @@
             over(null);
         } else if (outcome instanceof ClaimOutcome.Refused refused) {
             refuse(refused.code(), refused.detail());
-        } else if (declared().whenTableUnavailable() == TableRule.RUN) {
+        } else if (requestClass().whenTableUnavailable() == TableRule.RUN) {
             event("run-without-claim", "");
             enqueue();
         } else {
@@ -192,7 +194,7 @@
         mGrant = grant;
         mAttempts++;
         if (mAttempts == 1) {
-            mServices.budget().firstTry(declared().partner());
+            mServices.budget().firstTry(requestClass().partner());
             count("first-tries");
         }
         run(grant, attempt());
@@ -249,9 +251,9 @@
         mGrant = null;
         stopAttempt();
         report(grant, end);
-        mKnowledge.learn(end);
+        mOutcomeTracker.recordAttemptEnd(end);
         stage(Stage.QUEUED);
-        if (!declared().repeatable() && mKnowledge.mayHaveRun()) {
+        if (!requestClass().repeatable() && mOutcomeTracker.mayHaveRun()) {
             refuse(end.code(), end.detail());
         } else if (mAttempts >= MOST_ATTEMPTS) {
             refuse(end.code(), "tried " + mAttempts + " times; " + end.detail());
@@ -268,12 +270,12 @@
      * @param end how the last attempt ended
      */
     private void retryWithinBudget(AttemptEnd end) {
-        if (mServices.budget().retry(declared().partner())) {
+        if (mServices.budget().retry(requestClass().partner())) {
             count("retries");
             enqueue();
         } else {
             ResultCode code =
-                    mKnowledge.mayHaveRun()
+                    mOutcomeTracker.mayHaveRun()
                             ? ResultCode.RETRIES_SPENT
                             : ResultCode.UPSTREAMS_REFUSED;
             refuse(code, end.detail());
@@ -328,7 +330,7 @@
             return;
         }
         mComplete = answer;
-        boolean first = declared().answerCommit() == AnswerCommit.AFTER_END_MARK;
+        boolean first = requestClass().answerCommit() == AnswerCommit.AFTER_END_MARK;
         long left = mClaim.safeUntilNanos() - mServices.node().nanos().getAsLong();
         if (first && left > LEASE_MARGIN_NANOS) {
             mServices.claims().answeredInBackground(mClaim, kept(answer, keep));
@@ -413,7 +415,7 @@
     private void deadline() {
         if (mStage == Stage.ANSWERING) {
             refuse(ResultCode.OUTCOME_NOT_RECORDED, "the table did not confirm in time");
-        } else if (mKnowledge.mayHaveRun() || mStage.atUpstream()) {
+        } else if (mOutcomeTracker.mayHaveRun() || mStage.isAtUpstream()) {
             refuse(ResultCode.DEADLINE_WHILE_RUNNING, "in stage " + mStage.label());
         } else {
             refuse(ResultCode.DEADLINE_BEFORE_START, "in stage " + mStage.label());
@@ -431,7 +433,7 @@
             mServices.claims().answeredInBackground(mClaim, Optional.of(mComplete));
             mClaim = null;
         }
-        mKnowledge.mayHaveRun(mStage.atUpstream());
+        mOutcomeTracker.recordAtUpstream(mStage.isAtUpstream());
         over(ResultCode.OUTCOME_UNKNOWN);
     }
 
@@ -440,10 +442,10 @@
      *
      * @param by who orders it
      */
-    public final void cancelBy(String by) {
+    public final void cancel(String by) {
         onLoop(
                 () -> {
-                    boolean run = mKnowledge.mayHaveRun() || mStage.atUpstream();
+                    boolean run = mOutcomeTracker.mayHaveRun() || mStage.isAtUpstream();
                     refuse(
                             run ? ResultCode.OUTCOME_UNKNOWN : ResultCode.UPSTREAMS_REFUSED,
                             "cancelled by " + by);
@@ -461,10 +463,10 @@
         if (isOver()) {
             return;
         }
-        mKnowledge.mayHaveRun(mStage.atUpstream());
-        ResultCode code = mKnowledge.truthful(wished);
+        mOutcomeTracker.recordAtUpstream(mStage.isAtUpstream());
+        ResultCode code = mOutcomeTracker.reportableCode(wished);
         Invariants.check(
-                code.family() != Family.NOT_RUN || !mKnowledge.mayHaveRun(),
+                code.family() != Family.NOT_RUN || !mOutcomeTracker.mayHaveRun(),
                 "untruthful-refusal",
                 id());
         count("refused." + code.label());
@@ -484,7 +486,7 @@
      */
     private void over(ResultCode code) {
         Invariants.check(mStage != Stage.OVER, "ended-twice", id());
-        boolean ran = mKnowledge.mayHaveRun();
+        boolean ran = mOutcomeTracker.mayHaveRun();
         stopAttempt();
         mStage = Stage.OVER;
         mDeadline.cancel(false);
@@ -498,7 +500,7 @@
             mGrant = null;
         }
         if (mClaim != null) {
-            if (ran && !declared().repeatable()) {
+            if (ran && !requestClass().repeatable()) {
                 mServices.claims().ended(mClaim, code);
             } else {
                 mServices.claims().released(mClaim);
@@ -565,7 +567,7 @@
      * @param what what to count
      */
     protected final void count(String what) {
-        mServices.node().count("requests." + declared().partner() + "." + what);
+        mServices.node().count("requests." + requestClass().partner() + "." + what);
     }
 
     /**
@@ -596,7 +598,7 @@
     protected final int leftMillis() {
         final long nanosPerMilli = 1_000_000L;
         long passed = (mServices.node().nanos().getAsLong() - mArrivalNanos) / nanosPerMilli;
-        return (int) Math.max(1, declared().deadlineMillis() - passed);
+        return (int) Math.max(1, requestClass().deadlineMillis() - passed);
     }
 
     /**
@@ -658,7 +660,7 @@
      *
      * @return the class
      */
-    public final ClassDeclaration declared() {
+    public final ClassDeclaration requestClass() {
         return mArrival.declared();
     }
 
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/request/ServiceExchange.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/request/ServiceExchange.java
@@ -100,7 +100,7 @@
     /** {@inheritDoc} */
     @Override
     protected Ticket ticket(long arrivalNanos, Set<UpstreamId> avoid, Ticket.Answer answer) {
-        return new Ticket(id(), declared(), List.of(), 0, arrivalNanos, avoid, answer);
+        return new Ticket(id(), requestClass(), List.of(), 0, arrivalNanos, avoid, answer);
     }
 
     /** {@inheritDoc} */
@@ -120,7 +120,7 @@
             call = call.withHeader(header.getKey(), header.getValue());
         }
         call = call.withHeader(ID_HEADER, attempt);
-        if (!declared().repeatable()) {
+        if (!requestClass().repeatable()) {
             call = call.withFreshConnection();
         }
         mOngoing = services().node().calls().send(call, new Answering(attempt));
@@ -273,7 +273,7 @@
     /** Goes on when the service's answer is complete. */
     private void end() {
         mOngoing = null;
-        boolean good = !declared().hasTarget() || inTime();
+        boolean good = !requestClass().hasTarget() || inTime();
         count(good ? "good" : "late");
         Map<String, String> headers = new LinkedHashMap<>();
         shownHeaders(mHeaders).forEach(entry -> headers.put(entry.getKey(), entry.getValue()));
@@ -288,7 +288,7 @@
     private boolean inTime() {
         final long nanosPerMilli = 1_000_000L;
         long took = services().node().nanos().getAsLong() - arrivalNanos();
-        return took <= declared().firstTokenMillis() * nanosPerMilli;
+        return took <= requestClass().firstTokenMillis() * nanosPerMilli;
     }
 
     /**
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/request/Stage.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/request/Stage.java
@@ -28,7 +28,7 @@
      *
      * @return whether bytes may have left
      */
-    public boolean atUpstream() {
+    public boolean isAtUpstream() {
         return this == PREFILL || this == TRANSFER || this == DECODE || this == CALLING;
     }
 
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/RequestExecution.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/RequestExecution.java
@@ -10,7 +10,7 @@
 import org.troutpier.daemon.directory.UpstreamEntry;
 import org.troutpier.daemon.limit.FlowKey;
 import org.troutpier.daemon.organisation.OrganisationLimiter;
-import org.troutpier.daemon.request.Knowledge;
+import org.troutpier.daemon.request.OutcomeTracker;
 import org.troutpier.daemon.route.Organisation;
 import org.troutpier.daemon.route.Route;
 import org.troutpier.daemon.upstream.AttemptEnd;
@@ -38,7 +38,7 @@
     protected final CallerChannel mCaller;
 
     /** What the attempts so far prove about whether the request was run. */
-    protected final Knowledge mKnowledge = new Knowledge();
+    protected final OutcomeTracker mOutcomeTracker = new OutcomeTracker();
 
     /** The upstreams to which the request was sent to be run. */
     protected final Set<UpstreamIncarnation> mAttempted = new HashSet<>();
@@ -203,7 +203,7 @@
 
     /** Records a failed attempt in the trace, the metrics and the state of its upstream. */
     protected void recordFailure(UpstreamEntry upstream, AttemptEnd end) {
-        mKnowledge.learn(end);
+        mOutcomeTracker.recordAttemptEnd(end);
         mContext.metrics().callFailed(upstream.id(), end.notStarted());
         mTrace.addStep("failed@" + upstream.id() + "(" + end.detail() + ")");
         if (end.notStarted() && end.leaving()) {
@@ -367,7 +367,7 @@
         if (mEnded) {
             return;
         }
-        ResultCode code = mKnowledge.truthful(preferred);
+        ResultCode code = mOutcomeTracker.reportableCode(preferred);
         mRefusedAsNotRun = code.family() == ResultCode.Family.NOT_RUN;
         boolean mayRetryLater = mRefusedAsNotRun || mRoute.kind().repeatable();
         mTrace.addStep(code.label() + "(" + detail + ")");
@@ -392,7 +392,7 @@
             return;
         }
         mTrace.addStep("deadline");
-        mKnowledge.mayHaveRun(isAtUpstream());
+        mOutcomeTracker.recordAtUpstream(isAtUpstream());
         if (isStreaming()) {
             abortStream("deadline");
         } else if (isAtUpstream()) {
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/upstream/LoadWatcher.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/upstream/LoadWatcher.java
@@ -44,7 +44,7 @@
     /** Asks every engine once. */
     private void ask() {
         for (UpstreamState state : new ArrayList<>(mUpstreamRegistry.all())) {
-            UpstreamDeclaration declared = state.declared();
+            UpstreamDeclaration declared = state.declaration();
             if (declared.role() == Role.SERVICE) {
                 continue;
             }
@@ -53,7 +53,7 @@
                             (load, failure) ->
                                     mNode.control().execute(() -> heard(declared.id(), load)));
             if (declared.role() == Role.PREFILL) {
-                mEngines.cacheEvents(declared, state.lastEvent())
+                mEngines.cacheEvents(declared, state.lastEventNumber())
                         .thenAccept(
                                 events ->
                                         mNode.control()
@@ -74,15 +74,15 @@
             return;
         }
         if (load == null) {
-            state.silent(mNode.nanos().getAsLong());
+            state.recordMissedReport(mNode.nanos().getAsLong());
             mNode.count("upstream.silent");
             return;
         }
-        state.published(load.running(), load.waitingTokens());
+        state.recordLoad(load.running(), load.waitingTokens());
         if (state.isLeaving() != load.leaving()) {
             mNode.events().record("upstream-leaving", id.value(), "" + load.leaving());
         }
-        state.leaving(load.leaving());
+        state.setLeaving(load.leaving());
     }
 
     /**
@@ -97,8 +97,8 @@
             return;
         }
         for (Engines.CacheEvent event : events) {
-            state.cached(event.block());
-            state.lastEvent(Math.max(state.lastEvent(), event.number()));
+            state.addCachedBlock(event.block());
+            state.setLastEventNumber(Math.max(state.lastEventNumber(), event.number()));
         }
     }
 }
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/upstream/OrphanSweeper.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/upstream/OrphanSweeper.java
@@ -70,7 +70,7 @@
     private void sweep() {
         List<Membership.Member> members = mMembership.live();
         for (UpstreamState state : new ArrayList<>(mUpstreamRegistry.all())) {
-            UpstreamDeclaration declared = state.declared();
+            UpstreamDeclaration declared = state.declaration();
             boolean mine =
                     CoordinatorSelector.select("sweep " + declared.id(), members)
                             .equals(mNode.incarnation());
@@ -105,7 +105,7 @@
      */
     private boolean orphan(Engines.Held held) {
         if (held.owner().equals(mNode.incarnation().value())) {
-            return !mRegistry.carries(held.attempt());
+            return !mRegistry.containsAttempt(held.attempt());
         }
         boolean router = held.owner().indexOf('~') > 0;
         return router && mMembership.isGone(new Incarnation(held.owner()));
--- a/troutpier-daemon/src/test/java/org/troutpier/daemon/admission/CoordinatorPermitsTest.java
+++ b/troutpier-daemon/src/test/java/org/troutpier/daemon/admission/CoordinatorPermitsTest.java
@@ -73,13 +73,13 @@
 
         void take(PeerMessage message, Incarnation from) {
             if (message instanceof PeerMessage.PermitAsk ask) {
-                mPermits.asked(from, ask);
+                mPermits.onAsk(from, ask);
             } else if (message instanceof PeerMessage.PermitGrant grant) {
-                mPermits.granted(from, grant);
+                mPermits.onGrant(from, grant);
             } else if (message instanceof PeerMessage.PermitRecall recall) {
-                mPermits.recalled(new UpstreamId(recall.engine()));
+                mPermits.returnIdle(new UpstreamId(recall.engine()));
             } else if (message instanceof PeerMessage.PermitReport report) {
-                mPermits.reported(from, report);
+                mPermits.onReport(from, report);
             }
         }
     }
--- a/troutpier-daemon/src/test/java/org/troutpier/daemon/request/KnowledgeTest.java
+++ b/troutpier-daemon/src/test/java/org/troutpier/daemon/request/OutcomeTrackerTest.java
@@ -10,23 +10,24 @@
 import org.troutpier.common.result.ResultCode.Family;
 import org.troutpier.daemon.upstream.AttemptEnd;
 
-public class KnowledgeTest {
+public class OutcomeTrackerTest {
 
     @Test
     public void saysNotRunWhileEveryAttemptProvedIt() {
-        Knowledge knowledge = new Knowledge();
-        knowledge.learn(AttemptEnd.unreached("refused"));
-        knowledge.learn(AttemptEnd.refused(false, "full"));
-        assertEquals(knowledge.truthful(ResultCode.NO_UPSTREAM), ResultCode.NO_UPSTREAM);
+        OutcomeTracker tracker = new OutcomeTracker();
+        tracker.recordAttemptEnd(AttemptEnd.unreached("refused"));
+        tracker.recordAttemptEnd(AttemptEnd.refused(false, "full"));
+        assertEquals(tracker.reportableCode(ResultCode.NO_UPSTREAM), ResultCode.NO_UPSTREAM);
     }
 
     @Test
     public void saysUnknownOnceAnAttemptWasLost() {
-        Knowledge knowledge = new Knowledge();
-        knowledge.learn(AttemptEnd.lost("silent"));
-        knowledge.learn(AttemptEnd.failed(ResultCode.UPSTREAM_FAILED, "cut"));
-        assertEquals(knowledge.truthful(ResultCode.UPSTREAM_FAILED), ResultCode.OUTCOME_UNKNOWN);
-        assertEquals(knowledge.truthful(ResultCode.QUEUE_FULL), ResultCode.OUTCOME_UNKNOWN);
+        OutcomeTracker tracker = new OutcomeTracker();
+        tracker.recordAttemptEnd(AttemptEnd.lost("silent"));
+        tracker.recordAttemptEnd(AttemptEnd.failed(ResultCode.UPSTREAM_FAILED, "cut"));
+        assertEquals(
+                tracker.reportableCode(ResultCode.UPSTREAM_FAILED), ResultCode.OUTCOME_UNKNOWN);
+        assertEquals(tracker.reportableCode(ResultCode.QUEUE_FULL), ResultCode.OUTCOME_UNKNOWN);
     }
 
     @Test
@@ -36,25 +37,26 @@
         Random random = new Random(seed);
         ResultCode[] codes = ResultCode.values();
         for (int round = 0; round < 100_000; round++) {
-            Knowledge knowledge = new Knowledge();
+            OutcomeTracker tracker = new OutcomeTracker();
             boolean ran = false;
             boolean lost = false;
             for (int attempt = random.nextInt(4); attempt > 0; attempt--) {
                 switch (random.nextInt(4)) {
-                    case 0 -> knowledge.learn(AttemptEnd.unreached("x"));
-                    case 1 -> knowledge.learn(AttemptEnd.refused(false, "x"));
+                    case 0 -> tracker.recordAttemptEnd(AttemptEnd.unreached("x"));
+                    case 1 -> tracker.recordAttemptEnd(AttemptEnd.refused(false, "x"));
                     case 2 -> {
-                        knowledge.learn(AttemptEnd.lost("x"));
+                        tracker.recordAttemptEnd(AttemptEnd.lost("x"));
                         ran = true;
                         lost = true;
                     }
                     default -> {
-                        knowledge.learn(AttemptEnd.failed(ResultCode.UPSTREAM_FAILED, "x"));
+                        tracker.recordAttemptEnd(
+                                AttemptEnd.failed(ResultCode.UPSTREAM_FAILED, "x"));
                         ran = true;
                     }
                 }
             }
-            Family told = knowledge.truthful(codes[random.nextInt(codes.length)]).family();
+            Family told = tracker.reportableCode(codes[random.nextInt(codes.length)]).family();
             if (ran) {
                 assertNotEquals(told, Family.NOT_RUN, "seed " + seed);
             }
