--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/admission/AdmissionController.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/admission/AdmissionController.java
@@ -29,7 +29,7 @@
 public final class AdmissionController {
 
     /** How often tickets that wait in vain are looked for, milliseconds. */
-    private static final long SWEEP_MILLIS = 20;
+    private static final long SWEEP_INTERVAL_MILLIS = 20;
 
     /** Nanoseconds in a microsecond. */
     private static final long NANOS_PER_MICRO = 1000;
@@ -89,7 +89,7 @@
         mSelector = selector;
         mShed = shed;
         mPredictionError = node.metrics().histogram("admission.prediction-error-micros");
-        node.control().every(this::sweep, SWEEP_MILLIS);
+        node.control().every(this::sweep, SWEEP_INTERVAL_MILLIS);
     }
 
     /**
@@ -109,15 +109,15 @@
      * @param ticket the ticket
      */
     public void submit(Ticket ticket) {
-        PartnerId partner = ticket.declared().partner();
-        FairQueue<Ticket> queue = queue(ticket.declared());
+        PartnerId partner = ticket.requestClass().partner();
+        FairQueue<Ticket> queue = queue(ticket.requestClass());
         int limit = mDeclarations.partner(partner).map(PartnerDeclaration::queueLimit).orElse(0);
-        if (queue.waiting(partner) >= limit) {
+        if (queue.size(partner) >= limit) {
             refuse(ticket, ResultCode.QUEUE_FULL, partner + " has " + limit + " waiting");
             return;
         }
         queue.add(partner, ticket, ticket.dueNanos(), 1);
-        pump(ticket.declared());
+        dispatch(ticket.requestClass());
     }
 
     /**
@@ -127,7 +127,7 @@
      * @return whether it was still waiting
      */
     public boolean withdraw(Ticket ticket) {
-        return queue(ticket.declared()).remove(ticket.declared().partner(), ticket);
+        return queue(ticket.requestClass()).remove(ticket.requestClass().partner(), ticket);
     }
 
     /**
@@ -136,11 +136,11 @@
      * @param grant the grant
      * @param nanos how long it took, 0 where it did not end well
      */
-    public void prefillEnded(Grant grant, long nanos) {
-        if (grant.leavePrefill()) {
-            grant.prefillState().left(grant.uncachedTokens());
+    public void onPrefillEnd(Grant grant, long nanos) {
+        if (grant.releasePrefill()) {
+            grant.prefillState().recordEnd(grant.uncachedTokens());
             if (nanos > 0) {
-                grant.prefillState().prefilled(grant.tokensToDone(), nanos);
+                grant.prefillState().recordPrefill(grant.tokensUntilDone(), nanos);
             }
         }
     }
@@ -151,11 +151,11 @@
      * @param grant the grant
      * @param stepNanos how long it took from the decode request
      */
-    public void firstToken(Grant grant, long stepNanos) {
-        double predicted = grant.mainState().firstStepNanos();
+    public void onFirstToken(Grant grant, long stepNanos) {
+        double predicted = grant.mainState().predictedFirstStepNanos();
         long error = Math.abs((long) predicted - stepNanos);
         mPredictionError.update(error / NANOS_PER_MICRO);
-        grant.mainState().firstStep(stepNanos);
+        grant.mainState().recordFirstStep(stepNanos);
     }
 
     /**
@@ -163,14 +163,14 @@
      *
      * @param grant the grant
      */
-    public void ended(Grant grant) {
-        prefillEnded(grant, 0);
-        if (grant.leaveMain()) {
+    public void release(Grant grant) {
+        onPrefillEnd(grant, 0);
+        if (grant.releaseMain()) {
             UpstreamState main = grant.mainState();
-            main.left(0);
-            main.held(mNode.nanos().getAsLong() - grant.grantedNanos());
+            main.recordEnd(0);
+            main.recordHold(mNode.nanos().getAsLong() - grant.grantedNanos());
             if (main.declaration().role() != Role.SERVICE) {
-                mPermits.giveBack(main);
+                mPermits.release(main);
             }
             dispatchAll();
         }
@@ -181,10 +181,10 @@
      *
      * @param id the upstream
      */
-    public void unreached(UpstreamId id) {
+    public void onUnreachable(UpstreamId id) {
         UpstreamState state = mUpstreamRegistry.get(id);
         if (state != null) {
-            state.unreached(mNode.nanos().getAsLong());
+            state.recordUnreachable(mNode.nanos().getAsLong());
         }
     }
 
@@ -194,19 +194,19 @@
      * @param id the upstream
      * @param leaving whether it said that it is leaving
      */
-    public void refusedBy(UpstreamId id, boolean leaving) {
+    public void onRefusal(UpstreamId id, boolean leaving) {
         UpstreamState state = mUpstreamRegistry.get(id);
         if (state != null && leaving) {
             state.setLeaving(true);
         } else if (state != null) {
-            mPermits.refusedBy(state);
+            mPermits.onRefusal(state);
         }
     }
 
     /** Starts whatever can start now. */
     public void dispatchAll() {
         for (String serves : List.copyOf(mQueues.keySet())) {
-            pump(mQueues.get(serves));
+            dispatch(mQueues.get(serves));
         }
     }
 
@@ -225,8 +225,8 @@
      * @param declared the class
      * @return the queue for the model or service that it asks
      */
-    private FairQueue<Ticket> queue(ClassDeclaration declared) {
-        String name = declared.kind() + " " + declared.serves();
+    private FairQueue<Ticket> queue(ClassDeclaration requestClass) {
+        String name = requestClass.kind() + " " + requestClass.serves();
         return mQueues.computeIfAbsent(name, key -> new FairQueue<>());
     }
 
@@ -235,8 +235,8 @@
      *
      * @param declared the class
      */
-    private void pump(ClassDeclaration declared) {
-        pump(queue(declared));
+    private void dispatch(ClassDeclaration requestClass) {
+        dispatch(queue(requestClass));
     }
 
     /**
@@ -244,21 +244,21 @@
      *
      * @param queue the queue
      */
-    private void pump(FairQueue<Ticket> queue) {
+    private void dispatch(FairQueue<Ticket> queue) {
         while (true) {
             Optional<Ticket> first = queue.peek();
             if (first.isEmpty()) {
                 return;
             }
             Ticket ticket = first.get();
-            boolean completion = ticket.declared().kind() == ClassDeclaration.Kind.COMPLETION;
-            Decision decision = completion ? placeCompletion(ticket) : placeCall(ticket);
+            boolean completion = ticket.requestClass().kind() == ClassDeclaration.Kind.COMPLETION;
+            Decision decision = completion ? admitCompletion(ticket) : admitServiceCall(ticket);
             if (decision == Decision.WAITS) {
                 return;
             }
-            queue.remove(ticket.declared().partner(), ticket);
+            queue.remove(ticket.requestClass().partner(), ticket);
             if (decision == Decision.STARTED) {
-                queue.charge(ticket.declared().partner(), 1, this::weight);
+                queue.charge(ticket.requestClass().partner(), 1, this::weight);
             }
         }
     }
@@ -269,32 +269,32 @@
      * @param ticket its ticket
      * @return what was decided
      */
-    private Decision placeCompletion(Ticket ticket) {
+    private Decision admitCompletion(Ticket ticket) {
         long now = mNode.nanos().getAsLong();
-        String model = ticket.declared().serves();
+        String model = ticket.requestClass().serves();
         List<UpstreamState> prefills =
-                wanted(ticket, mUpstreamRegistry.usable(model, Role.PREFILL, now));
+                preferUntried(ticket, mUpstreamRegistry.usable(model, Role.PREFILL, now));
         List<UpstreamState> decodes =
-                wanted(ticket, mUpstreamRegistry.usable(model, Role.DECODE, now));
+                preferUntried(ticket, mUpstreamRegistry.usable(model, Role.DECODE, now));
         if (prefills.isEmpty() || decodes.isEmpty()) {
-            return withoutUpstream(ticket, "no live prefill and decode for " + model);
+            return waitOrRefuse(ticket, "no live prefill and decode for " + model);
         }
-        List<UpstreamState> free = decodes.stream().filter(mPermits::available).toList();
+        List<UpstreamState> free = decodes.stream().filter(mPermits::isAvailable).toList();
         if (free.isEmpty()) {
-            mPermits.wanted(decodes, queue(ticket.declared()).size());
+            mPermits.requestPermits(decodes, queue(ticket.requestClass()).size());
             return Decision.WAITS;
         }
         PairSelector.Pair pair =
                 mSelector.select(ticket.blocks(), ticket.promptTokens(), prefills, free);
-        if (tooLate(ticket, now + (long) pair.firstTokenNanos())) {
+        if (isTooLate(ticket, now + (long) pair.firstTokenNanos())) {
             refuse(ticket, ResultCode.TARGET_OUT_OF_REACH, "the first token would be late");
             return Decision.REFUSED;
         }
-        mPermits.take(pair.decode());
+        mPermits.acquire(pair.decode());
         Grant grant = new Grant(pair.prefill(), pair.decode(), pair.uncachedTokens(), now);
-        pair.prefill().entered(pair.uncachedTokens());
-        pair.decode().entered(0);
-        ticket.answer().granted(grant);
+        pair.prefill().recordStart(pair.uncachedTokens());
+        pair.decode().recordStart(0);
+        ticket.listener().onGranted(grant);
         return Decision.STARTED;
     }
 
@@ -304,13 +304,13 @@
      * @param ticket its ticket
      * @return what was decided
      */
-    private Decision placeCall(Ticket ticket) {
+    private Decision admitServiceCall(Ticket ticket) {
         long now = mNode.nanos().getAsLong();
-        String service = ticket.declared().serves();
+        String service = ticket.requestClass().serves();
         List<UpstreamState> replicas =
-                wanted(ticket, mUpstreamRegistry.usable(service, Role.SERVICE, now));
+                preferUntried(ticket, mUpstreamRegistry.usable(service, Role.SERVICE, now));
         if (replicas.isEmpty()) {
-            return withoutUpstream(ticket, "no live replica of " + service);
+            return waitOrRefuse(ticket, "no live replica of " + service);
         }
         HallId hall = mNode.hall();
         Optional<UpstreamState> replica =
@@ -323,8 +323,8 @@
         if (replica.isEmpty()) {
             return Decision.WAITS;
         }
-        replica.get().entered(0);
-        ticket.answer().granted(new Grant(null, replica.get(), 0, now));
+        replica.get().recordStart(0);
+        ticket.listener().onGranted(new Grant(null, replica.get(), 0, now));
         return Decision.STARTED;
     }
 
@@ -336,12 +336,12 @@
      * @param detail what is missing
      * @return what was decided
      */
-    private Decision withoutUpstream(Ticket ticket, String detail) {
-        boolean hope =
+    private Decision waitOrRefuse(Ticket ticket, String detail) {
+        boolean mayRecover =
                 mUpstreamRegistry.all().stream()
                         .filter(state -> state.declaration().serves().equals(serves(ticket)))
                         .anyMatch(state -> !state.declaration().draining());
-        if (hope && !ticket.declared().hasTarget()) {
+        if (mayRecover && !ticket.requestClass().hasTarget()) {
             return Decision.WAITS;
         }
         refuse(ticket, ResultCode.NO_UPSTREAM, detail);
@@ -355,7 +355,7 @@
      * @return the model or service
      */
     private static String serves(Ticket ticket) {
-        return ticket.declared().serves();
+        return ticket.requestClass().serves();
     }
 
     /**
@@ -365,11 +365,11 @@
      * @param states the upstreams
      * @return those to choose from
      */
-    private static List<UpstreamState> wanted(Ticket ticket, List<UpstreamState> states) {
-        Predicate<UpstreamState> avoided =
-                state -> ticket.avoid().contains(state.declaration().id());
-        List<UpstreamState> others = states.stream().filter(avoided.negate()).toList();
-        return others.isEmpty() ? states : others;
+    private static List<UpstreamState> preferUntried(Ticket ticket, List<UpstreamState> states) {
+        Predicate<UpstreamState> failedBefore =
+                state -> ticket.failedUpstreams().contains(state.declaration().id());
+        List<UpstreamState> untried = states.stream().filter(failedBefore.negate()).toList();
+        return untried.isEmpty() ? states : untried;
     }
 
     /**
@@ -379,8 +379,10 @@
      * @param firstTokenNanos when it would come
      * @return whether to refuse
      */
-    private boolean tooLate(Ticket ticket, long firstTokenNanos) {
-        return mShed && ticket.declared().hasTarget() && firstTokenNanos - ticket.dueNanos() > 0;
+    private boolean isTooLate(Ticket ticket, long firstTokenNanos) {
+        return mShed
+                && ticket.requestClass().hasTarget()
+                && firstTokenNanos - ticket.dueNanos() > 0;
     }
 
     /** Refuses the tickets whose time has passed while they waited. */
@@ -390,12 +392,12 @@
             List<Ticket> late = new ArrayList<>();
             queue.forEach(
                     ticket -> {
-                        if (tooLate(ticket, now + bestFirstStep(ticket, now))) {
+                        if (isTooLate(ticket, now + minFirstStepNanos(ticket, now))) {
                             late.add(ticket);
                         }
                     });
             for (Ticket ticket : late) {
-                queue.remove(ticket.declared().partner(), ticket);
+                queue.remove(ticket.requestClass().partner(), ticket);
                 refuse(ticket, ResultCode.TARGET_OUT_OF_REACH, "the target passed in the queue");
             }
         }
@@ -409,12 +411,12 @@
      * @param now the time
      * @return nanoseconds
      */
-    private long bestFirstStep(Ticket ticket, long now) {
-        if (ticket.declared().kind() == ClassDeclaration.Kind.SERVICE) {
+    private long minFirstStepNanos(Ticket ticket, long now) {
+        if (ticket.requestClass().kind() == ClassDeclaration.Kind.SERVICE) {
             return 0;
         }
-        return mUpstreamRegistry.usable(ticket.declared().serves(), Role.DECODE, now).stream()
-                .mapToLong(state -> (long) state.firstStepNanos())
+        return mUpstreamRegistry.usable(ticket.requestClass().serves(), Role.DECODE, now).stream()
+                .mapToLong(state -> (long) state.predictedFirstStepNanos())
                 .min()
                 .orElse(0);
     }
@@ -427,7 +429,7 @@
      * @param detail what exactly
      */
     private static void refuse(Ticket ticket, ResultCode code, String detail) {
-        ticket.answer().refused(new TroutpierException(code, detail));
+        ticket.listener().onRefused(new TroutpierException(code, detail));
     }
 
     /**
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/admission/CoordinatorPermits.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/admission/CoordinatorPermits.java
@@ -23,22 +23,22 @@
 public final class CoordinatorPermits implements DecodePermits {
 
     /** How often idle permits and hungry routers are looked at, milliseconds. */
-    private static final long TICK_MILLIS = 50;
+    private static final long TICK_INTERVAL_MILLIS = 50;
 
     /** How often holdings are reported, milliseconds. */
-    private static final long REPORT_MILLIS = 300;
+    private static final long REPORT_INTERVAL_MILLIS = 300;
 
     /** How long a permit may lie idle before it goes back, nanoseconds. */
-    private static final long IDLE_NANOS = 150_000_000L;
+    private static final long IDLE_TIMEOUT_NANOS = 150_000_000L;
 
     /** How long a new coordinator listens before it gives, nanoseconds. */
-    private static final long LISTEN_NANOS = 700_000_000L;
+    private static final long STARTUP_DELAY_NANOS = 700_000_000L;
 
     /** How long an unanswered wish is taken to be under way, nanoseconds. */
-    private static final long ASKED_NANOS = 60_000_000L;
+    private static final long REQUEST_TIMEOUT_NANOS = 60_000_000L;
 
     /** How long a router's wish counts at the coordinator, nanoseconds. */
-    private static final long WISH_NANOS = 250_000_000L;
+    private static final long REQUEST_TTL_NANOS = 250_000_000L;
 
     /** The router's identity, threads, clock and metrics. */
     private final Node mNode;
@@ -53,7 +53,7 @@
     private final Sender mSender;
 
     /** Starts what waits, after permits have come. */
-    private final Runnable mPump;
+    private final Runnable mOnPermits;
 
     /** What this router holds, by engine. */
     private final Map<UpstreamId, Holding> mHoldings = new HashMap<>();
@@ -89,13 +89,13 @@
         private long mIdleSince;
 
         /** When more were asked for last. */
-        private long mAskedAt;
+        private long mRequestedAt;
 
         /** Whether the answer to the last wish is awaited. */
-        private boolean mAsked;
+        private boolean mRequestPending;
 
         /** The coordinator that gave last. */
-        private Incarnation mGiver;
+        private Incarnation mGrantor;
 
         /** How many that coordinator has given in all. */
         private long mReceived;
@@ -107,7 +107,7 @@
          * @return the count, 0 for another than the last
          */
         long received(Incarnation coordinator) {
-            return coordinator.equals(mGiver) ? mReceived : 0;
+            return coordinator.equals(mGrantor) ? mReceived : 0;
         }
 
         /**
@@ -127,21 +127,21 @@
         private final Map<Incarnation, Integer> mHeld = new HashMap<>();
 
         /** How many each router was given in all. */
-        private final Map<Incarnation, Long> mGiven = new HashMap<>();
+        private final Map<Incarnation, Long> mGranted = new HashMap<>();
 
         /** What each router wants, oldest wish first. */
-        private final Map<Incarnation, Wish> mWishes = new LinkedHashMap<>();
+        private final Map<Incarnation, PermitRequest> mRequests = new LinkedHashMap<>();
 
         /** Since when this router looks after the engine. */
-        private final long mSince;
+        private final long mCoordinatorSince;
 
         /**
          * Creates an allocation.
          *
          * @param since since when
          */
-        Allocation(long since) {
-            mSince = since;
+        Allocation(long coordinatorSince) {
+            mCoordinatorSince = coordinatorSince;
         }
 
         /**
@@ -151,9 +151,9 @@
          * @param held how many it says it holds
          * @param received how many it says it was given
          */
-        void holds(Incarnation router, int held, long received) {
-            long given = mGiven.getOrDefault(router, 0L);
-            mHeld.put(router, held + (int) Math.max(0, given - received));
+        void recordHolding(Incarnation router, int held, long received) {
+            long granted = mGranted.getOrDefault(router, 0L);
+            mHeld.put(router, held + (int) Math.max(0, granted - received));
         }
 
         /**
@@ -161,7 +161,7 @@
          *
          * @return permits held by all routers
          */
-        int out() {
+        int totalHeld() {
             return mHeld.values().stream().mapToInt(Integer::intValue).sum();
         }
     }
@@ -172,7 +172,7 @@
      * @param count how many it wants
      * @param at when it said so
      */
-    private record Wish(int count, long at) {}
+    private record PermitRequest(int count, long at) {}
 
     /**
      * Creates permits.
@@ -188,25 +188,25 @@
             Membership membership,
             UpstreamRegistry registry,
             Sender sender,
-            Runnable pump) {
+            Runnable onPermits) {
         mNode = node;
         mMembership = membership;
         mUpstreamRegistry = registry;
         mSender = sender;
-        mPump = pump;
-        node.control().every(this::tick, TICK_MILLIS);
-        node.control().every(this::report, REPORT_MILLIS);
+        mOnPermits = onPermits;
+        node.control().every(this::tick, TICK_INTERVAL_MILLIS);
+        node.control().every(this::report, REPORT_INTERVAL_MILLIS);
     }
 
     /** {@inheritDoc} */
     @Override
-    public boolean available(UpstreamState decode) {
+    public boolean isAvailable(UpstreamState decode) {
         return holding(decode.declaration().id()).mFree > 0;
     }
 
     /** {@inheritDoc} */
     @Override
-    public void take(UpstreamState decode) {
+    public void acquire(UpstreamState decode) {
         Holding holding = holding(decode.declaration().id());
         holding.mFree--;
         holding.mUsed++;
@@ -214,7 +214,7 @@
 
     /** {@inheritDoc} */
     @Override
-    public void giveBack(UpstreamState decode) {
+    public void release(UpstreamState decode) {
         Holding holding = holding(decode.declaration().id());
         holding.mUsed--;
         if (holding.mFree == 0) {
@@ -225,20 +225,20 @@
 
     /** {@inheritDoc} */
     @Override
-    public void refusedBy(UpstreamState decode) {
+    public void onRefusal(UpstreamState decode) {
         mNode.count("permits.refused-by-engine");
     }
 
     /** {@inheritDoc} */
     @Override
-    public void wanted(Iterable<UpstreamState> decodes, int waiting) {
+    public void requestPermits(Iterable<UpstreamState> decodes, int waiting) {
         int engines = 0;
         for (UpstreamState ignored : decodes) {
             engines++;
         }
         int each = Math.max(1, (waiting + engines - 1) / engines);
         for (UpstreamState decode : decodes) {
-            ask(decode.declaration().id(), each);
+            requestUnlessPending(decode.declaration().id(), each);
         }
     }
 
@@ -248,15 +248,15 @@
      * @param engine the engine
      * @param count how many
      */
-    private void ask(UpstreamId engine, int count) {
+    private void requestUnlessPending(UpstreamId engine, int count) {
         Holding holding = holding(engine);
         long now = now();
-        if (holding.mAsked && now - holding.mAskedAt < ASKED_NANOS) {
+        if (holding.mRequestPending && now - holding.mRequestedAt < REQUEST_TIMEOUT_NANOS) {
             return;
         }
-        holding.mAsked = true;
-        holding.mAskedAt = now;
-        tell(engine, holding, count);
+        holding.mRequestPending = true;
+        holding.mRequestedAt = now;
+        sendAsk(engine, holding, count);
     }
 
     /**
@@ -266,7 +266,7 @@
      * @param holding what is held
      * @param wanted how many more are wanted
      */
-    private void tell(UpstreamId engine, Holding holding, int wanted) {
+    private void sendAsk(UpstreamId engine, Holding holding, int wanted) {
         Incarnation coordinator = coordinator(engine);
         PeerMessage.PermitAsk ask =
                 new PeerMessage.PermitAsk(
@@ -290,12 +290,12 @@
         if (allocation == null) {
             return;
         }
-        allocation.holds(from, ask.held(), ask.received());
-        allocation.mWishes.remove(from);
+        allocation.recordHolding(from, ask.held(), ask.received());
+        allocation.mRequests.remove(from);
         if (ask.wanted() > 0) {
-            allocation.mWishes.put(from, new Wish(ask.wanted(), now()));
+            allocation.mRequests.put(from, new PermitRequest(ask.wanted(), now()));
         }
-        serve(engine, allocation);
+        grantFree(engine, allocation);
     }
 
     /**
@@ -307,7 +307,7 @@
     public void onReport(Incarnation from, PeerMessage.PermitReport report) {
         Allocation allocation = allocation(new UpstreamId(report.engine()));
         if (allocation != null) {
-            allocation.holds(from, report.held(), report.received());
+            allocation.recordHolding(from, report.held(), report.received());
         }
     }
 
@@ -318,27 +318,27 @@
      * @param engine the engine
      * @param allocation what is given
      */
-    private void serve(UpstreamId engine, Allocation allocation) {
+    private void grantFree(UpstreamId engine, Allocation allocation) {
         UpstreamState state = mUpstreamRegistry.get(engine);
         long now = now();
-        if (state == null || now - allocation.mSince < LISTEN_NANOS) {
+        if (state == null || now - allocation.mCoordinatorSince < STARTUP_DELAY_NANOS) {
             return;
         }
-        allocation.mWishes.values().removeIf(wish -> now - wish.at() > WISH_NANOS);
-        int free = state.declaration().slots() - allocation.out();
-        while (free > 0 && !allocation.mWishes.isEmpty()) {
-            Incarnation first = allocation.mWishes.keySet().iterator().next();
-            Wish wish = allocation.mWishes.remove(first);
-            int fair = Math.max(1, free / (allocation.mWishes.size() + 1));
-            int given = Math.min(wish.count(), fair);
-            free -= given;
-            allocation.mHeld.merge(first, given, Integer::sum);
-            allocation.mGiven.merge(first, (long) given, Long::sum);
-            give(first, new PeerMessage.PermitGrant(engine.value(), given));
+        allocation.mRequests.values().removeIf(request -> now - request.at() > REQUEST_TTL_NANOS);
+        int free = state.declaration().slots() - allocation.totalHeld();
+        while (free > 0 && !allocation.mRequests.isEmpty()) {
+            Incarnation first = allocation.mRequests.keySet().iterator().next();
+            PermitRequest request = allocation.mRequests.remove(first);
+            int fairShare = Math.max(1, free / (allocation.mRequests.size() + 1));
+            int granted = Math.min(request.count(), fairShare);
+            free -= granted;
+            allocation.mHeld.merge(first, granted, Integer::sum);
+            allocation.mGranted.merge(first, (long) granted, Long::sum);
+            sendGrant(first, new PeerMessage.PermitGrant(engine.value(), granted));
         }
-        if (!allocation.mWishes.isEmpty()) {
+        if (!allocation.mRequests.isEmpty()) {
             allocation.mHeld.keySet().stream()
-                    .filter(holder -> !allocation.mWishes.containsKey(holder))
+                    .filter(holder -> !allocation.mRequests.containsKey(holder))
                     .filter(holder -> !holder.equals(self()))
                     .forEach(
                             holder ->
@@ -354,7 +354,7 @@
      * @param to the router
      * @param grant the permits
      */
-    private void give(Incarnation to, PeerMessage.PermitGrant grant) {
+    private void sendGrant(Incarnation to, PeerMessage.PermitGrant grant) {
         mNode.count("permits.granted");
         if (to.equals(self())) {
             onGrant(self(), grant);
@@ -372,13 +372,13 @@
     public void onGrant(Incarnation from, PeerMessage.PermitGrant grant) {
         Holding holding = holding(new UpstreamId(grant.engine()));
         holding.mReceived = holding.received(from) + grant.count();
-        holding.mGiver = from;
+        holding.mGrantor = from;
         if (holding.mFree == 0) {
             holding.mIdleSince = now();
         }
-        holding.mAsked = false;
+        holding.mRequestPending = false;
         holding.mFree += grant.count();
-        mPump.run();
+        mOnPermits.run();
     }
 
     /**
@@ -390,7 +390,7 @@
         Holding holding = holding(engine);
         if (holding.mFree > 0) {
             holding.mFree = 0;
-            tell(engine, holding, 0);
+            sendAsk(engine, holding, 0);
         }
     }
 
@@ -400,7 +400,7 @@
      * @param engine the engine
      * @return used and free
      */
-    public int held(UpstreamId engine) {
+    public int heldPermits(UpstreamId engine) {
         return holding(engine).held();
     }
 
@@ -425,19 +425,19 @@
         List<Member> members = mMembership.serving();
         if (!members.equals(mMembers)) {
             mMembers = members;
-            mAllocations.keySet().removeIf(engine -> !looksAfter(engine));
+            mAllocations.keySet().removeIf(engine -> !isCoordinator(engine));
         }
         long now = now();
         mHoldings.forEach(
                 (engine, holding) -> {
-                    if (holding.mFree > 0 && now - holding.mIdleSince > IDLE_NANOS) {
+                    if (holding.mFree > 0 && now - holding.mIdleSince > IDLE_TIMEOUT_NANOS) {
                         returnIdle(engine);
                     }
                 });
         mAllocations.forEach(
                 (engine, allocation) -> {
                     allocation.mHeld.keySet().removeIf(mMembership::isGone);
-                    serve(engine, allocation);
+                    grantFree(engine, allocation);
                 });
     }
 
@@ -448,7 +448,7 @@
      * @return the allocation, or null where another router looks after the engine
      */
     private Allocation allocation(UpstreamId engine) {
-        if (!looksAfter(engine)) {
+        if (!isCoordinator(engine)) {
             return null;
         }
         return mAllocations.computeIfAbsent(engine, id -> new Allocation(now()));
@@ -473,7 +473,7 @@
      * @param engine the engine
      * @return whether it is the engine's coordinator
      */
-    private boolean looksAfter(UpstreamId engine) {
+    private boolean isCoordinator(UpstreamId engine) {
         return coordinator(engine).equals(self());
     }
 
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/admission/DecodePermits.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/admission/DecodePermits.java
@@ -17,30 +17,30 @@
      * Returns whether a slot could be taken now.
      *
      * @param decode the engine
-     * @return whether {@link #take} may be called
+     * @return whether {@link #acquire} may be called
      */
-    boolean available(UpstreamState decode);
+    boolean isAvailable(UpstreamState decode);
 
     /**
      * Takes a slot.
      *
      * @param decode the engine
      */
-    void take(UpstreamState decode);
+    void acquire(UpstreamState decode);
 
     /**
      * Gives a slot back.
      *
      * @param decode the engine
      */
-    void giveBack(UpstreamState decode);
+    void release(UpstreamState decode);
 
     /**
      * Takes note that an engine had no room after all.
      *
      * @param decode the engine
      */
-    void refusedBy(UpstreamState decode);
+    void onRefusal(UpstreamState decode);
 
     /**
      * Takes note that a request waits for any of these engines.
@@ -48,7 +48,7 @@
      * @param decodes the engines
      * @param waiting how many requests wait
      */
-    void wanted(Iterable<UpstreamState> decodes, int waiting);
+    void requestPermits(Iterable<UpstreamState> decodes, int waiting);
 
     /** Reserves nothing: a baseline. */
     enum Unlimited implements DecodePermits {
@@ -57,31 +57,31 @@
 
         /** {@inheritDoc} */
         @Override
-        public boolean available(UpstreamState decode) {
+        public boolean isAvailable(UpstreamState decode) {
             return true;
         }
 
         /** {@inheritDoc} */
         @Override
-        public void take(UpstreamState decode) {
+        public void acquire(UpstreamState decode) {
             // nothing is reserved
         }
 
         /** {@inheritDoc} */
         @Override
-        public void giveBack(UpstreamState decode) {
+        public void release(UpstreamState decode) {
             // nothing is reserved
         }
 
         /** {@inheritDoc} */
         @Override
-        public void refusedBy(UpstreamState decode) {
+        public void onRefusal(UpstreamState decode) {
             // nothing is learned
         }
 
         /** {@inheritDoc} */
         @Override
-        public void wanted(Iterable<UpstreamState> decodes, int waiting) {
+        public void requestPermits(Iterable<UpstreamState> decodes, int waiting) {
             // nothing is asked for
         }
     }
@@ -90,48 +90,48 @@
     final class ForStaticDivision implements DecodePermits {
 
         /** How many routers there are. */
-        private final IntSupplier mRouters;
+        private final IntSupplier mRouterCount;
 
         /** How many slots of each engine this router has taken. */
-        private final Map<UpstreamId, Integer> mTaken = new HashMap<>();
+        private final Map<UpstreamId, Integer> mAcquired = new HashMap<>();
 
         /**
          * Creates permits.
          *
          * @param routers how many routers there are
          */
-        public ForStaticDivision(IntSupplier routers) {
-            mRouters = routers;
+        public ForStaticDivision(IntSupplier routerCount) {
+            mRouterCount = routerCount;
         }
 
         /** {@inheritDoc} */
         @Override
-        public boolean available(UpstreamState decode) {
-            int part = decode.declaration().slots() / Math.max(1, mRouters.getAsInt());
-            return mTaken.getOrDefault(decode.declaration().id(), 0) < Math.max(1, part);
+        public boolean isAvailable(UpstreamState decode) {
+            int share = decode.declaration().slots() / Math.max(1, mRouterCount.getAsInt());
+            return mAcquired.getOrDefault(decode.declaration().id(), 0) < Math.max(1, share);
         }
 
         /** {@inheritDoc} */
         @Override
-        public void take(UpstreamState decode) {
-            mTaken.merge(decode.declaration().id(), 1, Integer::sum);
+        public void acquire(UpstreamState decode) {
+            mAcquired.merge(decode.declaration().id(), 1, Integer::sum);
         }
 
         /** {@inheritDoc} */
         @Override
-        public void giveBack(UpstreamState decode) {
-            mTaken.merge(decode.declaration().id(), -1, Integer::sum);
+        public void release(UpstreamState decode) {
+            mAcquired.merge(decode.declaration().id(), -1, Integer::sum);
         }
 
         /** {@inheritDoc} */
         @Override
-        public void refusedBy(UpstreamState decode) {
+        public void onRefusal(UpstreamState decode) {
             // the division stays as it is
         }
 
         /** {@inheritDoc} */
         @Override
-        public void wanted(Iterable<UpstreamState> decodes, int waiting) {
+        public void requestPermits(Iterable<UpstreamState> decodes, int waiting) {
             // the division stays as it is
         }
     }
@@ -141,31 +141,31 @@
 
         /** {@inheritDoc} */
         @Override
-        public boolean available(UpstreamState decode) {
+        public boolean isAvailable(UpstreamState decode) {
             return decode.estimatedRunning() < decode.declaration().slots();
         }
 
         /** {@inheritDoc} */
         @Override
-        public void take(UpstreamState decode) {
+        public void acquire(UpstreamState decode) {
             // the count of this router's own requests moves with the request
         }
 
         /** {@inheritDoc} */
         @Override
-        public void giveBack(UpstreamState decode) {
+        public void release(UpstreamState decode) {
             // the count of this router's own requests moves with the request
         }
 
         /** {@inheritDoc} */
         @Override
-        public void refusedBy(UpstreamState decode) {
+        public void onRefusal(UpstreamState decode) {
             decode.recordLoad(Math.max(decode.declaration().slots(), decode.reportedRunning()), 0);
         }
 
         /** {@inheritDoc} */
         @Override
-        public void wanted(Iterable<UpstreamState> decodes, int waiting) {
+        public void requestPermits(Iterable<UpstreamState> decodes, int waiting) {
             // the load comes by itself
         }
     }
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/admission/FairQueue.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/admission/FairQueue.java
@@ -20,13 +20,13 @@
 public final class FairQueue<T> {
 
     /** What waits, by partner. */
-    private final Map<PartnerId, Lane<T>> mLanes = new HashMap<>();
+    private final Map<PartnerId, Flow<T>> mFlows = new HashMap<>();
 
     /** The virtual time of the partner served last. */
     private double mVirtualTime;
 
     /** Breaks ties between equal deadlines by arrival. */
-    private long mArrivals;
+    private long mNextSequence;
 
     /** How many wait in all. */
     private int mSize;
@@ -40,23 +40,23 @@
      * @param cost how much of its partner's share it takes
      * @param <T> what waits
      */
-    private record Waiting<T>(T item, long deadline, long arrival, double cost) {}
+    private record Entry<T>(T item, long deadline, long sequence, double cost) {}
 
     /**
      * One partner's queue.
      *
      * @param <T> what waits
      */
-    private static final class Lane<T> {
+    private static final class Flow<T> {
 
         /** What waits, earliest deadline first. */
-        private final PriorityQueue<Waiting<T>> mWaiting =
+        private final PriorityQueue<Entry<T>> mEntries =
                 new PriorityQueue<>(
-                        Comparator.<Waiting<T>>comparingLong(Waiting::deadline)
-                                .thenComparingLong(Waiting::arrival));
+                        Comparator.<Entry<T>>comparingLong(Entry::deadline)
+                                .thenComparingLong(Entry::sequence));
 
         /** How much the partner has been served, divided by its weight. */
-        private double mServed;
+        private double mNormalizedService;
     }
 
     /**
@@ -68,11 +68,11 @@
      * @param cost how much of the partner's share it takes
      */
     public void add(PartnerId partner, T item, long deadline, double cost) {
-        Lane<T> lane = mLanes.computeIfAbsent(partner, id -> new Lane<>());
-        if (lane.mWaiting.isEmpty()) {
-            lane.mServed = Math.max(lane.mServed, mVirtualTime);
+        Flow<T> flow = mFlows.computeIfAbsent(partner, id -> new Flow<>());
+        if (flow.mEntries.isEmpty()) {
+            flow.mNormalizedService = Math.max(flow.mNormalizedService, mVirtualTime);
         }
-        lane.mWaiting.add(new Waiting<>(item, deadline, mArrivals++, cost));
+        flow.mEntries.add(new Entry<>(item, deadline, mNextSequence++, cost));
         mSize++;
     }
 
@@ -82,7 +82,7 @@
      * @return the next, or empty where none waits
      */
     public Optional<T> peek() {
-        return next().map(lane -> lane.mWaiting.peek().item());
+        return nextFlow().map(flow -> flow.mEntries.peek().item());
     }
 
     /**
@@ -92,10 +92,10 @@
      * @param cost how much of its share was taken
      * @param weight the weight of each partner
      */
-    public void charge(PartnerId partner, double cost, Weights weight) {
-        Lane<T> lane = mLanes.computeIfAbsent(partner, id -> new Lane<>());
-        mVirtualTime = Math.max(mVirtualTime, lane.mServed);
-        lane.mServed += cost / weight.of(partner);
+    public void charge(PartnerId partner, double cost, Weights weights) {
+        Flow<T> flow = mFlows.computeIfAbsent(partner, id -> new Flow<>());
+        mVirtualTime = Math.max(mVirtualTime, flow.mNormalizedService);
+        flow.mNormalizedService += cost / weights.weight(partner);
     }
 
     /**
@@ -104,14 +104,14 @@
      * @param weight the weight of each partner
      * @return the next, or empty where none waits
      */
-    public Optional<T> poll(Weights weight) {
-        Optional<Map.Entry<PartnerId, Lane<T>>> next = nextEntry();
+    public Optional<T> poll(Weights weights) {
+        Optional<Map.Entry<PartnerId, Flow<T>>> next = nextEntry();
         if (next.isEmpty()) {
             return Optional.empty();
         }
-        Waiting<T> first = next.get().getValue().mWaiting.poll();
+        Entry<T> first = next.get().getValue().mEntries.poll();
         mSize--;
-        charge(next.get().getKey(), first.cost(), weight);
+        charge(next.get().getKey(), first.cost(), weights);
         return Optional.of(first.item());
     }
 
@@ -122,16 +122,17 @@
      * @param weight the weight of each partner
      * @return all that waited
      */
-    public List<T> drain(Weights weight) {
+    public List<T> drain(Weights weights) {
         List<T> order = new ArrayList<>();
-        Map<PartnerId, Double> served = new HashMap<>();
-        mLanes.forEach((partner, lane) -> served.put(partner, lane.mServed));
-        double before = mVirtualTime;
-        for (Optional<T> next = poll(weight); next.isPresent(); next = poll(weight)) {
+        Map<PartnerId, Double> normalizedService = new HashMap<>();
+        mFlows.forEach((partner, flow) -> normalizedService.put(partner, flow.mNormalizedService));
+        double virtualTime = mVirtualTime;
+        for (Optional<T> next = poll(weights); next.isPresent(); next = poll(weights)) {
             order.add(next.get());
         }
-        mVirtualTime = before;
-        served.forEach((partner, charged) -> mLanes.get(partner).mServed = charged);
+        mVirtualTime = virtualTime;
+        normalizedService.forEach(
+                (partner, service) -> mFlows.get(partner).mNormalizedService = service);
         return order;
     }
 
@@ -140,8 +141,9 @@
      *
      * @param viewer is shown each
      */
-    public void forEach(Consumer<T> viewer) {
-        mLanes.values().forEach(lane -> lane.mWaiting.forEach(one -> viewer.accept(one.item())));
+    public void forEach(Consumer<T> action) {
+        mFlows.values()
+                .forEach(flow -> flow.mEntries.forEach(entry -> action.accept(entry.item())));
     }
 
     /**
@@ -152,8 +154,8 @@
      * @return whether it was there
      */
     public boolean remove(PartnerId partner, T item) {
-        Lane<T> lane = mLanes.get(partner);
-        boolean removed = lane != null && lane.mWaiting.removeIf(waiting -> waiting.item() == item);
+        Flow<T> flow = mFlows.get(partner);
+        boolean removed = flow != null && flow.mEntries.removeIf(entry -> entry.item() == item);
         if (removed) {
             mSize--;
         }
@@ -166,9 +168,9 @@
      * @param partner the partner
      * @return the count
      */
-    public int waiting(PartnerId partner) {
-        Lane<T> lane = mLanes.get(partner);
-        return lane == null ? 0 : lane.mWaiting.size();
+    public int size(PartnerId partner) {
+        Flow<T> flow = mFlows.get(partner);
+        return flow == null ? 0 : flow.mEntries.size();
     }
 
     /**
@@ -185,7 +187,7 @@
      *
      * @return the lane, or empty where none waits
      */
-    private Optional<Lane<T>> next() {
+    private Optional<Flow<T>> nextFlow() {
         return nextEntry().map(Map.Entry::getValue);
     }
 
@@ -194,12 +196,12 @@
      *
      * @return the partner and its lane, or empty where none waits
      */
-    private Optional<Map.Entry<PartnerId, Lane<T>>> nextEntry() {
-        return mLanes.entrySet().stream()
-                .filter(entry -> !entry.getValue().mWaiting.isEmpty())
+    private Optional<Map.Entry<PartnerId, Flow<T>>> nextEntry() {
+        return mFlows.entrySet().stream()
+                .filter(entry -> !entry.getValue().mEntries.isEmpty())
                 .min(
-                        Comparator.<Map.Entry<PartnerId, Lane<T>>>comparingDouble(
-                                        entry -> entry.getValue().mServed)
+                        Comparator.<Map.Entry<PartnerId, Flow<T>>>comparingDouble(
+                                        entry -> entry.getValue().mNormalizedService)
                                 .thenComparing(Map.Entry::getKey));
     }
 
@@ -212,6 +214,6 @@
          * @param partner the partner
          * @return its weight, above 0
          */
-        double of(PartnerId partner);
+        double weight(PartnerId partner);
     }
 }
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/admission/Grant.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/admission/Grant.java
@@ -16,25 +16,25 @@
     private final UpstreamState mMain;
 
     /** The prefill engine's declaration when this was granted, or null. */
-    private final UpstreamDeclaration mPrefillDeclared;
+    private final UpstreamDeclaration mPrefillDeclaration;
 
     /** The main upstream's declaration when this was granted. */
-    private final UpstreamDeclaration mMainDeclared;
+    private final UpstreamDeclaration mMainDeclaration;
 
     /** How many tokens the prefill is expected to compute. */
     private final long mUncachedTokens;
 
     /** How many tokens waited before it when this was granted. */
-    private final long mTokensBefore;
+    private final long mQueuedTokens;
 
     /** When this was granted. */
     private final long mGrantedNanos;
 
     /** Whether the prefill half was given back. */
-    private boolean mPrefillLeft;
+    private boolean mPrefillReleased;
 
     /** Whether the main half was given back. */
-    private boolean mMainLeft;
+    private boolean mMainReleased;
 
     /**
      * Creates a grant.
@@ -47,12 +47,12 @@
     Grant(UpstreamState prefill, UpstreamState main, long uncachedTokens, long grantedNanos) {
         mPrefill = prefill;
         mMain = main;
-        mPrefillDeclared = prefill == null ? null : prefill.declaration();
-        mMainDeclared = main.declaration();
+        mPrefillDeclaration = prefill == null ? null : prefill.declaration();
+        mMainDeclaration = main.declaration();
         mUncachedTokens = uncachedTokens;
-        mTokensBefore = prefill == null ? 0 : prefill.guessedTokens();
+        mQueuedTokens = prefill == null ? 0 : prefill.estimatedTokens();
         mGrantedNanos = grantedNanos;
-        mPrefillLeft = prefill == null;
+        mPrefillReleased = prefill == null;
     }
 
     /**
@@ -61,7 +61,7 @@
      * @return its declaration, null for a plain service
      */
     public UpstreamDeclaration prefill() {
-        return mPrefillDeclared;
+        return mPrefillDeclaration;
     }
 
     /**
@@ -70,7 +70,7 @@
      * @return its declaration
      */
     public UpstreamDeclaration main() {
-        return mMainDeclared;
+        return mMainDeclaration;
     }
 
     /**
@@ -105,8 +105,8 @@
      *
      * @return tokens, those that waited included
      */
-    long tokensToDone() {
-        return mTokensBefore + mUncachedTokens;
+    long tokensUntilDone() {
+        return mQueuedTokens + mUncachedTokens;
     }
 
     /**
@@ -123,9 +123,9 @@
      *
      * @return whether it was not given back before
      */
-    boolean leavePrefill() {
-        boolean first = !mPrefillLeft;
-        mPrefillLeft = true;
+    boolean releasePrefill() {
+        boolean first = !mPrefillReleased;
+        mPrefillReleased = true;
         return first;
     }
 
@@ -134,9 +134,9 @@
      *
      * @return whether it was not given back before
      */
-    boolean leaveMain() {
-        boolean first = !mMainLeft;
-        mMainLeft = true;
+    boolean releaseMain() {
+        boolean first = !mMainReleased;
+        mMainReleased = true;
         return first;
     }
 }
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/admission/Ticket.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/admission/Ticket.java
@@ -20,32 +20,32 @@
  */
 public record Ticket(
         RequestId request,
-        ClassDeclaration declared,
+        ClassDeclaration requestClass,
         List<Long> blocks,
         int promptTokens,
         long arrivalNanos,
-        Set<UpstreamId> avoid,
-        Answer answer) {
+        Set<UpstreamId> failedUpstreams,
+        Listener listener) {
 
     /** Nanoseconds in a millisecond. */
     private static final long NANOS_PER_MILLI = 1_000_000L;
 
     /** Receives what was decided; both are called on the control thread, one of them once. */
-    public interface Answer {
+    public interface Listener {
 
         /**
          * Called when the request may start.
          *
          * @param grant what it may use; must be ended once
          */
-        void granted(Grant grant);
+        void onGranted(Grant grant);
 
         /**
          * Called when the request may not start.
          *
          * @param why the code and the detail
          */
-        void refused(TroutpierException why);
+        void onRefused(TroutpierException reason);
     }
 
     /**
@@ -54,7 +54,10 @@
      * @return nanoseconds by the monotonic clock; the deadline where there is no target
      */
     public long dueNanos() {
-        int millis = declared.hasTarget() ? declared.firstTokenMillis() : declared.deadlineMillis();
+        int millis =
+                requestClass.hasTarget()
+                        ? requestClass.firstTokenMillis()
+                        : requestClass.deadlineMillis();
         return arrivalNanos + millis * NANOS_PER_MILLI;
     }
 }
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/claim/ClaimOutcome.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/claim/ClaimOutcome.java
@@ -28,7 +28,7 @@
     record Refused(ResultCode code, String detail) implements ClaimOutcome {}
 
     /** The table is away and nothing of this request stands in it for certain. */
-    enum TableAway implements ClaimOutcome {
+    enum TableUnavailable implements ClaimOutcome {
         /** The only instance. */
         INSTANCE
     }
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/claim/ClaimRow.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/claim/ClaimRow.java
@@ -49,8 +49,8 @@
      *
      * @return a new row
      */
-    public ClaimRow released() {
-        return settled(State.RELEASED, null, null, null);
+    public ClaimRow asReleased() {
+        return withState(State.RELEASED, null, null, null);
     }
 
     /**
@@ -59,8 +59,8 @@
      * @param answer the answer's bytes
      * @return a new row
      */
-    public ClaimRow answeredInline(byte[] answer) {
-        return settled(State.ANSWERED, Base64.getEncoder().encodeToString(answer), null, null);
+    public ClaimRow asAnsweredInline(byte[] answer) {
+        return withState(State.ANSWERED, Base64.getEncoder().encodeToString(answer), null, null);
     }
 
     /**
@@ -69,8 +69,8 @@
      * @param object the object's key, or null where the answer is not kept
      * @return a new row
      */
-    public ClaimRow answered(String object) {
-        return settled(State.ANSWERED, null, object, null);
+    public ClaimRow asAnswered(String object) {
+        return withState(State.ANSWERED, null, object, null);
     }
 
     /**
@@ -79,8 +79,8 @@
      * @param code the result code's name
      * @return a new row
      */
-    public ClaimRow ended(String code) {
-        return settled(State.ENDED, null, null, code);
+    public ClaimRow asEnded(String code) {
+        return withState(State.ENDED, null, null, code);
     }
 
     /**
@@ -92,7 +92,7 @@
      * @param code how it ended, or null
      * @return a new row
      */
-    private ClaimRow settled(State newState, String inline, String object, String code) {
+    private ClaimRow withState(State newState, String inline, String object, String code) {
         return new ClaimRow(
                 newState,
                 holder,
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/claim/ClaimRules.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/claim/ClaimRules.java
@@ -26,7 +26,7 @@
         /** Say that its holder is gone and nothing is known. */
         HOLDER_GONE,
         /** Say how it ended. */
-        TELL_END,
+        REPORT_END,
         /** Say that the key was used for another request. */
         KEY_REUSED
     }
@@ -44,7 +44,7 @@
     public static Decision decide(
             ClaimRow row,
             String fingerprint,
-            ClassDeclaration declared,
+            ClassDeclaration requestClass,
             boolean holderGone,
             long wallMillis) {
         if (!row.fingerprint().equals(fingerprint)) {
@@ -53,8 +53,8 @@
         return switch (row.state()) {
             case ANSWERED -> Decision.REPLAY;
             case RELEASED -> Decision.TAKE_OVER;
-            case ENDED -> declared.repeatable() ? Decision.TAKE_OVER : Decision.TELL_END;
-            case RUNNING -> running(row, declared, holderGone, wallMillis);
+            case ENDED -> requestClass.repeatable() ? Decision.TAKE_OVER : Decision.REPORT_END;
+            case RUNNING -> decideRunning(row, requestClass, holderGone, wallMillis);
         };
     }
 
@@ -67,16 +67,16 @@
      * @param wallMillis the wall clock
      * @return what to do
      */
-    private static Decision running(
-            ClaimRow row, ClassDeclaration declared, boolean holderGone, long wallMillis) {
-        boolean leaseOver = wallMillis > row.leaseEndMillis() + CLOCK_MARGIN_MILLIS;
-        if (!holderGone && !leaseOver) {
+    private static Decision decideRunning(
+            ClaimRow row, ClassDeclaration requestClass, boolean holderGone, long wallMillis) {
+        boolean leaseExpired = wallMillis > row.leaseEndMillis() + CLOCK_MARGIN_MILLIS;
+        if (!holderGone && !leaseExpired) {
             return Decision.RUNNING;
         }
-        if (!declared.repeatable()) {
+        if (!requestClass.repeatable()) {
             return Decision.HOLDER_GONE;
         }
-        boolean fencedByCommit = declared.answerCommit() == AnswerCommit.BEFORE_END_MARK;
-        return fencedByCommit || leaseOver ? Decision.TAKE_OVER : Decision.RUNNING;
+        boolean fencedByCommit = requestClass.answerCommit() == AnswerCommit.BEFORE_END_MARK;
+        return fencedByCommit || leaseExpired ? Decision.TAKE_OVER : Decision.RUNNING;
     }
 }
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/claim/ClaimSettling.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/claim/ClaimSettler.java
@@ -7,7 +7,7 @@
 import java.util.function.Function;
 import java.util.function.LongSupplier;
 import org.troutpier.common.http.Json;
-import org.troutpier.daemon.claim.ClaimStore.Settled;
+import org.troutpier.daemon.claim.ClaimStore.SettlementResult;
 import org.troutpier.daemon.node.Node;
 import org.troutpier.daemon.objectstore.ObjectStore;
 import org.troutpier.daemon.table.Table;
@@ -18,16 +18,16 @@
  * table does not say whether it was written. Thread safe. Invariants: only a row of the claim's own
  * epoch is replaced; a claim of unknown fate is given up until its row says so or has expired.
  */
-final class ClaimSettling {
+final class ClaimSettler {
 
     /** The largest answer that is kept in the row itself, bytes. */
-    private static final int INLINE_BYTES = 4096;
+    private static final int MAX_INLINE_BYTES = 4096;
 
     /** The largest answer that goes into the row when the object store is away, bytes. */
-    private static final int FALLBACK_BYTES = 65_536;
+    private static final int MAX_FALLBACK_INLINE_BYTES = 65_536;
 
     /** How often a write whose fate is unknown is settled again, milliseconds. */
-    private static final long SETTLE_MILLIS = 300;
+    private static final long SETTLE_RETRY_MILLIS = 300;
 
     /** The router's identity, threads, clock and metrics. */
     private final Node mNode;
@@ -42,7 +42,7 @@
     private final LongSupplier mWallMillis;
 
     /** Takes the claims that are over. */
-    private final Consumer<Claim> mForget;
+    private final Consumer<Claim> mOnDone;
 
     /**
      * Creates a part that settles claims.
@@ -53,47 +53,47 @@
      * @param wallMillis the wall clock
      * @param forget takes the claims that are over; thread safe
      */
-    ClaimSettling(
+    ClaimSettler(
             Node node,
             Table table,
             ObjectStore objects,
             LongSupplier wallMillis,
-            Consumer<Claim> forget) {
+            Consumer<Claim> onDone) {
         mNode = node;
         mTable = table;
         mObjects = objects;
         mWallMillis = wallMillis;
-        mForget = forget;
+        mOnDone = onDone;
     }
 
     /**
      * Records that a request was answered. The end mark of the answer may be sent once this says
-     * {@link Settled#DONE}.
+     * {@link SettlementResult#DONE}.
      *
      * @param claim the claim
      * @param answer the answer to keep, or empty where it is too large
      * @return what came of it; never fails
      */
-    CompletableFuture<Settled> answered(Claim claim, Optional<StoredAnswer> answer) {
+    CompletableFuture<SettlementResult> recordAnswer(Claim claim, Optional<StoredAnswer> answer) {
         if (answer.isEmpty()) {
-            return settle(claim, row -> row.answered(null));
+            return settle(claim, row -> row.asAnswered(null));
         }
-        byte[] bytes = answer.get().bytes();
-        if (bytes.length <= INLINE_BYTES) {
-            return settle(claim, row -> row.answeredInline(bytes));
+        byte[] bytes = answer.get().encode();
+        if (bytes.length <= MAX_INLINE_BYTES) {
+            return settle(claim, row -> row.asAnsweredInline(bytes));
         }
         String object = claim.key() + "/" + claim.row().epoch();
         return mObjects.write(object, bytes)
                 .thenCompose(
                         written -> {
                             if (written) {
-                                return settle(claim, row -> row.answered(object));
+                                return settle(claim, row -> row.asAnswered(object));
                             }
-                            if (bytes.length <= FALLBACK_BYTES) {
+                            if (bytes.length <= MAX_FALLBACK_INLINE_BYTES) {
                                 mNode.count("claim.answer-kept-in-row");
-                                return settle(claim, row -> row.answeredInline(bytes));
+                                return settle(claim, row -> row.asAnsweredInline(bytes));
                             }
-                            return CompletableFuture.completedFuture(Settled.UNKNOWN);
+                            return CompletableFuture.completedFuture(SettlementResult.UNKNOWN);
                         });
     }
 
@@ -103,10 +103,14 @@
      * @param claim the claim
      * @param answer the answer to keep, or empty where it is too large
      */
-    void answeredInBackground(Claim claim, Optional<StoredAnswer> answer) {
-        answered(claim, answer)
+    void recordAnswerInBackground(Claim claim, Optional<StoredAnswer> answer) {
+        recordAnswer(claim, answer)
                 .thenAccept(
-                        settled -> goOn(claim, settled, () -> answeredInBackground(claim, answer)));
+                        settled ->
+                                retryIfUnknown(
+                                        claim,
+                                        settled,
+                                        () -> recordAnswerInBackground(claim, answer)));
     }
 
     /**
@@ -116,18 +120,19 @@
      * @param change what to make of the row
      * @return what came of it
      */
-    private CompletableFuture<Settled> settle(Claim claim, Function<ClaimRow, ClaimRow> change) {
+    private CompletableFuture<SettlementResult> settle(
+            Claim claim, Function<ClaimRow, ClaimRow> change) {
         ClaimRow next = change.apply(claim.row());
         return mTable.replace(claim.key(), claim.tag(), Table.toJson(next))
                 .thenCompose(
                         write ->
                                 write.outcome() == Outcome.WRITTEN
-                                        ? CompletableFuture.completedFuture(Settled.DONE)
-                                        : readSettled(claim, next, write.outcome()))
+                                        ? CompletableFuture.completedFuture(SettlementResult.DONE)
+                                        : readBack(claim, next, write.outcome()))
                 .whenComplete(
                         (settled, failure) -> {
-                            if (settled != Settled.UNKNOWN) {
-                                mForget.accept(claim);
+                            if (settled != SettlementResult.UNKNOWN) {
+                                mOnDone.accept(claim);
                             }
                         });
     }
@@ -140,21 +145,22 @@
      * @param outcome what is known of the write
      * @return what came of it
      */
-    private CompletableFuture<Settled> readSettled(Claim claim, ClaimRow next, Outcome outcome) {
+    private CompletableFuture<SettlementResult> readBack(
+            Claim claim, ClaimRow next, Outcome outcome) {
         return mTable.read(claim.key())
                 .handle(
                         (row, failure) -> {
                             if (failure != null) {
-                                return Settled.UNKNOWN;
+                                return SettlementResult.UNKNOWN;
                             }
-                            if (row.isEmpty() || !mine(row.get(), claim)) {
-                                return Settled.SUPERSEDED;
+                            if (row.isEmpty() || !isOwnAttempt(row.get(), claim)) {
+                                return SettlementResult.SUPERSEDED;
                             }
-                            boolean same = parse(row.get().value()).state() == next.state();
-                            if (!same && outcome == Outcome.CONFLICT) {
-                                return Settled.SUPERSEDED;
+                            boolean asIntended = parse(row.get().value()).state() == next.state();
+                            if (!asIntended && outcome == Outcome.CONFLICT) {
+                                return SettlementResult.SUPERSEDED;
                             }
-                            return same ? Settled.DONE : Settled.UNKNOWN;
+                            return asIntended ? SettlementResult.DONE : SettlementResult.UNKNOWN;
                         });
     }
 
@@ -164,9 +170,12 @@
      * @param claim the claim
      * @param change what to make of the row
      */
-    void inBackground(Claim claim, Function<ClaimRow, ClaimRow> change) {
+    void settleInBackground(Claim claim, Function<ClaimRow, ClaimRow> change) {
         settle(claim, change)
-                .thenAccept(settled -> goOn(claim, settled, () -> inBackground(claim, change)));
+                .thenAccept(
+                        settled ->
+                                retryIfUnknown(
+                                        claim, settled, () -> settleInBackground(claim, change)));
     }
 
     /**
@@ -176,11 +185,11 @@
      * @param settled what is known
      * @param again settles it again
      */
-    private void goOn(Claim claim, Settled settled, Runnable again) {
-        if (settled == Settled.UNKNOWN && worthSettling(claim)) {
-            mNode.control().later(again, SETTLE_MILLIS);
+    private void retryIfUnknown(Claim claim, SettlementResult settled, Runnable retry) {
+        if (settled == SettlementResult.UNKNOWN && isUnexpired(claim)) {
+            mNode.control().later(retry, SETTLE_RETRY_MILLIS);
         } else {
-            mForget.accept(claim);
+            mOnDone.accept(claim);
         }
     }
 
@@ -190,9 +199,9 @@
      *
      * @param wished the claim as it was meant
      */
-    void giveUpLater(Claim wished) {
-        mForget.accept(wished);
-        mNode.control().later(() -> giveUp(wished), SETTLE_MILLIS);
+    void abandonLater(Claim intended) {
+        mOnDone.accept(intended);
+        mNode.control().later(() -> abandon(intended), SETTLE_RETRY_MILLIS);
     }
 
     /**
@@ -200,20 +209,20 @@
      *
      * @param wished the claim as it was meant
      */
-    private void giveUp(Claim wished) {
-        JsonNode released = Table.toJson(wished.row().released());
-        mTable.insert(wished.key(), released)
+    private void abandon(Claim intended) {
+        JsonNode released = Table.toJson(intended.row().asReleased());
+        mTable.insert(intended.key(), released)
                 .thenCompose(
                         write ->
                                 write.outcome() == Outcome.CONFLICT
-                                        ? releaseIfMine(wished, released)
+                                        ? releaseIfOwnAttempt(intended, released)
                                         : CompletableFuture.completedFuture(
                                                 write.outcome() == Outcome.WRITTEN))
                 .exceptionally(failure -> false)
                 .thenAccept(
                         done -> {
-                            if (!done && worthSettling(wished)) {
-                                giveUpLater(wished);
+                            if (!done && isUnexpired(intended)) {
+                                abandonLater(intended);
                             }
                         });
     }
@@ -225,14 +234,14 @@
      * @param released the row as released
      * @return whether the row is not in the way any more
      */
-    private CompletableFuture<Boolean> releaseIfMine(Claim wished, JsonNode released) {
-        return mTable.read(wished.key())
+    private CompletableFuture<Boolean> releaseIfOwnAttempt(Claim intended, JsonNode released) {
+        return mTable.read(intended.key())
                 .thenCompose(
                         row -> {
-                            if (row.isEmpty() || !mine(row.get(), wished)) {
+                            if (row.isEmpty() || !isOwnAttempt(row.get(), intended)) {
                                 return CompletableFuture.completedFuture(row.isPresent());
                             }
-                            return mTable.replace(wished.key(), row.get().tag(), released)
+                            return mTable.replace(intended.key(), row.get().tag(), released)
                                     .thenApply(write -> write.outcome() == Outcome.WRITTEN);
                         });
     }
@@ -243,7 +252,7 @@
      * @param claim the claim
      * @return whether its row has not expired
      */
-    private boolean worthSettling(Claim claim) {
+    private boolean isUnexpired(Claim claim) {
         return mWallMillis.getAsLong() < claim.row().expiresMillis();
     }
 
@@ -254,7 +263,7 @@
      * @param claim the claim
      * @return whether the attempt is the same
      */
-    static boolean mine(Table.Row row, Claim claim) {
+    static boolean isOwnAttempt(Table.Row row, Claim claim) {
         return parse(row.value()).attempt().equals(claim.row().attempt());
     }
 
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/claim/ClaimStore.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/claim/ClaimStore.java
@@ -29,13 +29,13 @@
     public static final String PREFIX = "claims/";
 
     /** How long a claim row stays beyond its lease at least, milliseconds. */
-    private static final long MILLIS = 1000;
+    private static final long MILLIS_PER_SECOND = 1000;
 
     /** How many characters of a key's hash name its row. */
     private static final int HASH_LENGTH = 40;
 
     /** How many times the same row is tried when others write it too. */
-    private static final int MOST_ROUNDS = 5;
+    private static final int MAX_ROUNDS = 5;
 
     /** The router's identity, threads, clock and metrics. */
     private final Node mNode;
@@ -56,7 +56,7 @@
     private final LongSupplier mWallMillis;
 
     /** Settles claims that are over. */
-    private final ClaimSettling mSettling;
+    private final ClaimSettler mSettler;
 
     /** The attempts of this router that are under way. */
     private final Set<String> mAttempts = ConcurrentHashMap.newKeySet();
@@ -84,11 +84,11 @@
         mMembership = membership;
         mUrl = url;
         mWallMillis = wallMillis;
-        mSettling = new ClaimSettling(node, table, objects, wallMillis, this::forget);
+        mSettler = new ClaimSettler(node, table, objects, wallMillis, this::removeAttempt);
     }
 
     /** What settling a claim came to. */
-    public enum Settled {
+    public enum SettlementResult {
         /** The row says what it should. */
         DONE,
         /** Another router has taken over. */
@@ -105,21 +105,21 @@
      * @param fingerprint the hash of the request
      * @return what came of it; never fails
      */
-    public CompletableFuture<ClaimOutcome> begin(
-            ClassDeclaration declared, String key, String fingerprint) {
-        String rowKey = rowKey(declared.partner(), key);
-        long safeUntil = safeUntil(declared);
-        ClaimRow row = row(declared, fingerprint, 1);
+    public CompletableFuture<ClaimOutcome> acquire(
+            ClassDeclaration requestClass, String key, String fingerprint) {
+        String rowKey = rowKey(requestClass.partner(), key);
+        long safeUntil = safeUntil(requestClass);
+        ClaimRow row = newRow(requestClass, fingerprint, 1);
         mAttempts.add(row.attempt());
         return mTable.insert(rowKey, Table.toJson(row))
                 .thenCompose(
                         write ->
-                                settleBegin(
-                                        declared,
+                                onWriteResult(
+                                        requestClass,
                                         new Claim(rowKey, null, row, safeUntil),
                                         write,
                                         0))
-                .exceptionally(failure -> ClaimOutcome.TableAway.INSTANCE);
+                .exceptionally(failure -> ClaimOutcome.TableUnavailable.INSTANCE);
     }
 
     /**
@@ -141,10 +141,10 @@
      * @param epoch the epoch
      * @return the row
      */
-    private ClaimRow row(ClassDeclaration declared, String fingerprint, long epoch) {
+    private ClaimRow newRow(ClassDeclaration requestClass, String fingerprint, long epoch) {
         long now = mWallMillis.getAsLong();
-        long leaseEnd = now + declared.deadlineMillis();
-        long expires = leaseEnd + declared.keepAnswerSeconds() * MILLIS;
+        long leaseEnd = now + requestClass.deadlineMillis();
+        long expires = leaseEnd + requestClass.keepAnswerSeconds() * MILLIS_PER_SECOND;
         return new ClaimRow(
                 ClaimRow.State.RUNNING,
                 mNode.incarnation(),
@@ -165,9 +165,9 @@
      * @param declared the class
      * @return nanoseconds by the monotonic clock
      */
-    private long safeUntil(ClassDeclaration declared) {
+    private long safeUntil(ClassDeclaration requestClass) {
         final long nanosPerMilli = 1_000_000L;
-        return mNode.nanos().getAsLong() + declared.deadlineMillis() * nanosPerMilli;
+        return mNode.nanos().getAsLong() + requestClass.deadlineMillis() * nanosPerMilli;
     }
 
     /**
@@ -179,22 +179,22 @@
      * @param round how many times the row was tried
      * @return what came of it
      */
-    private CompletableFuture<ClaimOutcome> settleBegin(
-            ClassDeclaration declared, Claim wished, WriteResult write, int round) {
+    private CompletableFuture<ClaimOutcome> onWriteResult(
+            ClassDeclaration requestClass, Claim intended, WriteResult write, int round) {
         return switch (write.outcome()) {
-            case WRITTEN -> CompletableFuture.completedFuture(granted(wished, write.tag()));
+            case WRITTEN -> CompletableFuture.completedFuture(granted(intended, write.tag()));
             case NOT_SENT -> {
-                forget(wished);
-                yield CompletableFuture.completedFuture(ClaimOutcome.TableAway.INSTANCE);
+                removeAttempt(intended);
+                yield CompletableFuture.completedFuture(ClaimOutcome.TableUnavailable.INSTANCE);
             }
-            case CONFLICT -> examine(declared, wished, round);
+            case CONFLICT -> readExisting(requestClass, intended, round);
             case UNKNOWN ->
-                    mTable.read(wished.key())
-                            .thenCompose(row -> readBack(declared, wished, row, round))
+                    mTable.read(intended.key())
+                            .thenCompose(row -> onReadBack(requestClass, intended, row, round))
                             .exceptionally(
                                     failure -> {
-                                        mSettling.giveUpLater(wished);
-                                        return ClaimOutcome.TableAway.INSTANCE;
+                                        mSettler.abandonLater(intended);
+                                        return ClaimOutcome.TableUnavailable.INSTANCE;
                                     });
         };
     }
@@ -208,17 +208,17 @@
      * @param round how many times the row was tried
      * @return what came of it
      */
-    private CompletableFuture<ClaimOutcome> readBack(
-            ClassDeclaration declared, Claim wished, Optional<Table.Row> row, int round) {
-        if (row.isPresent() && ClaimSettling.mine(row.get(), wished)) {
+    private CompletableFuture<ClaimOutcome> onReadBack(
+            ClassDeclaration requestClass, Claim intended, Optional<Table.Row> row, int round) {
+        if (row.isPresent() && ClaimSettler.isOwnAttempt(row.get(), intended)) {
             mNode.count("claim.acknowledgement-recovered");
-            return CompletableFuture.completedFuture(granted(wished, row.get().tag()));
+            return CompletableFuture.completedFuture(granted(intended, row.get().tag()));
         }
         if (row.isPresent()) {
-            return decide(declared, wished, row.get(), round);
+            return decide(requestClass, intended, row.get(), round);
         }
-        mSettling.giveUpLater(wished);
-        return CompletableFuture.completedFuture(ClaimOutcome.TableAway.INSTANCE);
+        mSettler.abandonLater(intended);
+        return CompletableFuture.completedFuture(ClaimOutcome.TableUnavailable.INSTANCE);
     }
 
     /**
@@ -229,15 +229,15 @@
      * @param round how many times the row was tried
      * @return what came of it
      */
-    private CompletableFuture<ClaimOutcome> examine(
-            ClassDeclaration declared, Claim wished, int round) {
-        return mTable.read(wished.key())
+    private CompletableFuture<ClaimOutcome> readExisting(
+            ClassDeclaration requestClass, Claim intended, int round) {
+        return mTable.read(intended.key())
                 .thenCompose(
                         row -> {
                             if (row.isPresent()) {
-                                return decide(declared, wished, row.get(), round);
+                                return decide(requestClass, intended, row.get(), round);
                             }
-                            return retryInsert(declared, wished, round);
+                            return retryInsert(requestClass, intended, round);
                         });
     }
 
@@ -250,12 +250,12 @@
      * @return what came of it
      */
     private CompletableFuture<ClaimOutcome> retryInsert(
-            ClassDeclaration declared, Claim wished, int round) {
-        if (round >= MOST_ROUNDS) {
-            return refused(wished, ResultCode.ALREADY_RUNNING, "the claim changes hands");
+            ClassDeclaration requestClass, Claim intended, int round) {
+        if (round >= MAX_ROUNDS) {
+            return refused(intended, ResultCode.ALREADY_RUNNING, "the claim changes hands");
         }
-        return mTable.insert(wished.key(), Table.toJson(wished.row()))
-                .thenCompose(write -> settleBegin(declared, wished, write, round + 1));
+        return mTable.insert(intended.key(), Table.toJson(intended.row()))
+                .thenCompose(write -> onWriteResult(requestClass, intended, write, round + 1));
     }
 
     /**
@@ -268,22 +268,24 @@
      * @return what came of it
      */
     private CompletableFuture<ClaimOutcome> decide(
-            ClassDeclaration declared, Claim wished, Table.Row found, int round) {
-        ClaimRow row = ClaimSettling.parse(found.value());
+            ClassDeclaration requestClass, Claim intended, Table.Row found, int round) {
+        ClaimRow row = ClaimSettler.parse(found.value());
         Incarnation holder = row.holder();
-        boolean lostHere = holder.equals(mNode.incarnation()) && !mAttempts.contains(row.attempt());
-        boolean gone = lostHere || mMembership.isGone(holder);
-        String fingerprint = wished.row().fingerprint();
+        boolean lostByThisRouter =
+                holder.equals(mNode.incarnation()) && !mAttempts.contains(row.attempt());
+        boolean holderGone = lostByThisRouter || mMembership.isGone(holder);
+        String fingerprint = intended.row().fingerprint();
         ClaimRules.Decision decision =
-                ClaimRules.decide(row, fingerprint, declared, gone, mWallMillis.getAsLong());
+                ClaimRules.decide(
+                        row, fingerprint, requestClass, holderGone, mWallMillis.getAsLong());
         return switch (decision) {
-            case REPLAY -> replay(wished, row);
-            case TAKE_OVER -> takeOver(declared, wished, found, row, round);
-            case RUNNING -> refused(wished, ResultCode.ALREADY_RUNNING, "held by " + holder);
-            case HOLDER_GONE -> refused(wished, ResultCode.HOLDER_GONE, "was held by " + holder);
-            case KEY_REUSED -> refused(wished, ResultCode.KEY_REUSED, "the body differs");
-            case TELL_END ->
-                    refused(wished, ResultCode.valueOf(row.endCode()), "the first try ended so");
+            case REPLAY -> replay(intended, row);
+            case TAKE_OVER -> takeOver(requestClass, intended, found, row, round);
+            case RUNNING -> refused(intended, ResultCode.ALREADY_RUNNING, "held by " + holder);
+            case HOLDER_GONE -> refused(intended, ResultCode.HOLDER_GONE, "was held by " + holder);
+            case KEY_REUSED -> refused(intended, ResultCode.KEY_REUSED, "the body differs");
+            case REPORT_END ->
+                    refused(intended, ResultCode.valueOf(row.endCode()), "the first try ended so");
         };
     }
 
@@ -298,19 +300,23 @@
      * @return what came of it
      */
     private CompletableFuture<ClaimOutcome> takeOver(
-            ClassDeclaration declared, Claim wished, Table.Row found, ClaimRow row, int round) {
-        if (round >= MOST_ROUNDS) {
-            return refused(wished, ResultCode.ALREADY_RUNNING, "the claim changes hands");
+            ClassDeclaration requestClass,
+            Claim intended,
+            Table.Row found,
+            ClaimRow row,
+            int round) {
+        if (round >= MAX_ROUNDS) {
+            return refused(intended, ResultCode.ALREADY_RUNNING, "the claim changes hands");
         }
-        forget(wished);
-        long safeUntil = safeUntil(declared);
-        ClaimRow next = row(declared, row.fingerprint(), row.epoch() + 1);
+        removeAttempt(intended);
+        long safeUntil = safeUntil(requestClass);
+        ClaimRow next = newRow(requestClass, row.fingerprint(), row.epoch() + 1);
         mAttempts.add(next.attempt());
         mNode.count("claim.taken-over");
-        mNode.events().record("claim-taken-over", wished.key(), "from " + row.holder());
-        Claim claim = new Claim(wished.key(), null, next, safeUntil);
-        return mTable.replace(wished.key(), found.tag(), Table.toJson(next))
-                .thenCompose(write -> settleBegin(declared, claim, write, round + 1));
+        mNode.events().record("claim-taken-over", intended.key(), "from " + row.holder());
+        Claim claim = new Claim(intended.key(), null, next, safeUntil);
+        return mTable.replace(intended.key(), found.tag(), Table.toJson(next))
+                .thenCompose(write -> onWriteResult(requestClass, claim, write, round + 1));
     }
 
     /**
@@ -320,15 +326,15 @@
      * @param row the claim as it stands
      * @return what came of it
      */
-    private CompletableFuture<ClaimOutcome> replay(Claim wished, ClaimRow row) {
-        forget(wished);
+    private CompletableFuture<ClaimOutcome> replay(Claim intended, ClaimRow row) {
+        removeAttempt(intended);
         if (row.answerInline() != null) {
             byte[] bytes = Base64.getDecoder().decode(row.answerInline());
             return CompletableFuture.completedFuture(
-                    new ClaimOutcome.Replayed(StoredAnswer.of(bytes)));
+                    new ClaimOutcome.Replayed(StoredAnswer.decode(bytes)));
         }
         if (row.answerObject() == null) {
-            return refused(wished, ResultCode.ANSWER_NOT_KEPT, "answered by " + row.holder());
+            return refused(intended, ResultCode.ANSWER_NOT_KEPT, "answered by " + row.holder());
         }
         return mObjects.read(row.answerObject())
                 .handle(
@@ -341,7 +347,7 @@
                             return object.<ClaimOutcome>map(
                                             bytes ->
                                                     new ClaimOutcome.Replayed(
-                                                            StoredAnswer.of(bytes)))
+                                                            StoredAnswer.decode(bytes)))
                                     .orElseGet(
                                             () ->
                                                     new ClaimOutcome.Refused(
@@ -352,14 +358,15 @@
 
     /**
      * Records that a request was answered. The end mark of the answer may be sent once this says
-     * {@link Settled#DONE}.
+     * {@link SettlementResult#DONE}.
      *
      * @param claim the claim
      * @param answer the answer to keep, or empty where it is too large
      * @return what came of it; never fails
      */
-    public CompletableFuture<Settled> answered(Claim claim, Optional<StoredAnswer> answer) {
-        return mSettling.answered(claim, answer);
+    public CompletableFuture<SettlementResult> recordAnswer(
+            Claim claim, Optional<StoredAnswer> answer) {
+        return mSettler.recordAnswer(claim, answer);
     }
 
     /**
@@ -368,8 +375,8 @@
      * @param claim the claim
      * @param answer the answer to keep, or empty where it is too large
      */
-    public void answeredInBackground(Claim claim, Optional<StoredAnswer> answer) {
-        mSettling.answeredInBackground(claim, answer);
+    public void recordAnswerInBackground(Claim claim, Optional<StoredAnswer> answer) {
+        mSettler.recordAnswerInBackground(claim, answer);
     }
 
     /**
@@ -377,8 +384,8 @@
      *
      * @param claim the claim
      */
-    public void released(Claim claim) {
-        mSettling.inBackground(claim, ClaimRow::released);
+    public void release(Claim claim) {
+        mSettler.settleInBackground(claim, ClaimRow::asReleased);
     }
 
     /**
@@ -387,8 +394,8 @@
      * @param claim the claim
      * @param code how it ended
      */
-    public void ended(Claim claim, ResultCode code) {
-        mSettling.inBackground(claim, row -> row.ended(code.name()));
+    public void recordEnd(Claim claim, ResultCode code) {
+        mSettler.settleInBackground(claim, row -> row.asEnded(code.name()));
     }
 
     /**
@@ -398,9 +405,9 @@
      * @param tag the tag of its row
      * @return the outcome
      */
-    private static ClaimOutcome granted(Claim wished, String tag) {
+    private static ClaimOutcome granted(Claim intended, String tag) {
         return new ClaimOutcome.Granted(
-                new Claim(wished.key(), tag, wished.row(), wished.safeUntilNanos()));
+                new Claim(intended.key(), tag, intended.row(), intended.safeUntilNanos()));
     }
 
     /**
@@ -411,8 +418,9 @@
      * @param detail what exactly
      * @return the outcome
      */
-    private CompletableFuture<ClaimOutcome> refused(Claim wished, ResultCode code, String detail) {
-        forget(wished);
+    private CompletableFuture<ClaimOutcome> refused(
+            Claim intended, ResultCode code, String detail) {
+        removeAttempt(intended);
         return CompletableFuture.completedFuture(new ClaimOutcome.Refused(code, detail));
     }
 
@@ -421,7 +429,7 @@
      *
      * @param claim the claim
      */
-    private void forget(Claim claim) {
+    private void removeAttempt(Claim claim) {
         mAttempts.remove(claim.row().attempt());
     }
 }
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/claim/StoredAnswer.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/claim/StoredAnswer.java
@@ -21,7 +21,7 @@
      * @param bytes its bytes
      * @return the answer
      */
-    public static StoredAnswer of(byte[] bytes) {
+    public static StoredAnswer decode(byte[] bytes) {
         return Json.read(bytes, StoredAnswer.class);
     }
 
@@ -30,7 +30,7 @@
      *
      * @return its bytes
      */
-    public byte[] bytes() {
+    public byte[] encode() {
         return Json.bytes(this);
     }
 }
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/placement/PairSelector.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/placement/PairSelector.java
@@ -50,11 +50,11 @@
      * @param decode the decode engine
      * @return the pair with its prediction
      */
-    static Pair predicted(
+    static Pair predict(
             List<Long> blocks, int promptTokens, UpstreamState prefill, UpstreamState decode) {
-        int cached = prefill.cachedBlocks(blocks) * PromptBlocks.TOKENS_PER_BLOCK;
+        int cached = prefill.cachedPrefixBlocks(blocks) * PromptBlocks.TOKENS_PER_BLOCK;
         long uncached = Math.max(1, promptTokens - cached);
-        double nanos = prefill.prefillNanos(uncached) + decode.firstStepNanos();
+        double nanos = prefill.predictedPrefillNanos(uncached) + decode.predictedFirstStepNanos();
         return new Pair(prefill, decode, uncached, nanos);
     }
 
@@ -72,7 +72,7 @@
                 List<UpstreamState> prefills,
                 List<UpstreamState> decodes) {
             mNext++;
-            return predicted(
+            return predict(
                     blocks,
                     promptTokens,
                     prefills.get(mNext % prefills.size()),
@@ -90,11 +90,11 @@
                 int promptTokens,
                 List<UpstreamState> prefills,
                 List<UpstreamState> decodes) {
-            return predicted(
+            return predict(
                     blocks,
                     promptTokens,
-                    least(prefills, UpstreamState::reportedRunning),
-                    least(decodes, UpstreamState::reportedRunning));
+                    cheapest(prefills, UpstreamState::reportedRunning),
+                    cheapest(decodes, UpstreamState::reportedRunning));
         }
     }
 
@@ -106,10 +106,10 @@
     final class ForPredictedFirstToken implements PairSelector {
 
         /** What crossing from one hall to another is taken to cost, nanoseconds. */
-        private static final double HALL_NANOS = 2e6;
+        private static final double CROSS_HALL_COST_NANOS = 2e6;
 
         /** What each request that runs on a decode engine is taken to cost, nanoseconds. */
-        private static final double RUNNING_NANOS = 1e6;
+        private static final double RUNNING_REQUEST_COST_NANOS = 1e6;
 
         /** The hall of this router. */
         private final HallId mHall;
@@ -130,11 +130,11 @@
                 int promptTokens,
                 List<UpstreamState> prefills,
                 List<UpstreamState> decodes) {
-            UpstreamState decode = least(decodes, this::decodeCost);
-            HallId near = decode.declaration().hall();
+            UpstreamState decode = cheapest(decodes, this::decodeCost);
+            HallId decodeHall = decode.declaration().hall();
             return prefills.stream()
-                    .map(prefill -> predicted(blocks, promptTokens, prefill, decode))
-                    .min(Comparator.comparingDouble(pair -> cost(pair, near)))
+                    .map(prefill -> predict(blocks, promptTokens, prefill, decode))
+                    .min(Comparator.comparingDouble(pair -> cost(pair, decodeHall)))
                     .orElseThrow();
         }
 
@@ -145,8 +145,8 @@
          * @return nanoseconds
          */
         private double decodeCost(UpstreamState decode) {
-            double away = decode.declaration().hall().equals(mHall) ? 0 : HALL_NANOS;
-            return away + decode.estimatedRunning() * RUNNING_NANOS;
+            double hallCost = decode.declaration().hall().equals(mHall) ? 0 : CROSS_HALL_COST_NANOS;
+            return hallCost + decode.estimatedRunning() * RUNNING_REQUEST_COST_NANOS;
         }
 
         /**
@@ -156,9 +156,12 @@
          * @param near the hall of its decode engine
          * @return nanoseconds
          */
-        private static double cost(Pair pair, HallId near) {
-            double away = pair.prefill().declaration().hall().equals(near) ? 0 : HALL_NANOS;
-            return pair.firstTokenNanos() + away;
+        private static double cost(Pair pair, HallId decodeHall) {
+            double hallCost =
+                    pair.prefill().declaration().hall().equals(decodeHall)
+                            ? 0
+                            : CROSS_HALL_COST_NANOS;
+            return pair.firstTokenNanos() + hallCost;
         }
     }
 
@@ -169,9 +172,9 @@
      * @param cost what each costs
      * @return the cheapest, the first of equals
      */
-    private static UpstreamState least(
+    private static UpstreamState cheapest(
             List<UpstreamState> states, ToDoubleFunction<UpstreamState> cost) {
-        Optional<UpstreamState> least = states.stream().min(Comparator.comparingDouble(cost));
-        return least.orElseThrow();
+        Optional<UpstreamState> cheapest = states.stream().min(Comparator.comparingDouble(cost));
+        return cheapest.orElseThrow();
     }
 }
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/placement/PromptBlocks.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/placement/PromptBlocks.java
@@ -26,7 +26,7 @@
      * @param prompt the prompt
      * @return tokens, at least one
      */
-    public static int tokens(String prompt) {
+    public static int estimateTokens(String prompt) {
         return Math.max(1, prompt.length() / CHARACTERS_PER_TOKEN);
     }
 
@@ -36,15 +36,15 @@
      * @param prompt the prompt
      * @return the names, in order
      */
-    public static List<Long> of(String prompt) {
+    public static List<Long> blockIds(String prompt) {
         byte[] bytes = prompt.getBytes(StandardCharsets.UTF_8);
         int blockBytes = TOKENS_PER_BLOCK * CHARACTERS_PER_TOKEN;
-        List<Long> names = new ArrayList<>(bytes.length / blockBytes);
+        List<Long> ids = new ArrayList<>(bytes.length / blockBytes);
         CRC32C checksum = new CRC32C();
         for (int start = 0; start + blockBytes <= bytes.length; start += blockBytes) {
             checksum.update(bytes, start, blockBytes);
-            names.add(checksum.getValue() << Integer.SIZE | names.size());
+            ids.add(checksum.getValue() << Integer.SIZE | ids.size());
         }
-        return names;
+        return ids;
     }
 }
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/placement/UpstreamRegistry.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/placement/UpstreamRegistry.java
@@ -22,13 +22,13 @@
      */
     public void apply(Declarations declarations) {
         Map<UpstreamId, UpstreamState> next = new LinkedHashMap<>();
-        for (UpstreamDeclaration declared : declarations.upstreams()) {
-            UpstreamState state = mStates.get(declared.id());
+        for (UpstreamDeclaration declaration : declarations.upstreams()) {
+            UpstreamState state = mStates.get(declaration.id());
             if (state == null) {
-                state = new UpstreamState(declared);
+                state = new UpstreamState(declaration);
             }
-            state.declare(declared);
-            next.put(declared.id(), state);
+            state.setDeclaration(declaration);
+            next.put(declaration.id(), state);
         }
         mStates.clear();
         mStates.putAll(next);
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/placement/UpstreamState.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/placement/UpstreamState.java
@@ -12,49 +12,49 @@
 public final class UpstreamState {
 
     /** How many prefix blocks are remembered. */
-    private static final int MOST_BLOCKS = 20_000;
+    private static final int MAX_CACHED_BLOCKS = 20_000;
 
     /** How long an upstream that failed is passed over, nanoseconds. */
-    private static final long COOL_NANOS = 1_000_000_000L;
+    private static final long COOLDOWN_NANOS = 1_000_000_000L;
 
     /** How many silences in a row mean that it is not to be reached. */
-    private static final int SILENCES = 2;
+    private static final int MISSED_REPORTS_LIMIT = 2;
 
     /** How much a new measurement moves an average. */
-    private static final double WEIGHT = 0.1;
+    private static final double SMOOTHING_FACTOR = 0.1;
 
     /** What is declared of it. */
-    private UpstreamDeclaration mDeclared;
+    private UpstreamDeclaration mDeclaration;
 
     /** Whether it said or was said to be leaving. */
     private boolean mLeaving;
 
     /** Until when it is passed over after a failure. */
-    private long mCoolUntil;
+    private long mCooldownUntil;
 
     /** Whether it was passed over and has not answered since, so that the time above counts. */
-    private boolean mCooled;
+    private boolean mInCooldown;
 
     /** How often in a row it did not say how loaded it is. */
-    private int mSilences;
+    private int mMissedReports;
 
     /** How many of this router's requests are there. */
-    private int mMine;
+    private int mLocalRequests;
 
     /** How many of this router's tokens wait or run there, for a prefill engine. */
-    private long mMyTokens;
+    private long mLocalTokens;
 
     /** How many requests it published to have. */
-    private int mPublishedRunning;
+    private int mReportedRunning;
 
     /** How many tokens it published to have waiting. */
-    private long mPublishedTokens;
+    private long mReportedTokens;
 
     /** How many of this router's requests were there when it published. */
-    private int mMineAtPublished;
+    private int mLocalRequestsAtReport;
 
     /** How many of this router's tokens were there when it published. */
-    private long mMyTokensAtPublished;
+    private long mLocalTokensAtReport;
 
     /** Nanoseconds per uncached token, as measured. */
     private double mNanosPerToken;
@@ -66,22 +66,22 @@
     private double mHoldNanos;
 
     /** The prefix blocks that it is said to have cached, oldest first. */
-    private final Set<Long> mBlocks = new LinkedHashSet<>();
+    private final Set<Long> mCachedBlocks = new LinkedHashSet<>();
 
     /** The number of the last cache event seen. */
-    private long mLastEvent;
+    private long mLastEventNumber;
 
     /**
      * Creates the state of an upstream of which nothing is known but its declaration.
      *
      * @param declared what is declared of it
      */
-    public UpstreamState(UpstreamDeclaration declared) {
-        mDeclared = declared;
+    public UpstreamState(UpstreamDeclaration declaration) {
+        mDeclaration = declaration;
         final double nanosPerSecond = 1e9;
-        final double firstGuessNanos = 50e6;
-        mNanosPerToken = nanosPerSecond / declared.prefillTokensPerSecond();
-        mFirstStepNanos = firstGuessNanos;
+        final double initialFirstStepNanos = 50e6;
+        mNanosPerToken = nanosPerSecond / declaration.prefillTokensPerSecond();
+        mFirstStepNanos = initialFirstStepNanos;
         mHoldNanos = nanosPerSecond;
     }
 
@@ -91,7 +91,7 @@
      * @return the declaration
      */
     public UpstreamDeclaration declaration() {
-        return mDeclared;
+        return mDeclaration;
     }
 
     /**
@@ -99,8 +99,8 @@
      *
      * @param declared what is declared now
      */
-    public void declare(UpstreamDeclaration declared) {
-        mDeclared = declared;
+    public void setDeclaration(UpstreamDeclaration declaration) {
+        mDeclaration = declaration;
     }
 
     /**
@@ -110,8 +110,8 @@
      * @return whether it is in service, not leaving, and did not fail a moment ago
      */
     public boolean isUsable(long now) {
-        boolean cooling = mCooled && now - mCoolUntil < 0;
-        return !mDeclared.draining() && !mLeaving && !cooling;
+        boolean inCooldown = mInCooldown && now - mCooldownUntil < 0;
+        return !mDeclaration.draining() && !mLeaving && !inCooldown;
     }
 
     /**
@@ -120,9 +120,9 @@
      *
      * @param now the time
      */
-    public void unreached(long now) {
-        mCooled = true;
-        mCoolUntil = now + COOL_NANOS;
+    public void recordUnreachable(long now) {
+        mInCooldown = true;
+        mCooldownUntil = now + COOLDOWN_NANOS;
     }
 
     /**
@@ -132,9 +132,9 @@
      * @param now the time
      */
     public void recordMissedReport(long now) {
-        mSilences++;
-        if (mSilences >= SILENCES) {
-            unreached(now);
+        mMissedReports++;
+        if (mMissedReports >= MISSED_REPORTS_LIMIT) {
+            recordUnreachable(now);
         }
     }
 
@@ -163,12 +163,12 @@
      * @param waitingTokens how many tokens it has waiting
      */
     public void recordLoad(int running, long waitingTokens) {
-        mSilences = 0;
-        mCooled = false;
-        mPublishedRunning = running;
-        mPublishedTokens = waitingTokens;
-        mMineAtPublished = mMine;
-        mMyTokensAtPublished = mMyTokens;
+        mMissedReports = 0;
+        mInCooldown = false;
+        mReportedRunning = running;
+        mReportedTokens = waitingTokens;
+        mLocalRequestsAtReport = mLocalRequests;
+        mLocalTokensAtReport = mLocalTokens;
     }
 
     /**
@@ -176,9 +176,9 @@
      *
      * @param tokens how many uncached tokens it brings, 0 where that does not matter
      */
-    public void entered(long tokens) {
-        mMine++;
-        mMyTokens += tokens;
+    public void recordStart(long tokens) {
+        mLocalRequests++;
+        mLocalTokens += tokens;
     }
 
     /**
@@ -186,10 +186,11 @@
      *
      * @param tokens as when it entered
      */
-    public void left(long tokens) {
-        mMine--;
-        mMyTokens -= tokens;
-        org.troutpier.daemon.node.Invariants.check(mMine >= 0, "upstream-count", mDeclared.id());
+    public void recordEnd(long tokens) {
+        mLocalRequests--;
+        mLocalTokens -= tokens;
+        org.troutpier.daemon.node.Invariants.check(
+                mLocalRequests >= 0, "upstream-count", mDeclaration.id());
     }
 
     /**
@@ -198,7 +199,7 @@
      * @return the count
      */
     public int localRequests() {
-        return mMine;
+        return mLocalRequests;
     }
 
     /**
@@ -208,7 +209,7 @@
      * @return the guess
      */
     public int estimatedRunning() {
-        return Math.max(mMine, mPublishedRunning + mMine - mMineAtPublished);
+        return Math.max(mLocalRequests, mReportedRunning + mLocalRequests - mLocalRequestsAtReport);
     }
 
     /**
@@ -217,7 +218,7 @@
      * @return the number, late
      */
     public int reportedRunning() {
-        return mPublishedRunning;
+        return mReportedRunning;
     }
 
     /**
@@ -225,8 +226,8 @@
      *
      * @return the guess
      */
-    public long guessedTokens() {
-        return Math.max(mMyTokens, mPublishedTokens + mMyTokens - mMyTokensAtPublished);
+    public long estimatedTokens() {
+        return Math.max(mLocalTokens, mReportedTokens + mLocalTokens - mLocalTokensAtReport);
     }
 
     /**
@@ -235,8 +236,8 @@
      * @param uncachedTokens how many tokens must be computed
      * @return nanoseconds, with the wait for those before it
      */
-    public double prefillNanos(long uncachedTokens) {
-        return (guessedTokens() + uncachedTokens) * mNanosPerToken;
+    public double predictedPrefillNanos(long uncachedTokens) {
+        return (estimatedTokens() + uncachedTokens) * mNanosPerToken;
     }
 
     /**
@@ -245,9 +246,9 @@
      * @param tokens how many tokens were computed or waited for
      * @param nanos how long that took
      */
-    public void prefilled(long tokens, long nanos) {
+    public void recordPrefill(long tokens, long nanos) {
         double measured = (double) nanos / Math.max(1, tokens);
-        mNanosPerToken += WEIGHT * (measured - mNanosPerToken);
+        mNanosPerToken += SMOOTHING_FACTOR * (measured - mNanosPerToken);
     }
 
     /**
@@ -255,7 +256,7 @@
      *
      * @return nanoseconds
      */
-    public double firstStepNanos() {
+    public double predictedFirstStepNanos() {
         return mFirstStepNanos;
     }
 
@@ -264,8 +265,8 @@
      *
      * @param nanos how long it took
      */
-    public void firstStep(long nanos) {
-        mFirstStepNanos += WEIGHT * (nanos - mFirstStepNanos);
+    public void recordFirstStep(long nanos) {
+        mFirstStepNanos += SMOOTHING_FACTOR * (nanos - mFirstStepNanos);
     }
 
     /**
@@ -273,7 +274,7 @@
      *
      * @return nanoseconds
      */
-    public double holdNanos() {
+    public double predictedHoldNanos() {
         return mHoldNanos;
     }
 
@@ -282,8 +283,8 @@
      *
      * @param nanos how long it held its slot
      */
-    public void held(long nanos) {
-        mHoldNanos += WEIGHT * (nanos - mHoldNanos);
+    public void recordHold(long nanos) {
+        mHoldNanos += SMOOTHING_FACTOR * (nanos - mHoldNanos);
     }
 
     /**
@@ -292,9 +293,9 @@
      * @param blocks a prompt's blocks, in order
      * @return how many of the first ones are there
      */
-    public int cachedBlocks(List<Long> blocks) {
+    public int cachedPrefixBlocks(List<Long> blocks) {
         int cached = 0;
-        while (cached < blocks.size() && mBlocks.contains(blocks.get(cached))) {
+        while (cached < blocks.size() && mCachedBlocks.contains(blocks.get(cached))) {
             cached++;
         }
         return cached;
@@ -306,9 +307,9 @@
      * @param block the block's name
      */
     public void addCachedBlock(long block) {
-        mBlocks.add(block);
-        if (mBlocks.size() > MOST_BLOCKS) {
-            mBlocks.remove(mBlocks.iterator().next());
+        mCachedBlocks.add(block);
+        if (mCachedBlocks.size() > MAX_CACHED_BLOCKS) {
+            mCachedBlocks.remove(mCachedBlocks.iterator().next());
         }
     }
 
@@ -318,7 +319,7 @@
      * @return the number
      */
     public long lastEventNumber() {
-        return mLastEvent;
+        return mLastEventNumber;
     }
 
     /**
@@ -327,6 +328,6 @@
      * @param number its number
      */
     public void setLastEventNumber(long number) {
-        mLastEvent = number;
+        mLastEventNumber = number;
     }
 }
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/request/Arrival.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/request/Arrival.java
@@ -18,7 +18,7 @@
 public record Arrival(
         HttpExchange exchange,
         RequestId id,
-        ClassDeclaration declared,
+        ClassDeclaration requestClass,
         String key,
         String fingerprint,
         String call) {}
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/request/CompletionExchange.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/request/CompletionExchange.java
@@ -29,25 +29,25 @@
 public final class CompletionExchange extends RequestExchange {
 
     /** How often a silent upstream is looked for, milliseconds. */
-    private static final long WATCH_MILLIS = 250;
+    private static final long SILENCE_CHECK_INTERVAL_MILLIS = 250;
 
     /** How long a prefill may take beyond what is predicted, nanoseconds. */
-    private static final long PREFILL_SILENCE_NANOS = 4_000_000_000L;
+    private static final long PREFILL_TIMEOUT_NANOS = 4_000_000_000L;
 
     /** How long a transfer may take up to the first token, nanoseconds. */
-    private static final long TRANSFER_SILENCE_NANOS = 2_000_000_000L;
+    private static final long TRANSFER_TIMEOUT_NANOS = 2_000_000_000L;
 
     /** How long a decode may be silent between tokens, nanoseconds. */
-    private static final long TOKEN_SILENCE_NANOS = 3_000_000_000L;
+    private static final long TOKEN_TIMEOUT_NANOS = 3_000_000_000L;
 
     /** How much may wait for a slow caller, bytes. */
-    private static final long MOST_PENDING = 1024 * 1024;
+    private static final long MAX_PENDING_BYTES = 1024 * 1024;
 
     /** The end mark of a stream. */
-    private static final byte[] DONE = "data: [DONE]\n\n".getBytes(StandardCharsets.US_ASCII);
+    private static final byte[] END_MARK = "data: [DONE]\n\n".getBytes(StandardCharsets.US_ASCII);
 
     /** What was asked. */
-    private final CompletionRequest mOrder;
+    private final CompletionRequest mRequest;
 
     /** The prompt's prefix blocks. */
     private final List<Long> mBlocks;
@@ -65,25 +65,25 @@
     private Engines.Abort mAbort = () -> {};
 
     /** What the current attempt uses, or null. */
-    private Grant mUsed;
+    private Grant mCurrentGrant;
 
     /** The current attempt. */
     private String mAttempt = "";
 
     /** Whether the prefill engine may hold something of the current attempt. */
-    private boolean mPrefillHolds;
+    private boolean mPrefillMayHold;
 
     /** Whether the decode engine may hold something of the current attempt. */
-    private boolean mDecodeHolds;
+    private boolean mDecodeMayHold;
 
     /** When the current step began or the last token came. */
-    private long mSince;
+    private long mLastProgressNanos;
 
     /** When the first token came, or 0. */
-    private long mFirstNanos;
+    private long mFirstTokenNanos;
 
     /** Looks for a silent upstream. */
-    private Future<?> mWatch;
+    private Future<?> mSilenceTimer;
 
     /**
      * What a caller asks of a model. Immutable and thread safe.
@@ -101,80 +101,89 @@
      * @param arrival the request as it arrived
      * @param order what was asked
      */
-    public CompletionExchange(ExchangeServices services, Arrival arrival, CompletionRequest order) {
+    public CompletionExchange(
+            ExchangeServices services, Arrival arrival, CompletionRequest request) {
         super(services, arrival);
-        mOrder = order;
-        mBlocks = PromptBlocks.of(order.prompt());
+        mRequest = request;
+        mBlocks = PromptBlocks.blockIds(request.prompt());
     }
 
     /** {@inheritDoc} */
     @Override
-    protected Ticket ticket(long arrivalNanos, Set<UpstreamId> avoid, Ticket.Answer answer) {
+    protected Ticket ticket(
+            long arrivalNanos, Set<UpstreamId> failedUpstreams, Ticket.Listener listener) {
         return new Ticket(
                 id(),
                 requestClass(),
                 mBlocks,
-                PromptBlocks.tokens(mOrder.prompt()),
+                PromptBlocks.estimateTokens(mRequest.prompt()),
                 arrivalNanos,
-                avoid,
-                answer);
+                failedUpstreams,
+                listener);
     }
 
     /** {@inheritDoc} */
     @Override
-    protected void run(Grant grant, String attempt) {
-        mUsed = grant;
+    protected void runAttempt(Grant grant, String attempt) {
+        mCurrentGrant = grant;
         mAttempt = attempt;
         mTokensBefore = mTokens;
-        stage(Stage.PREFILL);
-        where(grant.prefill().id().value());
-        event("prefill", grant.prefill().id() + " for " + grant.main().id());
-        mSince = now();
-        mPrefillHolds = true;
-        mWatch =
+        setStage(Stage.PREFILL);
+        setUpstream(grant.prefill().id().value());
+        recordEvent("prefill", grant.prefill().id() + " for " + grant.main().id());
+        mLastProgressNanos = now();
+        mPrefillMayHold = true;
+        mSilenceTimer =
                 exchange()
                         .loop()
                         .scheduleWithFixedDelay(
-                                this::watch, WATCH_MILLIS, WATCH_MILLIS, TimeUnit.MILLISECONDS);
+                                this::checkSilence,
+                                SILENCE_CHECK_INTERVAL_MILLIS,
+                                SILENCE_CHECK_INTERVAL_MILLIS,
+                                TimeUnit.MILLISECONDS);
         Engines.PrefillOrder order =
                 new Engines.PrefillOrder(
                         attempt,
                         services().node().incarnation(),
                         requestClass().partner().value(),
                         arrival().call(),
-                        mOrder.prompt(),
+                        mRequest.prompt(),
                         mText.toString(),
                         mTokens);
         mAbort =
                 services()
                         .engines()
-                        .prefill(grant.prefill(), order, leftMillis(), new Prefilled(attempt));
+                        .prefill(
+                                grant.prefill(),
+                                order,
+                                remainingMillis(),
+                                new PrefillHandler(attempt));
     }
 
     /**
      * Receives the prefill engine's answer on any thread and passes on what is still of interest.
      */
-    private final class Prefilled implements Engines.PrefillListener {
+    private final class PrefillHandler implements Engines.PrefillListener {
 
         /** The attempt that this belongs to. */
-        private final String mOf;
+        private final String mListenedAttempt;
 
         /**
          * Creates a listener.
          *
          * @param attempt the attempt that this belongs to
          */
-        Prefilled(String attempt) {
-            mOf = attempt;
+        PrefillHandler(String attempt) {
+            mListenedAttempt = attempt;
         }
 
         /** {@inheritDoc} */
         @Override
         public void onResult(String handle, int lifeMillis) {
-            onLoop(
+            runOnLoop(
                     () -> {
-                        if (current(mOf)) {
-                            decode(handle);
+                        if (isCurrent(mListenedAttempt)) {
+                            startDecode(handle);
                         }
                     });
         }
@@ -182,11 +191,11 @@
         /** {@inheritDoc} */
         @Override
         public void onPrefillEnd(AttemptEnd end) {
-            onLoop(
+            runOnLoop(
                     () -> {
-                        if (current(mOf)) {
-                            mPrefillHolds = !end.notStarted();
-                            attemptEnded(end);
+                        if (isCurrent(mListenedAttempt)) {
+                            mPrefillMayHold = !end.notStarted();
+                            onAttemptEnd(end);
                         }
                     });
         }
@@ -197,18 +206,18 @@
      *
      * @param handle the prefill's result
      */
-    private void decode(String handle) {
-        Grant grant = mUsed;
-        long took = now() - mSince;
+    private void startDecode(String handle) {
+        Grant grant = mCurrentGrant;
+        long took = now() - mLastProgressNanos;
         services()
                 .node()
                 .control()
-                .execute(() -> services().controller().prefillEnded(grant, took));
-        stage(Stage.TRANSFER);
-        where(grant.main().id().value());
-        event("decode", grant.main().id().value());
-        mSince = now();
-        mDecodeHolds = true;
+                .execute(() -> services().controller().onPrefillEnd(grant, took));
+        setStage(Stage.TRANSFER);
+        setUpstream(grant.main().id().value());
+        recordEvent("decode", grant.main().id().value());
+        mLastProgressNanos = now();
+        mDecodeMayHold = true;
         Engines.DecodeOrder order =
                 new Engines.DecodeOrder(
                         mAttempt,
@@ -216,37 +225,41 @@
                         arrival().call(),
                         grant.prefill().address().toString(),
                         handle,
-                        mOrder.maxTokens() - mTokens);
+                        mRequest.maxTokens() - mTokens);
         mAbort =
                 services()
                         .engines()
-                        .decode(grant.main(), order, leftMillis(), new Decoding(mAttempt));
+                        .decode(
+                                grant.main(),
+                                order,
+                                remainingMillis(),
+                                new DecodeHandler(mAttempt));
     }
 
     /**
      * Receives the decode engine's events on any thread and passes on what is still of interest.
      */
-    private final class Decoding implements Engines.DecodeListener {
+    private final class DecodeHandler implements Engines.DecodeListener {
 
         /** The attempt that this belongs to. */
-        private final String mOf;
+        private final String mListenedAttempt;
 
         /**
          * Creates a listener.
          *
          * @param attempt the attempt that this belongs to
          */
-        Decoding(String attempt) {
-            mOf = attempt;
+        DecodeHandler(String attempt) {
+            mListenedAttempt = attempt;
         }
 
         /** {@inheritDoc} */
         @Override
         public void onToken(TokenEvent event) {
-            onLoop(
+            runOnLoop(
                     () -> {
-                        if (current(mOf)) {
-                            token(event);
+                        if (isCurrent(mListenedAttempt)) {
+                            appendToken(event);
                         }
                     });
         }
@@ -254,10 +267,10 @@
         /** {@inheritDoc} */
         @Override
         public void onWhole() {
-            onLoop(
+            runOnLoop(
                     () -> {
-                        if (current(mOf)) {
-                            whole();
+                        if (isCurrent(mListenedAttempt)) {
+                            onDecodeComplete();
                         }
                     });
         }
@@ -265,11 +278,11 @@
         /** {@inheritDoc} */
         @Override
         public void onDecodeEnd(AttemptEnd end) {
-            onLoop(
+            runOnLoop(
                     () -> {
-                        if (current(mOf)) {
-                            mDecodeHolds = !end.notStarted();
-                            attemptEnded(afterPrefill(end));
+                        if (isCurrent(mListenedAttempt)) {
+                            mDecodeMayHold = !end.notStarted();
+                            onAttemptEnd(endAfterPrefill(end));
                         }
                     });
         }
@@ -282,13 +295,13 @@
      * @param end how the decode ended
      * @return how the attempt ended
      */
-    private static AttemptEnd afterPrefill(AttemptEnd end) {
-        boolean certain = end.code().family() == ResultCode.Family.RAN_AND_FAILED;
+    private static AttemptEnd endAfterPrefill(AttemptEnd end) {
+        boolean ranAndFailed = end.code().family() == ResultCode.Family.RAN_AND_FAILED;
         return new AttemptEnd(
                 false,
                 end.leaving(),
                 end.unreachable(),
-                certain ? end.code() : ResultCode.UPSTREAM_FAILED,
+                ranAndFailed ? end.code() : ResultCode.UPSTREAM_FAILED,
                 end.detail());
     }
 
@@ -297,17 +310,17 @@
      *
      * @param event the token
      */
-    private void token(TokenEvent event) {
+    private void appendToken(TokenEvent event) {
         long now = now();
         if (mTokens == mTokensBefore) {
-            firstOfAttempt(now);
+            onFirstTokenOfAttempt(now);
         }
-        mSince = now;
+        mLastProgressNanos = now;
         mTokens++;
         mText.append(event.text());
-        if (mOrder.stream()) {
-            exchange().write(shown(event));
-            if (exchange().pendingBytes() > MOST_PENDING) {
+        if (mRequest.stream()) {
+            exchange().write(withRequestId(event));
+            if (exchange().pendingBytes() > MAX_PENDING_BYTES) {
                 refuse(ResultCode.CALLER_TOO_SLOW, "the caller reads too slowly");
             }
         }
@@ -318,17 +331,20 @@
      *
      * @param now the time
      */
-    private void firstOfAttempt(long now) {
-        stage(Stage.DECODE);
-        event("first-token", "");
-        mPrefillHolds = false;
-        Grant grant = mUsed;
-        long step = now - mSince;
-        services().node().control().execute(() -> services().controller().firstToken(grant, step));
-        if (mFirstNanos == 0) {
-            mFirstNanos = now;
+    private void onFirstTokenOfAttempt(long now) {
+        setStage(Stage.DECODE);
+        recordEvent("first-token", "");
+        mPrefillMayHold = false;
+        Grant grant = mCurrentGrant;
+        long step = now - mLastProgressNanos;
+        services()
+                .node()
+                .control()
+                .execute(() -> services().controller().onFirstToken(grant, step));
+        if (mFirstTokenNanos == 0) {
+            mFirstTokenNanos = now;
         }
-        if (mOrder.stream()) {
+        if (mRequest.stream()) {
             exchange().begin(200, streamHeaders());
         }
     }
@@ -339,7 +355,7 @@
      * @param event the event
      * @return its bytes
      */
-    private byte[] shown(TokenEvent event) {
+    private byte[] withRequestId(TokenEvent event) {
         if (mAttempt.equals(id().value())) {
             return event.bytes();
         }
@@ -348,19 +364,22 @@
     }
 
     /** Goes on when the decode engine's end mark has come. */
-    private void whole() {
-        mDecodeHolds = false;
-        mPrefillHolds = false;
+    private void onDecodeComplete() {
+        mDecodeMayHold = false;
+        mPrefillMayHold = false;
         count("tokens", mTokens);
-        goodput();
-        complete(new StoredAnswer(200, Map.of(), mText.toString(), mTokens, null), true);
+        countGoodput();
+        onAnswerComplete(new StoredAnswer(200, Map.of(), mText.toString(), mTokens, null), true);
     }
 
     /** Counts the request as good if it met both its targets. */
-    private void goodput() {
+    private void countGoodput() {
         final long nanosPerMilli = 1_000_000L;
-        long first = (mFirstNanos - arrivalNanos()) / nanosPerMilli;
-        long between = mTokens < 2 ? 0 : (mSince - mFirstNanos) / (mTokens - 1) / nanosPerMilli;
+        long first = (mFirstTokenNanos - arrivalNanos()) / nanosPerMilli;
+        long between =
+                mTokens < 2
+                        ? 0
+                        : (mLastProgressNanos - mFirstTokenNanos) / (mTokens - 1) / nanosPerMilli;
         boolean firstInTime =
                 !requestClass().hasTarget() || first <= requestClass().firstTokenMillis();
         boolean restInTime =
@@ -374,21 +393,21 @@
      * @param what what to count
      * @param many how many
      */
-    private void count(String what, int many) {
+    private void count(String what, int amount) {
         String name = "requests." + requestClass().partner() + "." + what;
-        services().node().metrics().counter(name).inc(many);
+        services().node().metrics().counter(name).inc(amount);
     }
 
     /** Gives up an upstream that has been silent for too long. */
-    private void watch() {
-        if (!current(mAttempt)) {
+    private void checkSilence() {
+        if (!isCurrent(mAttempt)) {
             return;
         }
-        long silent = now() - mSince;
+        long silent = now() - mLastProgressNanos;
         switch (currentStage()) {
-            case PREFILL -> giveUpAfter(silent, PREFILL_SILENCE_NANOS, "no prefill");
-            case TRANSFER -> giveUpAfter(silent, TRANSFER_SILENCE_NANOS, "no first token");
-            case DECODE -> giveUpAfter(silent, TOKEN_SILENCE_NANOS, "no next token");
+            case PREFILL -> abandonAfter(silent, PREFILL_TIMEOUT_NANOS, "no prefill");
+            case TRANSFER -> abandonAfter(silent, TRANSFER_TIMEOUT_NANOS, "no first token");
+            case DECODE -> abandonAfter(silent, TOKEN_TIMEOUT_NANOS, "no next token");
             default -> {
                 // nothing is waited for
             }
@@ -402,17 +421,17 @@
      * @param most how long it may last
      * @param what what did not come
      */
-    private void giveUpAfter(long silent, long most, String what) {
-        if (silent > most) {
+    private void abandonAfter(long silent, long timeout, String missing) {
+        if (silent > timeout) {
             count("given-up");
-            AttemptEnd end = AttemptEnd.lost(what + " from " + currentUpstream());
-            attemptEnded(currentStage() == Stage.PREFILL ? end : afterPrefill(end));
+            AttemptEnd end = AttemptEnd.lost(missing + " from " + currentUpstream());
+            onAttemptEnd(currentStage() == Stage.PREFILL ? end : endAfterPrefill(end));
         }
     }
 
     /** {@inheritDoc} */
     @Override
-    protected UpstreamId blamed(Grant grant) {
+    protected UpstreamId failedUpstream(Grant grant) {
         return currentStage() == Stage.PREFILL ? grant.prefill().id() : grant.main().id();
     }
 
@@ -421,20 +440,20 @@
     protected void stopAttempt() {
         mAbort.abort();
         mAbort = () -> {};
-        if (mWatch != null) {
-            mWatch.cancel(false);
+        if (mSilenceTimer != null) {
+            mSilenceTimer.cancel(false);
         }
-        Grant grant = mUsed;
+        Grant grant = mCurrentGrant;
         String attempt = mAttempt;
-        if (mPrefillHolds) {
-            mPrefillHolds = false;
+        if (mPrefillMayHold) {
+            mPrefillMayHold = false;
             services()
                     .node()
                     .control()
                     .execute(() -> services().cancels().cancel(grant.prefill(), attempt));
         }
-        if (mDecodeHolds) {
-            mDecodeHolds = false;
+        if (mDecodeMayHold) {
+            mDecodeMayHold = false;
             services()
                     .node()
                     .control()
@@ -444,22 +463,22 @@
 
     /** {@inheritDoc} */
     @Override
-    protected void sendWhole(StoredAnswer answer) {
-        if (!mOrder.stream()) {
+    protected void sendAnswer(StoredAnswer answer) {
+        if (!mRequest.stream()) {
             exchange().answer(Answers.json(200, body(answer)));
             return;
         }
         if (!exchange().begun()) {
             exchange().begin(200, streamHeaders());
-            exchange().write(wholeEvent(answer));
+            exchange().write(answerEvent(answer));
         }
-        exchange().write(DONE);
+        exchange().write(END_MARK);
         exchange().end();
     }
 
     /** {@inheritDoc} */
     @Override
-    protected void sendCut(ResultCode code, String detail) {
+    protected void sendTruncation(ResultCode code, String detail) {
         String error = new String(Json.bytes(Answers.refusalBody(code, detail)));
         byte[] event = ("data: " + error + "\n\n").getBytes(StandardCharsets.UTF_8);
         exchange().write(event);
@@ -484,7 +503,7 @@
      * @param answer the answer
      * @return the event's bytes
      */
-    private byte[] wholeEvent(StoredAnswer answer) {
+    private byte[] answerEvent(StoredAnswer answer) {
         String json = new String(Json.bytes(body(answer)), StandardCharsets.UTF_8);
         return ("data: " + json + "\n\n").getBytes(StandardCharsets.UTF_8);
     }
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/request/OutcomeTracker.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/request/OutcomeTracker.java
@@ -15,7 +15,7 @@
     private boolean mMayHaveRun;
 
     /** What is known of the attempts that may have run: unknown as soon as one is; or null. */
-    private ResultCode mKnown;
+    private ResultCode mKnownCode;
 
     /**
      * Takes note of an attempt's end.
@@ -27,8 +27,8 @@
             return;
         }
         mMayHaveRun = true;
-        if (mKnown == null || end.code().family() == Family.OUTCOME_UNKNOWN) {
-            mKnown = end.code();
+        if (mKnownCode == null || end.code().family() == Family.OUTCOME_UNKNOWN) {
+            mKnownCode = end.code();
         }
     }
 
@@ -56,14 +56,14 @@
      * @param wished the code that fits the last step
      * @return the same, or what is known where it would say too much
      */
-    public ResultCode reportableCode(ResultCode wished) {
-        boolean lost = mKnown != null && mKnown.family() == Family.OUTCOME_UNKNOWN;
-        if (lost && wished.family() != Family.OUTCOME_UNKNOWN) {
-            return mKnown;
+    public ResultCode reportableCode(ResultCode preferred) {
+        boolean lost = mKnownCode != null && mKnownCode.family() == Family.OUTCOME_UNKNOWN;
+        if (lost && preferred.family() != Family.OUTCOME_UNKNOWN) {
+            return mKnownCode;
         }
-        if (wished.family() != Family.NOT_RUN || !mMayHaveRun) {
-            return wished;
+        if (preferred.family() != Family.NOT_RUN || !mMayHaveRun) {
+            return preferred;
         }
-        return mKnown == null ? ResultCode.OUTCOME_UNKNOWN : mKnown;
+        return mKnownCode == null ? ResultCode.OUTCOME_UNKNOWN : mKnownCode;
     }
 }
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/request/RequestExchange.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/request/RequestExchange.java
@@ -19,7 +19,7 @@
 import org.troutpier.daemon.admission.Ticket;
 import org.troutpier.daemon.claim.Claim;
 import org.troutpier.daemon.claim.ClaimOutcome;
-import org.troutpier.daemon.claim.ClaimStore.Settled;
+import org.troutpier.daemon.claim.ClaimStore.SettlementResult;
 import org.troutpier.daemon.claim.StoredAnswer;
 import org.troutpier.daemon.node.Invariants;
 import org.troutpier.daemon.upstream.AttemptEnd;
@@ -28,15 +28,15 @@
  * The handling of one request, from arrival to its one answer. Confined to the event loop of its
  * caller's connection, but for the accessors, which may be read anywhere. Invariants: the caller
  * gets one answer or one refusal; "not run" is said only when no upstream may have run it; whatever
- * the request holds is given back in {@link #over(ResultCode)}, which every way out passes once.
+ * the request holds is given back in {@link #finish(ResultCode)}, which every way out passes once.
  */
 public abstract class RequestExchange {
 
     /** How many attempts are made at most, the first included. */
-    private static final int MOST_ATTEMPTS = 4;
+    private static final int MAX_ATTEMPTS = 4;
 
     /** How long to wait before an outcome is recorded again, milliseconds. */
-    private static final long RECORD_AGAIN_MILLIS = 200;
+    private static final long RECORD_RETRY_MILLIS = 200;
 
     /** How long before its end a lease is no longer trusted, nanoseconds. */
     private static final long LEASE_MARGIN_NANOS = 2_000_000_000L;
@@ -54,10 +54,10 @@
     private volatile Stage mStage = Stage.RECEIVED;
 
     /** The upstream that has it, for people to see; empty for none. */
-    private volatile String mWhere = "";
+    private volatile String mUpstream = "";
 
     /** Ends the request when its deadline passes. */
-    private Future<?> mDeadline;
+    private Future<?> mDeadlineTimer;
 
     /** The claim on its key, once granted. */
     private Claim mClaim;
@@ -75,10 +75,10 @@
     private final OutcomeTracker mOutcomeTracker = new OutcomeTracker();
 
     /** The upstreams that failed it. */
-    private final Set<UpstreamId> mAvoid = new HashSet<>();
+    private final Set<UpstreamId> mFailedUpstreams = new HashSet<>();
 
     /** The complete answer while its outcome is being recorded, or null. */
-    private StoredAnswer mComplete;
+    private StoredAnswer mPendingAnswer;
 
     /**
      * Creates an exchange.
@@ -105,23 +105,23 @@
             return;
         }
         count("accepted");
-        event("accepted", requestClass().partner() + "/" + requestClass().name());
-        exchange().onGone(this::callerGone);
-        mDeadline =
+        recordEvent("accepted", requestClass().partner() + "/" + requestClass().name());
+        exchange().onGone(this::onCallerGone);
+        mDeadlineTimer =
                 exchange()
                         .loop()
                         .schedule(
-                                this::deadline,
+                                this::onDeadline,
                                 requestClass().deadlineMillis(),
                                 TimeUnit.MILLISECONDS);
         if (mArrival.key() == null) {
             enqueue();
         } else {
-            stage(Stage.CLAIMING);
+            setStage(Stage.CLAIMING);
             mServices
                     .claims()
-                    .begin(requestClass(), mArrival.key(), mArrival.fingerprint())
-                    .thenAccept(outcome -> onLoop(() -> claimed(outcome)));
+                    .acquire(requestClass(), mArrival.key(), mArrival.fingerprint())
+                    .thenAccept(outcome -> runOnLoop(() -> onClaimOutcome(outcome)));
         }
     }
 
@@ -130,26 +130,26 @@
      *
      * @param outcome what came of it
      */
-    private void claimed(ClaimOutcome outcome) {
+    private void onClaimOutcome(ClaimOutcome outcome) {
         if (outcome instanceof ClaimOutcome.Granted granted) {
             mClaim = granted.claim();
             if (isOver()) {
-                mServices.claims().released(mClaim);
+                mServices.claims().release(mClaim);
             } else {
-                event("claimed", "epoch " + mClaim.row().epoch());
+                recordEvent("claimed", "epoch " + mClaim.row().epoch());
                 enqueue();
             }
         } else if (isOver()) {
             return;
         } else if (outcome instanceof ClaimOutcome.Replayed replayed) {
-            event("replayed", "");
+            recordEvent("replayed", "");
             count("replayed");
-            sendWhole(replayed.answer());
-            over(null);
+            sendAnswer(replayed.answer());
+            finish(null);
         } else if (outcome instanceof ClaimOutcome.Refused refused) {
             refuse(refused.code(), refused.detail());
         } else if (requestClass().whenTableUnavailable() == TableRule.RUN) {
-            event("run-without-claim", "");
+            recordEvent("run-without-claim", "");
             enqueue();
         } else {
             refuse(ResultCode.TABLE_UNAVAILABLE, "no claim can be made");
@@ -158,25 +158,25 @@
 
     /** Asks the admission controller to start. */
     private void enqueue() {
-        stage(Stage.QUEUED);
-        mTicket = ticket(mArrivalNanos, Set.copyOf(mAvoid), new AdmissionAnswer());
+        setStage(Stage.QUEUED);
+        mTicket = ticket(mArrivalNanos, Set.copyOf(mFailedUpstreams), new AdmissionListener());
         Ticket ticket = mTicket;
         mServices.node().control().execute(() -> mServices.controller().submit(ticket));
     }
 
     /** Receives the admission controller's answer on the control thread and passes it on. */
-    private final class AdmissionAnswer implements Ticket.Answer {
+    private final class AdmissionListener implements Ticket.Listener {
 
         /** {@inheritDoc} */
         @Override
-        public void granted(Grant grant) {
-            onLoop(() -> begin(grant));
+        public void onGranted(Grant grant) {
+            runOnLoop(() -> startAttempt(grant));
         }
 
         /** {@inheritDoc} */
         @Override
-        public void refused(TroutpierException why) {
-            onLoop(() -> refuse(why.code(), why.detail()));
+        public void onRefused(TroutpierException why) {
+            runOnLoop(() -> refuse(why.code(), why.detail()));
         }
     }
 
@@ -185,19 +185,19 @@
      *
      * @param grant what it may use
      */
-    private void begin(Grant grant) {
+    private void startAttempt(Grant grant) {
         if (isOver()) {
-            giveBack(grant);
+            release(grant);
             return;
         }
         mTicket = null;
         mGrant = grant;
         mAttempts++;
         if (mAttempts == 1) {
-            mServices.budget().firstTry(requestClass().partner());
+            mServices.budget().recordFirstAttempt(requestClass().partner());
             count("first-tries");
         }
-        run(grant, attempt());
+        runAttempt(grant, attemptId());
     }
 
     /**
@@ -209,7 +209,7 @@
      * @return the ticket
      */
     protected abstract Ticket ticket(
-            long arrivalNanos, Set<UpstreamId> avoid, Ticket.Answer answer);
+            long arrivalNanos, Set<UpstreamId> failedUpstreams, Ticket.Listener listener);
 
     /**
      * Runs one attempt.
@@ -217,7 +217,7 @@
      * @param grant what it may use
      * @param attempt names the attempt
      */
-    protected abstract void run(Grant grant, String attempt);
+    protected abstract void runAttempt(Grant grant, String attempt);
 
     /** Ends the exchanges of the current attempt and cancels what its upstreams may hold. */
     protected abstract void stopAttempt();
@@ -227,7 +227,7 @@
      *
      * @param answer the answer
      */
-    protected abstract void sendWhole(StoredAnswer answer);
+    protected abstract void sendAnswer(StoredAnswer answer);
 
     /**
      * Tells the caller of an answer that has begun that it will not be whole, and cuts it.
@@ -235,27 +235,27 @@
      * @param code why
      * @param detail what exactly
      */
-    protected abstract void sendCut(ResultCode code, String detail);
+    protected abstract void sendTruncation(ResultCode code, String detail);
 
     /**
      * Ends the current attempt without an answer: the request is tried again or refused.
      *
      * @param end how it ended
      */
-    protected final void attemptEnded(AttemptEnd end) {
+    protected final void onAttemptEnd(AttemptEnd end) {
         if (isOver()) {
             return;
         }
-        event("attempt-ended", end.code().label() + " " + end.detail());
+        recordEvent("attempt-ended", end.code().label() + " " + end.detail());
         Grant grant = mGrant;
         mGrant = null;
         stopAttempt();
-        report(grant, end);
+        reportAttemptEnd(grant, end);
         mOutcomeTracker.recordAttemptEnd(end);
-        stage(Stage.QUEUED);
+        setStage(Stage.QUEUED);
         if (!requestClass().repeatable() && mOutcomeTracker.mayHaveRun()) {
             refuse(end.code(), end.detail());
-        } else if (mAttempts >= MOST_ATTEMPTS) {
+        } else if (mAttempts >= MAX_ATTEMPTS) {
             refuse(end.code(), "tried " + mAttempts + " times; " + end.detail());
         } else if (!end.notStarted() || !end.unreachable()) {
             retryWithinBudget(end);
@@ -270,7 +270,7 @@
      * @param end how the last attempt ended
      */
     private void retryWithinBudget(AttemptEnd end) {
-        if (mServices.budget().retry(requestClass().partner())) {
+        if (mServices.budget().tryAcquire(requestClass().partner())) {
             count("retries");
             enqueue();
         } else {
@@ -288,20 +288,20 @@
      * @param grant what it used
      * @param end how it ended
      */
-    private void report(Grant grant, AttemptEnd end) {
-        UpstreamId blamed = blamed(grant);
-        mAvoid.add(blamed);
+    private void reportAttemptEnd(Grant grant, AttemptEnd end) {
+        UpstreamId failedUpstream = failedUpstream(grant);
+        mFailedUpstreams.add(failedUpstream);
         mServices
                 .node()
                 .control()
                 .execute(
                         () -> {
                             if (end.neverReached()) {
-                                mServices.controller().unreached(blamed);
+                                mServices.controller().onUnreachable(failedUpstream);
                             } else if (end.notStarted()) {
-                                mServices.controller().refusedBy(blamed, end.leaving());
+                                mServices.controller().onRefusal(failedUpstream, end.leaving());
                             }
-                            mServices.controller().ended(grant);
+                            mServices.controller().release(grant);
                         });
     }
 
@@ -311,7 +311,7 @@
      * @param grant what it used
      * @return the upstream
      */
-    protected abstract UpstreamId blamed(Grant grant);
+    protected abstract UpstreamId failedUpstream(Grant grant);
 
     /**
      * Goes on when the answer is complete: its outcome is recorded where the class asks for it, and
@@ -320,22 +320,22 @@
      * @param answer the answer
      * @param keep whether it is small enough to be kept
      */
-    protected final void complete(StoredAnswer answer, boolean keep) {
+    protected final void onAnswerComplete(StoredAnswer answer, boolean keep) {
         Grant grant = mGrant;
         mGrant = null;
-        giveBack(grant);
-        stage(Stage.ANSWERING);
+        release(grant);
+        setStage(Stage.ANSWERING);
         if (mClaim == null) {
-            answered(answer);
+            sendAndFinish(answer);
             return;
         }
-        mComplete = answer;
-        boolean first = requestClass().answerCommit() == AnswerCommit.AFTER_END_MARK;
-        long left = mClaim.safeUntilNanos() - mServices.node().nanos().getAsLong();
-        if (first && left > LEASE_MARGIN_NANOS) {
-            mServices.claims().answeredInBackground(mClaim, kept(answer, keep));
+        mPendingAnswer = answer;
+        boolean sendBeforeRecording = requestClass().answerCommit() == AnswerCommit.AFTER_END_MARK;
+        long leaseNanos = mClaim.safeUntilNanos() - mServices.node().nanos().getAsLong();
+        if (sendBeforeRecording && leaseNanos > LEASE_MARGIN_NANOS) {
+            mServices.claims().recordAnswerInBackground(mClaim, answerToKeep(answer, keep));
             mClaim = null;
-            answered(answer);
+            sendAndFinish(answer);
         } else {
             recordOutcome(answer, keep);
         }
@@ -353,8 +353,8 @@
         }
         mServices
                 .claims()
-                .answered(mClaim, kept(answer, keep))
-                .thenAccept(settled -> onLoop(() -> recorded(answer, keep, settled)));
+                .recordAnswer(mClaim, answerToKeep(answer, keep))
+                .thenAccept(settled -> runOnLoop(() -> onRecorded(answer, keep, settled)));
     }
 
     /**
@@ -364,14 +364,14 @@
      * @param keep whether it is small enough to be kept
      * @param settled what came of it
      */
-    private void recorded(StoredAnswer answer, boolean keep, Settled settled) {
+    private void onRecorded(StoredAnswer answer, boolean keep, SettlementResult settled) {
         if (isOver()) {
             return;
         }
         switch (settled) {
             case DONE -> {
                 mClaim = null;
-                answered(answer);
+                sendAndFinish(answer);
             }
             case SUPERSEDED -> {
                 mClaim = null;
@@ -383,7 +383,7 @@
                             .loop()
                             .schedule(
                                     () -> recordOutcome(answer, keep),
-                                    RECORD_AGAIN_MILLIS,
+                                    RECORD_RETRY_MILLIS,
                                     TimeUnit.MILLISECONDS);
         }
     }
@@ -395,7 +395,7 @@
      * @param keep whether it is small enough
      * @return the answer, or empty
      */
-    private static Optional<StoredAnswer> kept(StoredAnswer answer, boolean keep) {
+    private static Optional<StoredAnswer> answerToKeep(StoredAnswer answer, boolean keep) {
         return keep ? Optional.of(answer) : Optional.empty();
     }
 
@@ -404,15 +404,15 @@
      *
      * @param answer the answer
      */
-    private void answered(StoredAnswer answer) {
+    private void sendAndFinish(StoredAnswer answer) {
         count("answered");
-        event("answered", "");
-        sendWhole(answer);
-        over(null);
+        recordEvent("answered", "");
+        sendAnswer(answer);
+        finish(null);
     }
 
     /** Ends the request because its deadline has passed. */
-    private void deadline() {
+    private void onDeadline() {
         if (mStage == Stage.ANSWERING) {
             refuse(ResultCode.OUTCOME_NOT_RECORDED, "the table did not confirm in time");
         } else if (mOutcomeTracker.mayHaveRun() || mStage.isAtUpstream()) {
@@ -423,18 +423,18 @@
     }
 
     /** Ends the request because its caller is gone. */
-    private void callerGone() {
+    private void onCallerGone() {
         if (isOver()) {
             return;
         }
         count("caller-gone");
-        event("caller-gone", mStage.label());
+        recordEvent("caller-gone", mStage.label());
         if (mStage == Stage.ANSWERING && mClaim != null) {
-            mServices.claims().answeredInBackground(mClaim, Optional.of(mComplete));
+            mServices.claims().recordAnswerInBackground(mClaim, Optional.of(mPendingAnswer));
             mClaim = null;
         }
         mOutcomeTracker.recordAtUpstream(mStage.isAtUpstream());
-        over(ResultCode.OUTCOME_UNKNOWN);
+        finish(ResultCode.OUTCOME_UNKNOWN);
     }
 
     /**
@@ -443,11 +443,11 @@
      * @param by who orders it
      */
     public final void cancel(String by) {
-        onLoop(
+        runOnLoop(
                 () -> {
-                    boolean run = mOutcomeTracker.mayHaveRun() || mStage.isAtUpstream();
+                    boolean mayHaveRun = mOutcomeTracker.mayHaveRun() || mStage.isAtUpstream();
                     refuse(
-                            run ? ResultCode.OUTCOME_UNKNOWN : ResultCode.UPSTREAMS_REFUSED,
+                            mayHaveRun ? ResultCode.OUTCOME_UNKNOWN : ResultCode.UPSTREAMS_REFUSED,
                             "cancelled by " + by);
                 });
     }
@@ -459,24 +459,24 @@
      * @param wished the code that fits the last step
      * @param detail what exactly
      */
-    protected final void refuse(ResultCode wished, String detail) {
+    protected final void refuse(ResultCode preferred, String detail) {
         if (isOver()) {
             return;
         }
         mOutcomeTracker.recordAtUpstream(mStage.isAtUpstream());
-        ResultCode code = mOutcomeTracker.reportableCode(wished);
+        ResultCode code = mOutcomeTracker.reportableCode(preferred);
         Invariants.check(
                 code.family() != Family.NOT_RUN || !mOutcomeTracker.mayHaveRun(),
                 "untruthful-refusal",
                 id());
         count("refused." + code.label());
-        event("refused", code.label() + " " + detail);
+        recordEvent("refused", code.label() + " " + detail);
         if (exchange().begun()) {
-            sendCut(code, detail);
+            sendTruncation(code, detail);
         } else {
             exchange().answer(Answers.refusal(code, detail));
         }
-        over(code);
+        finish(code);
     }
 
     /**
@@ -484,26 +484,26 @@
      *
      * @param code how the request ended, or null where it was answered
      */
-    private void over(ResultCode code) {
+    private void finish(ResultCode code) {
         Invariants.check(mStage != Stage.OVER, "ended-twice", id());
-        boolean ran = mOutcomeTracker.mayHaveRun();
+        boolean mayHaveRun = mOutcomeTracker.mayHaveRun();
         stopAttempt();
         mStage = Stage.OVER;
-        mDeadline.cancel(false);
+        mDeadlineTimer.cancel(false);
         if (mTicket != null) {
             Ticket ticket = mTicket;
             mServices.node().control().execute(() -> mServices.controller().withdraw(ticket));
             mTicket = null;
         }
         if (mGrant != null) {
-            giveBack(mGrant);
+            release(mGrant);
             mGrant = null;
         }
         if (mClaim != null) {
-            if (ran && !requestClass().repeatable()) {
-                mServices.claims().ended(mClaim, code);
+            if (mayHaveRun && !requestClass().repeatable()) {
+                mServices.claims().recordEnd(mClaim, code);
             } else {
-                mServices.claims().released(mClaim);
+                mServices.claims().release(mClaim);
             }
             mClaim = null;
         }
@@ -515,8 +515,8 @@
      *
      * @param grant the grant
      */
-    private void giveBack(Grant grant) {
-        mServices.node().control().execute(() -> mServices.controller().ended(grant));
+    private void release(Grant grant) {
+        mServices.node().control().execute(() -> mServices.controller().release(grant));
     }
 
     /**
@@ -524,7 +524,7 @@
      *
      * @return the request's id, with the attempt's number from the second on
      */
-    private String attempt() {
+    private String attemptId() {
         return mAttempts == 1
                 ? id().value()
                 : id().value() + ExchangeRegistry.ATTEMPT_SEPARATOR + mAttempts;
@@ -535,7 +535,7 @@
      *
      * @param action the action
      */
-    protected final void onLoop(Runnable action) {
+    protected final void runOnLoop(Runnable action) {
         if (exchange().loop().inEventLoop()) {
             action.run();
         } else {
@@ -548,7 +548,7 @@
      *
      * @param stage the stage
      */
-    protected final void stage(Stage stage) {
+    protected final void setStage(Stage stage) {
         mStage = stage;
     }
 
@@ -557,8 +557,8 @@
      *
      * @param where the upstream
      */
-    protected final void where(String where) {
-        mWhere = where;
+    protected final void setUpstream(String upstream) {
+        mUpstream = upstream;
     }
 
     /**
@@ -576,7 +576,7 @@
      * @param kind what happened
      * @param detail what else is worth knowing
      */
-    protected final void event(String kind, String detail) {
+    protected final void recordEvent(String kind, String detail) {
         mServices.node().events().record(kind, id().value(), detail);
     }
 
@@ -586,8 +586,8 @@
      * @param attempt the attempt
      * @return whether it is the current one of a request that is not over
      */
-    protected final boolean current(String attempt) {
-        return !isOver() && mGrant != null && attempt.equals(attempt());
+    protected final boolean isCurrent(String attempt) {
+        return !isOver() && mGrant != null && attempt.equals(attemptId());
     }
 
     /**
@@ -595,10 +595,10 @@
      *
      * @return milliseconds to the deadline, at least one
      */
-    protected final int leftMillis() {
+    protected final int remainingMillis() {
         final long nanosPerMilli = 1_000_000L;
-        long passed = (mServices.node().nanos().getAsLong() - mArrivalNanos) / nanosPerMilli;
-        return (int) Math.max(1, requestClass().deadlineMillis() - passed);
+        long elapsedMillis = (mServices.node().nanos().getAsLong() - mArrivalNanos) / nanosPerMilli;
+        return (int) Math.max(1, requestClass().deadlineMillis() - elapsedMillis);
     }
 
     /**
@@ -661,7 +661,7 @@
      * @return the class
      */
     public final ClassDeclaration requestClass() {
-        return mArrival.declared();
+        return mArrival.requestClass();
     }
 
     /**
@@ -679,6 +679,6 @@
      * @return the upstream, empty for none
      */
     public final String currentUpstream() {
-        return mWhere;
+        return mUpstream;
     }
 }
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/request/RetryBudget.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/request/RetryBudget.java
@@ -12,21 +12,24 @@
 public final class RetryBudget {
 
     /** How much of a retry each first try earns. */
-    public static final double SHARE = 0.1;
+    public static final double EARNED_PER_FIRST_ATTEMPT = 0.1;
 
     /** How many retries may be saved up. */
-    private static final double MOST_SAVED = 200;
+    private static final double MAX_BALANCE = 200;
 
     /** What each partner has saved up. */
-    private final Map<PartnerId, Double> mSaved = new HashMap<>();
+    private final Map<PartnerId, Double> mBalances = new HashMap<>();
 
     /**
      * Takes note of a first try.
      *
      * @param partner whose it is
      */
-    public synchronized void firstTry(PartnerId partner) {
-        mSaved.merge(partner, SHARE, (saved, more) -> Math.min(MOST_SAVED, saved + more));
+    public synchronized void recordFirstAttempt(PartnerId partner) {
+        mBalances.merge(
+                partner,
+                EARNED_PER_FIRST_ATTEMPT,
+                (balance, earned) -> Math.min(MAX_BALANCE, balance + earned));
     }
 
     /**
@@ -35,13 +38,13 @@
      * @param partner whose it is
      * @return whether it may be made
      */
-    public synchronized boolean retry(PartnerId partner) {
-        final double whole = 1 - 1e-9;
-        double saved = mSaved.getOrDefault(partner, 0.0);
-        if (saved < whole) {
+    public synchronized boolean tryAcquire(PartnerId partner) {
+        final double oneRetry = 1 - 1e-9;
+        double balance = mBalances.getOrDefault(partner, 0.0);
+        if (balance < oneRetry) {
             return false;
         }
-        mSaved.put(partner, Math.max(0, saved - 1));
+        mBalances.put(partner, Math.max(0, balance - 1));
         return true;
     }
 }
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/request/ServiceExchange.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/request/ServiceExchange.java
@@ -39,13 +39,13 @@
     public static final String ID_HEADER = "X-Request-Id";
 
     /** The largest answer that is kept for a key, bytes. */
-    private static final int MOST_KEPT = 1024 * 1024;
+    private static final int MAX_KEPT_BYTES = 1024 * 1024;
 
     /** The status by which a service may say that it did not start. */
     private static final int UNAVAILABLE = 503;
 
     /** The headers that belong to one connection and are not passed on. */
-    private static final Set<String> HOP_HEADERS =
+    private static final Set<String> HOP_BY_HOP_HEADERS =
             Set.of(
                     "connection",
                     "keep-alive",
@@ -65,7 +65,7 @@
     private final String mPath;
 
     /** The exchange with the service, or null. */
-    private HttpCalls.Ongoing mOngoing;
+    private HttpCalls.Ongoing mCall;
 
     /** The current attempt. */
     private String mAttempt = "";
@@ -80,7 +80,7 @@
     private final ByteArrayOutputStream mBody = new ByteArrayOutputStream();
 
     /** Whether the body is kept back until the outcome is recorded. */
-    private boolean mHoldBack;
+    private boolean mBuffering;
 
     /** Whether the body grew too large to be kept. */
     private boolean mOverflow;
@@ -99,31 +99,33 @@
 
     /** {@inheritDoc} */
     @Override
-    protected Ticket ticket(long arrivalNanos, Set<UpstreamId> avoid, Ticket.Answer answer) {
-        return new Ticket(id(), requestClass(), List.of(), 0, arrivalNanos, avoid, answer);
+    protected Ticket ticket(
+            long arrivalNanos, Set<UpstreamId> failedUpstreams, Ticket.Listener listener) {
+        return new Ticket(
+                id(), requestClass(), List.of(), 0, arrivalNanos, failedUpstreams, listener);
     }
 
     /** {@inheritDoc} */
     @Override
-    protected void run(Grant grant, String attempt) {
+    protected void runAttempt(Grant grant, String attempt) {
         mAttempt = attempt;
-        mHoldBack = arrival().key() != null;
+        mBuffering = arrival().key() != null;
         mBody.reset();
-        stage(Stage.CALLING);
-        where(grant.main().id().value());
-        event("call", grant.main().id().value());
+        setStage(Stage.CALLING);
+        setUpstream(grant.main().id().value());
+        recordEvent("call", grant.main().id().value());
         HttpCall call =
                 HttpCall.of(exchange().method(), grant.main().address().url(mPath))
                         .withBody(exchange().body())
-                        .withTimeout(leftMillis());
-        for (Map.Entry<String, String> header : passedOn().entrySet()) {
+                        .withTimeout(remainingMillis());
+        for (Map.Entry<String, String> header : forwardedHeaders().entrySet()) {
             call = call.withHeader(header.getKey(), header.getValue());
         }
         call = call.withHeader(ID_HEADER, attempt);
         if (!requestClass().repeatable()) {
             call = call.withFreshConnection();
         }
-        mOngoing = services().node().calls().send(call, new Answering(attempt));
+        mCall = services().node().calls().send(call, new ReplyHandler(attempt));
     }
 
     /**
@@ -131,12 +133,12 @@
      *
      * @return the headers
      */
-    private Map<String, String> passedOn() {
+    private Map<String, String> forwardedHeaders() {
         Map<String, String> headers = new LinkedHashMap<>();
         for (Map.Entry<String, String> header : exchange().headers()) {
             String name = header.getKey().toLowerCase(Locale.ROOT);
             boolean length = name.equals("content-length");
-            if (!HOP_HEADERS.contains(name) && !ROUTER_HEADERS.contains(name) && !length) {
+            if (!HOP_BY_HOP_HEADERS.contains(name) && !ROUTER_HEADERS.contains(name) && !length) {
                 headers.merge(header.getKey(), header.getValue(), (a, b) -> a + ", " + b);
             }
         }
@@ -144,18 +146,18 @@
     }
 
     /** Receives the service's answer on any thread and passes on what is still of interest. */
-    private final class Answering implements ReplyListener {
+    private final class ReplyHandler implements ReplyListener {
 
         /** The attempt that this belongs to. */
-        private final String mOf;
+        private final String mListenedAttempt;
 
         /**
          * Creates a listener.
          *
          * @param attempt the attempt that this belongs to
          */
-        Answering(String attempt) {
-            mOf = attempt;
+        ReplyHandler(String attempt) {
+            mListenedAttempt = attempt;
         }
 
         /**
@@ -164,9 +166,9 @@
          * @param action the action
          */
         private void ifCurrent(Runnable action) {
-            onLoop(
+            runOnLoop(
                     () -> {
-                        if (current(mOf)) {
+                        if (isCurrent(mListenedAttempt)) {
                             action.run();
                         }
                     });
@@ -175,19 +177,19 @@
         /** {@inheritDoc} */
         @Override
         public void onHead(int status, HttpHeaders headers) {
-            ifCurrent(() -> head(status, headers));
+            ifCurrent(() -> acceptHead(status, headers));
         }
 
         /** {@inheritDoc} */
         @Override
         public void onPart(byte[] part) {
-            ifCurrent(() -> part(part));
+            ifCurrent(() -> acceptPart(part));
         }
 
         /** {@inheritDoc} */
         @Override
         public void onEnd() {
-            ifCurrent(ServiceExchange.this::end);
+            ifCurrent(ServiceExchange.this::finishReply);
         }
 
         /** {@inheritDoc} */
@@ -196,7 +198,7 @@
             String detail = String.valueOf(failure.getMessage());
             ifCurrent(
                     () ->
-                            broken(
+                            onCallFailure(
                                     failure.sent()
                                             ? AttemptEnd.lost(detail)
                                             : AttemptEnd.unreached(detail)));
@@ -209,12 +211,12 @@
      * @param status the HTTP status
      * @param headers the headers
      */
-    private void head(int status, HttpHeaders headers) {
+    private void acceptHead(int status, HttpHeaders headers) {
         String echoed = headers.get(ID_HEADER);
         if (status == UNAVAILABLE && "false".equals(headers.get(STARTED_HEADER))) {
-            attemptEnded(AttemptEnd.refused(false, "the service says that it did not start"));
+            onAttemptEnd(AttemptEnd.refused(false, "the service says that it did not start"));
         } else if (echoed != null && !echoed.equals(mAttempt)) {
-            attemptEnded(AttemptEnd.failed(ResultCode.UPSTREAM_MISMATCH, "echoed " + echoed));
+            onAttemptEnd(AttemptEnd.failed(ResultCode.UPSTREAM_MISMATCH, "echoed " + echoed));
         } else {
             mStatus = status;
             mHeaders = headers;
@@ -226,17 +228,17 @@
      *
      * @param part the part
      */
-    private void part(byte[] part) {
-        if (mHoldBack) {
+    private void acceptPart(byte[] part) {
+        if (mBuffering) {
             mBody.writeBytes(part);
-            if (mBody.size() > MOST_KEPT) {
-                mHoldBack = false;
+            if (mBody.size() > MAX_KEPT_BYTES) {
+                mBuffering = false;
                 mOverflow = true;
-                passOn(mBody.toByteArray());
+                forward(mBody.toByteArray());
                 mBody.reset();
             }
         } else {
-            passOn(part);
+            forward(part);
         }
     }
 
@@ -245,9 +247,9 @@
      *
      * @param part the part
      */
-    private void passOn(byte[] part) {
+    private void forward(byte[] part) {
         if (!exchange().begun()) {
-            HttpHeaders headers = shownHeaders(mHeaders);
+            HttpHeaders headers = callerHeaders(mHeaders);
             if (mOverflow) {
                 headers.remove(HttpHeaderNames.CONTENT_LENGTH);
             }
@@ -255,29 +257,30 @@
             exchange().onWritable(this::resume);
         }
         exchange().write(part);
-        if (!exchange().writable() && mOngoing != null) {
-            mOngoing.pause();
+        if (!exchange().writable() && mCall != null) {
+            mCall.pause();
             if (exchange().writable()) {
-                mOngoing.resume();
+                mCall.resume();
             }
         }
     }
 
     /** Lets the service go on. */
     private void resume() {
-        if (mOngoing != null) {
-            mOngoing.resume();
+        if (mCall != null) {
+            mCall.resume();
         }
     }
 
     /** Goes on when the service's answer is complete. */
-    private void end() {
-        mOngoing = null;
-        boolean good = !requestClass().hasTarget() || inTime();
+    private void finishReply() {
+        mCall = null;
+        boolean good = !requestClass().hasTarget() || metTarget();
         count(good ? "good" : "late");
         Map<String, String> headers = new LinkedHashMap<>();
-        shownHeaders(mHeaders).forEach(entry -> headers.put(entry.getKey(), entry.getValue()));
-        complete(new StoredAnswer(mStatus, headers, null, 0, mBody.toByteArray()), !mOverflow);
+        callerHeaders(mHeaders).forEach(entry -> headers.put(entry.getKey(), entry.getValue()));
+        onAnswerComplete(
+                new StoredAnswer(mStatus, headers, null, 0, mBody.toByteArray()), !mOverflow);
     }
 
     /**
@@ -285,7 +288,7 @@
      *
      * @return whether it came in time
      */
-    private boolean inTime() {
+    private boolean metTarget() {
         final long nanosPerMilli = 1_000_000L;
         long took = services().node().nanos().getAsLong() - arrivalNanos();
         return took <= requestClass().firstTokenMillis() * nanosPerMilli;
@@ -296,32 +299,32 @@
      *
      * @param end how it ended
      */
-    private void broken(AttemptEnd end) {
+    private void onCallFailure(AttemptEnd end) {
         if (exchange().begun()) {
             refuse(ResultCode.UPSTREAM_FAILED, end.detail());
         } else {
-            attemptEnded(end);
+            onAttemptEnd(end);
         }
     }
 
     /** {@inheritDoc} */
     @Override
-    protected UpstreamId blamed(Grant grant) {
+    protected UpstreamId failedUpstream(Grant grant) {
         return grant.main().id();
     }
 
     /** {@inheritDoc} */
     @Override
     protected void stopAttempt() {
-        if (mOngoing != null) {
-            mOngoing.abort();
-            mOngoing = null;
+        if (mCall != null) {
+            mCall.abort();
+            mCall = null;
         }
     }
 
     /** {@inheritDoc} */
     @Override
-    protected void sendWhole(StoredAnswer answer) {
+    protected void sendAnswer(StoredAnswer answer) {
         if (exchange().begun()) {
             exchange().end();
             return;
@@ -342,7 +345,7 @@
 
     /** {@inheritDoc} */
     @Override
-    protected void sendCut(ResultCode code, String detail) {
+    protected void sendTruncation(ResultCode code, String detail) {
         exchange().cut();
     }
 
@@ -352,14 +355,14 @@
      * @param headers the service's headers
      * @return new headers
      */
-    private HttpHeaders shownHeaders(HttpHeaders headers) {
-        HttpHeaders shown = new DefaultHttpHeaders();
+    private HttpHeaders callerHeaders(HttpHeaders headers) {
+        HttpHeaders callerHeaders = new DefaultHttpHeaders();
         for (Map.Entry<String, String> header : headers) {
-            if (!HOP_HEADERS.contains(header.getKey().toLowerCase(Locale.ROOT))) {
-                shown.add(header.getKey(), header.getValue());
+            if (!HOP_BY_HOP_HEADERS.contains(header.getKey().toLowerCase(Locale.ROOT))) {
+                callerHeaders.add(header.getKey(), header.getValue());
             }
         }
-        shown.set(ID_HEADER, id().value());
-        return shown;
+        callerHeaders.set(ID_HEADER, id().value());
+        return callerHeaders;
     }
 }
--- a/troutpier-daemon/src/test/java/org/troutpier/daemon/admission/CoordinatorPermitsTest.java
+++ b/troutpier-daemon/src/test/java/org/troutpier/daemon/admission/CoordinatorPermitsTest.java
@@ -35,7 +35,7 @@
 
     private final AtomicLong mNow = new AtomicLong(1);
     private final List<Router> mRouters = new ArrayList<>();
-    private final List<Message> mUnderWay = new ArrayList<>();
+    private final List<Message> mInFlight = new ArrayList<>();
 
     private record Message(Incarnation from, Incarnation to, PeerMessage message) {}
 
@@ -63,7 +63,7 @@
                             mMembership,
                             mUpstreamRegistry,
                             (to, message) ->
-                                    mUnderWay.add(new Message(mMember.incarnation(), to, message)),
+                                    mInFlight.add(new Message(mMember.incarnation(), to, message)),
                             () -> {});
         }
 
@@ -71,7 +71,7 @@
             return mUpstreamRegistry.get(new UpstreamId("decode-1"));
         }
 
-        void take(PeerMessage message, Incarnation from) {
+        void receive(PeerMessage message, Incarnation from) {
             if (message instanceof PeerMessage.PermitAsk ask) {
                 mPermits.onAsk(from, ask);
             } else if (message instanceof PeerMessage.PermitGrant grant) {
@@ -104,7 +104,7 @@
                 List.of());
     }
 
-    private void everybodyHears() {
+    private void exchangeContacts() {
         for (Router one : mRouters) {
             for (Router other : mRouters) {
                 if (one != other) {
@@ -122,30 +122,30 @@
     }
 
     private void deliver(int index) {
-        Message message = mUnderWay.remove(index);
+        Message message = mInFlight.remove(index);
         Router to = router(message.to());
         if (to != null) {
-            to.take(message.message(), message.from());
+            to.receive(message.message(), message.from());
         }
     }
 
     private int held() {
         return mRouters.stream()
-                .mapToInt(router -> router.mPermits.held(new UpstreamId("decode-1")))
+                .mapToInt(router -> router.mPermits.heldPermits(new UpstreamId("decode-1")))
                 .sum();
     }
 
     private void start() {
         mRouters.clear();
-        mUnderWay.clear();
+        mInFlight.clear();
         for (int number = 1; number <= ROUTERS; number++) {
             mRouters.add(new Router(number));
         }
-        everybodyHears();
+        exchangeContacts();
     }
 
     @Test
-    public void randomRunsNeverGiveMoreThanTheEngineHasAndForgetNone() {
+    public void permitsNeverExceedSlotsAndNoneIsLost() {
         long seed = System.nanoTime();
         Reporter.log("seed " + seed, true);
         Random random = new Random(seed);
@@ -153,58 +153,59 @@
         for (int step = 0; step < 200_000; step++) {
             mNow.addAndGet(random.nextInt(4) * MILLI / 2);
             if (step % 500 == 0) {
-                everybodyHears();
+                exchangeContacts();
             }
             Router router = mRouters.get(random.nextInt(ROUTERS));
             router.mControl.run();
             switch (random.nextInt(5)) {
                 case 0, 1 -> {
-                    if (router.mPermits.available(router.engine())) {
-                        router.mPermits.take(router.engine());
+                    if (router.mPermits.isAvailable(router.engine())) {
+                        router.mPermits.acquire(router.engine());
                         router.mUsed++;
                     } else {
-                        router.mPermits.wanted(List.of(router.engine()), 1 + random.nextInt(4));
+                        router.mPermits.requestPermits(
+                                List.of(router.engine()), 1 + random.nextInt(4));
                     }
                 }
                 case 2 -> {
                     if (router.mUsed > 0) {
-                        router.mPermits.giveBack(router.engine());
+                        router.mPermits.release(router.engine());
                         router.mUsed--;
                     }
                 }
                 case 3 -> {
                     for (int message = random.nextInt(8); message > 0; message--) {
-                        if (!mUnderWay.isEmpty()) {
+                        if (!mInFlight.isEmpty()) {
                             deliver(0);
                         }
                     }
                 }
                 default -> {
-                    mRouters.forEach(one -> one.mControl.tick());
+                    mRouters.forEach(one -> one.mControl.runPeriodicTasks());
                 }
             }
             assertTrue(held() <= SLOTS, "seed " + seed + " step " + step + ": " + held());
         }
-        assertNoSlotIsForgotten(mRouters.get(random.nextInt(ROUTERS)), seed);
+        assertNoPermitIsLost(mRouters.get(random.nextInt(ROUTERS)), seed);
     }
 
     /** Gives everything back and lets one router take it all. */
-    private void assertNoSlotIsForgotten(Router last, long seed) {
+    private void assertNoPermitIsLost(Router last, long seed) {
         for (Router router : mRouters) {
             for (; router.mUsed > 0; router.mUsed--) {
-                router.mPermits.giveBack(router.engine());
+                router.mPermits.release(router.engine());
             }
         }
         for (int round = 0; round < 3000 && last.mUsed < SLOTS; round++) {
             mNow.addAndGet(MILLI);
-            everybodyHears();
-            while (last.mPermits.available(last.engine())) {
-                last.mPermits.take(last.engine());
+            exchangeContacts();
+            while (last.mPermits.isAvailable(last.engine())) {
+                last.mPermits.acquire(last.engine());
                 last.mUsed++;
             }
-            last.mPermits.wanted(List.of(last.engine()), SLOTS);
-            mRouters.forEach(one -> one.mControl.tick());
-            while (!mUnderWay.isEmpty()) {
+            last.mPermits.requestPermits(List.of(last.engine()), SLOTS);
+            mRouters.forEach(one -> one.mControl.runPeriodicTasks());
+            while (!mInFlight.isEmpty()) {
                 deliver(0);
             }
             assertTrue(held() <= SLOTS, "seed " + seed + " round " + round + ": " + held());
@@ -213,45 +214,45 @@
     }
 
     @Test
-    public void aNewCoordinatorGivesNothingThatTheOthersStillHold() {
+    public void newCoordinatorGrantsNothingThatOthersStillHold() {
         start();
         for (int round = 0; round < 2000; round++) {
             mNow.addAndGet(MILLI);
             for (Router router : mRouters) {
-                while (router.mPermits.available(router.engine())) {
-                    router.mPermits.take(router.engine());
+                while (router.mPermits.isAvailable(router.engine())) {
+                    router.mPermits.acquire(router.engine());
                 }
-                router.mPermits.wanted(List.of(router.engine()), 10);
+                router.mPermits.requestPermits(List.of(router.engine()), 10);
             }
             mRouters.forEach(one -> one.mControl.run());
-            while (!mUnderWay.isEmpty()) {
+            while (!mInFlight.isEmpty()) {
                 deliver(0);
             }
             if (round % 400 == 399) {
-                everybodyHears();
+                exchangeContacts();
             }
-            mRouters.forEach(one -> one.mControl.tick());
+            mRouters.forEach(one -> one.mControl.runPeriodicTasks());
         }
         assertEquals(held(), SLOTS);
         Router coordinator =
                 router(
                         org.troutpier.daemon.peer.CoordinatorSelector.select(
                                 "decode-1", mRouters.get(0).mMembership.serving()));
-        int lost = coordinator.mPermits.held(new UpstreamId("decode-1"));
+        int lost = coordinator.mPermits.heldPermits(new UpstreamId("decode-1"));
         mRouters.remove(coordinator);
         for (int round = 0; round < 4000; round++) {
             mNow.addAndGet(MILLI);
             if (round % 400 == 0) {
-                everybodyHears();
+                exchangeContacts();
             }
             for (Router router : mRouters) {
-                router.mPermits.wanted(List.of(router.engine()), 10);
+                router.mPermits.requestPermits(List.of(router.engine()), 10);
             }
             mRouters.forEach(one -> one.mControl.run());
-            while (!mUnderWay.isEmpty()) {
+            while (!mInFlight.isEmpty()) {
                 deliver(0);
             }
-            mRouters.forEach(one -> one.mControl.tick());
+            mRouters.forEach(one -> one.mControl.runPeriodicTasks());
             assertTrue(held() <= SLOTS, "round " + round + ": " + held());
         }
         assertTrue(held() > SLOTS - lost, "the lost permits are given again");
--- a/troutpier-daemon/src/test/java/org/troutpier/daemon/admission/FairQueueTest.java
+++ b/troutpier-daemon/src/test/java/org/troutpier/daemon/admission/FairQueueTest.java
@@ -29,7 +29,7 @@
     }
 
     @Test
-    public void servesPartnersByWeightWhateverTheirQueues() {
+    public void servesPartnersByWeightRegardlessOfQueueLength() {
         FairQueue<PartnerId> queue = new FairQueue<>();
         for (int item = 0; item < 1000; item++) {
             queue.add(ASSOCIATION, ASSOCIATION, item, 1);
@@ -46,7 +46,7 @@
     }
 
     @Test
-    public void aPartnerThatWasIdleHasSavedNothingUp() {
+    public void idlePartnerAccumulatesNoCredit() {
         FairQueue<PartnerId> queue = new FairQueue<>();
         for (int item = 0; item < 500; item++) {
             queue.add(ASSOCIATION, ASSOCIATION, item, 1);
@@ -65,7 +65,7 @@
     }
 
     @Test
-    public void randomRunsLoseNothingAndKeepCount() {
+    public void randomOperationsLoseNoEntries() {
         long seed = System.nanoTime();
         Reporter.log("seed " + seed, true);
         Random random = new Random(seed);
--- a/troutpier-daemon/src/test/java/org/troutpier/daemon/admission/ManualControl.java
+++ b/troutpier-daemon/src/test/java/org/troutpier/daemon/admission/ManualControl.java
@@ -10,7 +10,7 @@
 final class ManualControl implements Control {
 
     private final Queue<Runnable> mTasks = new ArrayDeque<>();
-    private final List<Runnable> mRepeated = new ArrayList<>();
+    private final List<Runnable> mPeriodicTasks = new ArrayList<>();
 
     @Override
     public void execute(Runnable task) {
@@ -24,7 +24,7 @@
 
     @Override
     public void every(Runnable task, long millis) {
-        mRepeated.add(task);
+        mPeriodicTasks.add(task);
     }
 
     @Override
@@ -38,9 +38,9 @@
         }
     }
 
-    void tick() {
+    void runPeriodicTasks() {
         run();
-        mRepeated.forEach(Runnable::run);
+        mPeriodicTasks.forEach(Runnable::run);
         run();
     }
 }
--- a/troutpier-daemon/src/test/java/org/troutpier/daemon/claim/ClaimRulesTest.java
+++ b/troutpier-daemon/src/test/java/org/troutpier/daemon/claim/ClaimRulesTest.java
@@ -58,12 +58,12 @@
     }
 
     @Test
-    public void tellsThatARequestRunsWhileItsHolderLives() {
+    public void reportsRunningWhileTheHolderLives() {
         assertEquals(decide(ClaimRow.State.RUNNING, true, false, 1000), Decision.RUNNING);
     }
 
     @Test
-    public void takesARepeatableRequestOverFromAGoneHolder() {
+    public void takesOverARepeatableRequestWhenTheHolderIsGone() {
         assertEquals(decide(ClaimRow.State.RUNNING, true, true, 1000), Decision.TAKE_OVER);
     }
 
@@ -77,14 +77,14 @@
     }
 
     @Test
-    public void tellsTheKeptAnswerAndTheKeptEnd() {
+    public void returnsTheStoredAnswerAndTheStoredEnd() {
         assertEquals(decide(ClaimRow.State.ANSWERED, true, true, 1000), Decision.REPLAY);
-        assertEquals(decide(ClaimRow.State.ENDED, false, true, 1000), Decision.TELL_END);
+        assertEquals(decide(ClaimRow.State.ENDED, false, true, 1000), Decision.REPORT_END);
         assertEquals(decide(ClaimRow.State.RELEASED, false, true, 1000), Decision.TAKE_OVER);
     }
 
     @Test
-    public void refusesAKeyThatCameWithAnotherRequest() {
+    public void refusesAKeyReusedForAnotherRequest() {
         ClassDeclaration declared = declared(true, AnswerCommit.BEFORE_END_MARK);
         assertEquals(
                 ClaimRules.decide(row(ClaimRow.State.ANSWERED), "other", declared, true, 1),
--- a/troutpier-daemon/src/test/java/org/troutpier/daemon/request/OutcomeTrackerTest.java
+++ b/troutpier-daemon/src/test/java/org/troutpier/daemon/request/OutcomeTrackerTest.java
@@ -13,7 +13,7 @@
 public class OutcomeTrackerTest {
 
     @Test
-    public void saysNotRunWhileEveryAttemptProvedIt() {
+    public void reportsNotRunIfEveryAttemptProvedIt() {
         OutcomeTracker tracker = new OutcomeTracker();
         tracker.recordAttemptEnd(AttemptEnd.unreached("refused"));
         tracker.recordAttemptEnd(AttemptEnd.refused(false, "full"));
@@ -21,7 +21,7 @@
     }
 
     @Test
-    public void saysUnknownOnceAnAttemptWasLost() {
+    public void reportsUnknownOnceAnAttemptWasLost() {
         OutcomeTracker tracker = new OutcomeTracker();
         tracker.recordAttemptEnd(AttemptEnd.lost("silent"));
         tracker.recordAttemptEnd(AttemptEnd.failed(ResultCode.UPSTREAM_FAILED, "cut"));
@@ -31,7 +31,7 @@
     }
 
     @Test
-    public void neverSaysMoreThanIsKnown() {
+    public void neverReportsMoreThanIsKnown() {
         long seed = System.nanoTime();
         Reporter.log("seed " + seed, true);
         Random random = new Random(seed);
--- a/troutpier-daemon/src/test/java/org/troutpier/daemon/request/RetryBudgetTest.java
+++ b/troutpier-daemon/src/test/java/org/troutpier/daemon/request/RetryBudgetTest.java
@@ -13,24 +13,24 @@
     private static final PartnerId TRUST = new PartnerId("trust");
 
     @Test
-    public void aRetryIsEarnedByTenFirstTries() {
+    public void tenFirstAttemptsEarnOneRetry() {
         RetryBudget budget = new RetryBudget();
         for (int tries = 0; tries < 9; tries++) {
-            budget.firstTry(TRUST);
+            budget.recordFirstAttempt(TRUST);
         }
-        assertFalse(budget.retry(TRUST));
-        budget.firstTry(TRUST);
-        assertTrue(budget.retry(TRUST));
-        assertFalse(budget.retry(TRUST));
+        assertFalse(budget.tryAcquire(TRUST));
+        budget.recordFirstAttempt(TRUST);
+        assertTrue(budget.tryAcquire(TRUST));
+        assertFalse(budget.tryAcquire(TRUST));
     }
 
     @Test
-    public void onePartnersRetriesAreNotTheOthers() {
+    public void budgetsOfPartnersAreSeparate() {
         RetryBudget budget = new RetryBudget();
         for (int tries = 0; tries < 100; tries++) {
-            budget.firstTry(new PartnerId("association"));
+            budget.recordFirstAttempt(new PartnerId("association"));
         }
-        assertFalse(budget.retry(TRUST));
+        assertFalse(budget.tryAcquire(TRUST));
     }
 
     @Test
@@ -43,9 +43,9 @@
         long retries = 0;
         for (int step = 0; step < 300_000; step++) {
             if (random.nextInt(3) == 0) {
-                budget.firstTry(TRUST);
+                budget.recordFirstAttempt(TRUST);
                 first++;
-            } else if (budget.retry(TRUST)) {
+            } else if (budget.tryAcquire(TRUST)) {
                 retries++;
             }
             assertTrue(retries * 10 <= first, "seed " + seed + " step " + step);
