--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/admission/AdmissionController.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/admission/AdmissionController.java
@@ -23,59 +23,52 @@
 import org.troutpier.daemon.placement.UpstreamState;
 
 /**
- * Decides which request starts, when and where. Confined to the control thread. Invariant: every
- * ticket hears exactly one answer, and whatever a grant takes is given back once.
+ * Decides which request starts, when, and on which upstreams. Confined to the control thread.
+ * Invariant: the listener of every submitted ticket is called exactly once, and whatever a grant
+ * acquires is released exactly once.
  */
 public final class AdmissionController {
 
-    /** How often tickets that wait in vain are looked for, milliseconds. */
+    /** Interval at which waiting tickets are checked for missed targets. */
     private static final long SWEEP_INTERVAL_MILLIS = 20;
 
-    /** Nanoseconds in a microsecond. */
     private static final long NANOS_PER_MICRO = 1000;
 
-    /** What became of the first of a queue. */
+    /** Outcome for the first ticket of a queue. */
     private enum Decision {
-        /** It was granted. */
         STARTED,
-        /** It was refused. */
         REFUSED,
-        /** It waits for room. */
+        /** The ticket stays in its queue until capacity is available. */
         WAITS
     }
 
-    /** The router's identity, threads, clock and metrics. */
     private final Node mNode;
 
-    /** All upstreams. */
     private final UpstreamRegistry mUpstreamRegistry;
 
-    /** How decode slots are shared among routers. */
     private final DecodePermits mPermits;
 
-    /** How a pair of engines is chosen. */
     private final PairSelector mSelector;
 
-    /** Whether a request whose target is out of reach is refused. */
+    /** Whether requests that cannot meet their first-token target are refused (load shedding). */
     private final boolean mShed;
 
-    /** What waits, by model or service. */
+    /** Waiting tickets by kind and model or service. */
     private final Map<String, FairQueue<Ticket>> mQueues = new HashMap<>();
 
-    /** How far the predicted first token was off, microseconds. */
+    /** Absolute error of the predicted time to the first token, microseconds. */
     private final Histogram mPredictionError;
 
-    /** The declarations in force. */
     private Declarations mDeclarations = Declarations.EMPTY;
 
     /**
      * Creates a controller.
      *
-     * @param node the router's identity, threads, clock and metrics
+     * @param node identity, threads, clock and metrics of this router
      * @param registry all upstreams
-     * @param permits how decode slots are shared among routers
-     * @param selector how a pair of engines is chosen
-     * @param shed whether a request whose target is out of reach is refused
+     * @param permits admission to decode slots that several routers share
+     * @param selector chooses the prefill and decode engine of a completion
+     * @param shed whether requests that cannot meet their first-token target are refused
      */
     public AdmissionController(
             Node node,
@@ -92,11 +85,7 @@
         node.control().every(this::sweep, SWEEP_INTERVAL_MILLIS);
     }
 
-    /**
-     * Takes new declarations.
-     *
-     * @param declarations the declarations in force
-     */
+    /** Applies new declarations and starts what they allow. */
     public void apply(Declarations declarations) {
         mDeclarations = declarations;
         mUpstreamRegistry.apply(declarations);
@@ -104,9 +93,8 @@
     }
 
     /**
-     * Takes a ticket: it starts, waits or is refused.
-     *
-     * @param ticket the ticket
+     * Submits a ticket, which is granted, queued or refused. It is refused with {@link
+     * ResultCode#QUEUE_FULL} if its partner's queue limit is reached.
      */
     public void submit(Ticket ticket) {
         PartnerId partner = ticket.requestClass().partner();
@@ -121,9 +109,8 @@
     }
 
     /**
-     * Takes a ticket back.
+     * Withdraws a ticket.
      *
-     * @param ticket the ticket
      * @return whether it was still waiting
      */
     public boolean withdraw(Ticket ticket) {
@@ -131,10 +118,10 @@
     }
 
     /**
-     * Takes note that a grant's prefill has ended, well or not.
+     * Records that the prefill of a grant has ended and releases its prefill half.
      *
      * @param grant the grant
-     * @param nanos how long it took, 0 where it did not end well
+     * @param nanos duration of the prefill; 0 if it failed, so that it is not measured
      */
     public void onPrefillEnd(Grant grant, long nanos) {
         if (grant.releasePrefill()) {
@@ -146,10 +133,10 @@
     }
 
     /**
-     * Takes note of a grant's first token.
+     * Records the first token of a grant.
      *
      * @param grant the grant
-     * @param stepNanos how long it took from the decode request
+     * @param stepNanos time since the decode request was sent
      */
     public void onFirstToken(Grant grant, long stepNanos) {
         double predicted = grant.mainState().predictedFirstStepNanos();
@@ -158,11 +145,7 @@
         grant.mainState().recordFirstStep(stepNanos);
     }
 
-    /**
-     * Ends a grant: whatever it still holds is given back.
-     *
-     * @param grant the grant
-     */
+    /** Releases whatever a grant still holds; further calls have no effect. */
     public void release(Grant grant) {
         onPrefillEnd(grant, 0);
         if (grant.releaseMain()) {
@@ -176,11 +159,7 @@
         }
     }
 
-    /**
-     * Takes note that an upstream could not be reached.
-     *
-     * @param id the upstream
-     */
+    /** Records that an upstream could not be reached. */
     public void onUnreachable(UpstreamId id) {
         UpstreamState state = mUpstreamRegistry.get(id);
         if (state != null) {
@@ -189,10 +168,10 @@
     }
 
     /**
-     * Takes note that an upstream had no room, or is leaving.
+     * Records that an upstream refused a request because it had no capacity or is leaving.
      *
      * @param id the upstream
-     * @param leaving whether it said that it is leaving
+     * @param leaving whether it reported that it is leaving
      */
     public void onRefusal(UpstreamId id, boolean leaving) {
         UpstreamState state = mUpstreamRegistry.get(id);
@@ -203,47 +182,29 @@
         }
     }
 
-    /** Starts whatever can start now. */
+    /** Starts every waiting request that can start now. */
     public void dispatchAll() {
         for (String serves : List.copyOf(mQueues.keySet())) {
             dispatch(mQueues.get(serves));
         }
     }
 
-    /**
-     * Counts those who wait.
-     *
-     * @return the count, over all queues
-     */
+    /** Returns the number of waiting requests in all queues. */
     public int waitingCount() {
         return mQueues.values().stream().mapToInt(FairQueue::size).sum();
     }
 
-    /**
-     * Returns the queue for a class.
-     *
-     * @param declared the class
-     * @return the queue for the model or service that it asks
-     */
+    /** Returns the queue for the model or service of a request class. */
     private FairQueue<Ticket> queue(ClassDeclaration requestClass) {
         String name = requestClass.kind() + " " + requestClass.serves();
         return mQueues.computeIfAbsent(name, key -> new FairQueue<>());
     }
 
-    /**
-     * Starts whatever can start of a class's queue.
-     *
-     * @param declared the class
-     */
     private void dispatch(ClassDeclaration requestClass) {
         dispatch(queue(requestClass));
     }
 
-    /**
-     * Starts whatever can start of a queue, in its order.
-     *
-     * @param queue the queue
-     */
+    /** Starts or refuses requests from the head of a queue until one has to wait. */
     private void dispatch(FairQueue<Ticket> queue) {
         while (true) {
             Optional<Ticket> first = queue.peek();
@@ -263,12 +224,6 @@
         }
     }
 
-    /**
-     * Starts or refuses a completion.
-     *
-     * @param ticket its ticket
-     * @return what was decided
-     */
     private Decision admitCompletion(Ticket ticket) {
         long now = mNode.nanos().getAsLong();
         String model = ticket.requestClass().serves();
@@ -298,12 +253,6 @@
         return Decision.STARTED;
     }
 
-    /**
-     * Starts or refuses a call to a plain service.
-     *
-     * @param ticket its ticket
-     * @return what was decided
-     */
     private Decision admitServiceCall(Ticket ticket) {
         long now = mNode.nanos().getAsLong();
         String service = ticket.requestClass().serves();
@@ -329,12 +278,9 @@
     }
 
     /**
-     * Decides on a ticket for which no upstream is usable: one that can wait waits for an upstream
-     * that failed a moment ago to come back; one with a target is refused at once.
-     *
-     * @param ticket the ticket
-     * @param detail what is missing
-     * @return what was decided
+     * Decides on a ticket for which no upstream is usable. A request without a first-token target
+     * waits, since an upstream that failed a moment ago may recover; one with a target is refused
+     * at once.
      */
     private Decision waitOrRefuse(Ticket ticket, String detail) {
         boolean mayRecover =
@@ -348,23 +294,12 @@
         return Decision.REFUSED;
     }
 
-    /**
-     * Returns what a ticket asks for.
-     *
-     * @param ticket the ticket
-     * @return the model or service
-     */
+    /** Returns the model or service that a ticket requests. */
     private static String serves(Ticket ticket) {
         return ticket.requestClass().serves();
     }
 
-    /**
-     * Leaves out the upstreams that failed a request before, unless none would be left.
-     *
-     * @param ticket the request's ticket
-     * @param states the upstreams
-     * @return those to choose from
-     */
+    /** Filters out the upstreams that failed this request before, unless none would be left. */
     private static List<UpstreamState> preferUntried(Ticket ticket, List<UpstreamState> states) {
         Predicate<UpstreamState> failedBefore =
                 state -> ticket.failedUpstreams().contains(state.declaration().id());
@@ -373,11 +308,9 @@
     }
 
     /**
-     * Returns whether a first token would come too late to be of use.
+     * Returns whether a request is to be refused because its first token would miss the target.
      *
-     * @param ticket the request's ticket
-     * @param firstTokenNanos when it would come
-     * @return whether to refuse
+     * @param firstTokenNanos predicted time of the first token on the monotonic clock
      */
     private boolean isTooLate(Ticket ticket, long firstTokenNanos) {
         return mShed
@@ -385,7 +318,7 @@
                 && firstTokenNanos - ticket.dueNanos() > 0;
     }
 
-    /** Refuses the tickets whose time has passed while they waited. */
+    /** Refuses the waiting tickets that can no longer meet their target. */
     private void sweep() {
         long now = mNode.nanos().getAsLong();
         for (FairQueue<Ticket> queue : mQueues.values()) {
@@ -405,11 +338,8 @@
     }
 
     /**
-     * Predicts the least time to the first token, if the request started now.
-     *
-     * @param ticket the request's ticket
-     * @param now the time
-     * @return nanoseconds
+     * Returns the shortest predicted time to the first token, in nanoseconds, if decoding started
+     * now; 0 for a plain service or if no engine is usable.
      */
     private long minFirstStepNanos(Ticket ticket, long now) {
         if (ticket.requestClass().kind() == ClassDeclaration.Kind.SERVICE) {
@@ -421,23 +351,10 @@
                 .orElse(0);
     }
 
-    /**
-     * Refuses a ticket.
-     *
-     * @param ticket the ticket
-     * @param code why
-     * @param detail what exactly
-     */
     private static void refuse(Ticket ticket, ResultCode code, String detail) {
         ticket.listener().onRefused(new TroutpierException(code, detail));
     }
 
-    /**
-     * Returns a partner's weight.
-     *
-     * @param partner the partner
-     * @return its share
-     */
     private double weight(PartnerId partner) {
         return mDeclarations.partner(partner).map(PartnerDeclaration::share).orElse(1);
     }
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/admission/CoordinatorPermits.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/admission/CoordinatorPermits.java
@@ -15,173 +15,151 @@
 import org.troutpier.daemon.placement.UpstreamState;
 
 /**
- * Permits for decode slots that an engine's coordinator hands out in small batches and that routers
- * keep for reuse. Confined to the control thread. Both halves live here: the holder's side for
- * every engine, the coordinator's side for the engines that this router looks after. Invariant: a
- * coordinator that has just begun gives nothing until it has heard what the others hold.
+ * Permits for decode slots, granted in small batches by the coordinator of each engine and kept for
+ * reuse by routers. Confined to the control thread. Implements both sides: the holder's for every
+ * engine, and the coordinator's for the engines that this router coordinates. Invariant: a new
+ * coordinator grants nothing until it has received the other routers' holdings.
  */
 public final class CoordinatorPermits implements DecodePermits {
 
-    /** How often idle permits and hungry routers are looked at, milliseconds. */
+    /** Interval at which idle permits and open requests are checked. */
     private static final long TICK_INTERVAL_MILLIS = 50;
 
-    /** How often holdings are reported, milliseconds. */
+    /** Interval at which holdings are reported to the coordinators. */
     private static final long REPORT_INTERVAL_MILLIS = 300;
 
-    /** How long a permit may lie idle before it goes back, nanoseconds. */
+    /** Time after which an idle permit is returned. */
     private static final long IDLE_TIMEOUT_NANOS = 150_000_000L;
 
-    /** How long a new coordinator listens before it gives, nanoseconds. */
+    /**
+     * Time for which a new coordinator collects reports before it grants permits; more than two
+     * report intervals.
+     */
     private static final long STARTUP_DELAY_NANOS = 700_000_000L;
 
-    /** How long an unanswered wish is taken to be under way, nanoseconds. */
+    /** Time for which an unanswered request is considered pending and is not repeated. */
     private static final long REQUEST_TIMEOUT_NANOS = 60_000_000L;
 
-    /** How long a router's wish counts at the coordinator, nanoseconds. */
+    /** Time for which the coordinator keeps a request that it cannot satisfy. */
     private static final long REQUEST_TTL_NANOS = 250_000_000L;
 
-    /** The router's identity, threads, clock and metrics. */
     private final Node mNode;
 
-    /** Who the routers are. */
     private final Membership mMembership;
 
-    /** All upstreams. */
     private final UpstreamRegistry mUpstreamRegistry;
 
-    /** Sends a message to a router. */
     private final Sender mSender;
 
-    /** Starts what waits, after permits have come. */
+    /** Called when permits have been granted, to start waiting requests. */
     private final Runnable mOnPermits;
 
-    /** What this router holds, by engine. */
+    /** Permits that this router holds, by engine. */
     private final Map<UpstreamId, Holding> mHoldings = new HashMap<>();
 
-    /** What this router gives, by engine. */
+    /** Permits that this router has granted as coordinator, by engine. */
     private final Map<UpstreamId, Allocation> mAllocations = new HashMap<>();
 
-    /** The members at the last tick, so that a change of coordinators is noticed. */
+    /** The members at the last tick, to detect changes of coordinators. */
     private List<Member> mMembers = List.of();
 
     /** Sends a message to a router. */
     public interface Sender {
 
-        /**
-         * Sends a message.
-         *
-         * @param to the router
-         * @param message the message
-         */
+        /** Sends a message. */
         void send(Incarnation to, PeerMessage message);
     }
 
-    /** What this router holds of one engine's slots. */
+    /** Permits of one engine that this router holds. */
     private static final class Holding {
 
-        /** Permits in use. */
         private int mUsed;
 
-        /** Permits at hand. */
         private int mFree;
 
-        /** Since when some are at hand that nobody wants. */
+        /** Time since which free permits have been available. */
         private long mIdleSince;
 
-        /** When more were asked for last. */
+        /** Time of the last request for permits. */
         private long mRequestedAt;
 
-        /** Whether the answer to the last wish is awaited. */
+        /** Whether the last request has not been answered yet. */
         private boolean mRequestPending;
 
-        /** The coordinator that gave last. */
+        /** Coordinator that granted permits last. */
         private Incarnation mGrantor;
 
-        /** How many that coordinator has given in all. */
+        /** Total number of permits that this coordinator has granted. */
         private long mReceived;
 
         /**
-         * Tells how many a coordinator has given in all.
-         *
-         * @param coordinator the coordinator
-         * @return the count, 0 for another than the last
+         * Returns the total number of permits received from a coordinator; 0 if another one granted
+         * last.
          */
         long received(Incarnation coordinator) {
             return coordinator.equals(mGrantor) ? mReceived : 0;
         }
 
-        /**
-         * Returns how many permits are held.
-         *
-         * @return used and free
-         */
+        /** Returns the number of permits held, used and free. */
         int held() {
             return mUsed + mFree;
         }
     }
 
-    /** What this router gives of one engine's slots. */
+    /** Permits of one engine that this router has granted as coordinator. */
     private static final class Allocation {
 
-        /** What each router holds, as far as is known. */
+        /** Permits held by each router, as far as known. */
         private final Map<Incarnation, Integer> mHeld = new HashMap<>();
 
-        /** How many each router was given in all. */
+        /** Total number of permits granted to each router. */
         private final Map<Incarnation, Long> mGranted = new HashMap<>();
 
-        /** What each router wants, oldest wish first. */
+        /** Open requests by router, oldest first. */
         private final Map<Incarnation, PermitRequest> mRequests = new LinkedHashMap<>();
 
-        /** Since when this router looks after the engine. */
+        /** Time since which this router has coordinated the engine. */
         private final long mCoordinatorSince;
 
-        /**
-         * Creates an allocation.
-         *
-         * @param since since when
-         */
         Allocation(long coordinatorSince) {
             mCoordinatorSince = coordinatorSince;
         }
 
         /**
-         * Takes note of what a router holds; permits that are on their way to it count as held.
+         * Records what a router holds. Permits that were granted but not yet received count as
+         * held.
          *
          * @param router the router
-         * @param held how many it says it holds
-         * @param received how many it says it was given
+         * @param held number of permits that it reports to hold
+         * @param received total number of permits that it reports to have received
          */
         void recordHolding(Incarnation router, int held, long received) {
             long granted = mGranted.getOrDefault(router, 0L);
             mHeld.put(router, held + (int) Math.max(0, granted - received));
         }
 
-        /**
-         * Counts what is out.
-         *
-         * @return permits held by all routers
-         */
+        /** Returns the number of permits held by all routers. */
         int totalHeld() {
             return mHeld.values().stream().mapToInt(Integer::intValue).sum();
         }
     }
 
     /**
-     * A router's wish.
+     * Request of a router for permits.
      *
-     * @param count how many it wants
-     * @param at when it said so
+     * @param count number of permits requested
+     * @param at time of the request
      */
     private record PermitRequest(int count, long at) {}
 
     /**
      * Creates permits.
      *
-     * @param node the router's identity, threads, clock and metrics
-     * @param membership who the routers are
+     * @param node identity, threads, clock and metrics of this router
+     * @param membership the routers
      * @param registry all upstreams
-     * @param sender sends a message to a router
-     * @param pump starts what waits
+     * @param sender sends messages to routers
+     * @param onPermits called when permits have been granted
      */
     public CoordinatorPermits(
             Node node,
@@ -242,12 +220,7 @@
         }
     }
 
-    /**
-     * Asks an engine's coordinator for permits, unless the last wish is still under way.
-     *
-     * @param engine the engine
-     * @param count how many
-     */
+    /** Requests permits from the coordinator of an engine, unless a request is pending. */
     private void requestUnlessPending(UpstreamId engine, int count) {
         Holding holding = holding(engine);
         long now = now();
@@ -260,11 +233,8 @@
     }
 
     /**
-     * Tells an engine's coordinator, which may be this router, what is held and wanted.
-     *
-     * @param engine the engine
-     * @param holding what is held
-     * @param wanted how many more are wanted
+     * Sends what is held and how many more permits are requested to the coordinator of an engine,
+     * which may be this router.
      */
     private void sendAsk(UpstreamId engine, Holding holding, int wanted) {
         Incarnation coordinator = coordinator(engine);
@@ -278,12 +248,7 @@
         }
     }
 
-    /**
-     * Takes a wish, as coordinator.
-     *
-     * @param from who wants
-     * @param ask what it holds and wants
-     */
+    /** Handles a request for permits, as coordinator. */
     public void onAsk(Incarnation from, PeerMessage.PermitAsk ask) {
         UpstreamId engine = new UpstreamId(ask.engine());
         Allocation allocation = allocation(engine);
@@ -298,12 +263,7 @@
         grantFree(engine, allocation);
     }
 
-    /**
-     * Takes note of what a router holds.
-     *
-     * @param from the router
-     * @param report what it says
-     */
+    /** Records the holdings that a router reports, as coordinator. */
     public void onReport(Incarnation from, PeerMessage.PermitReport report) {
         Allocation allocation = allocation(new UpstreamId(report.engine()));
         if (allocation != null) {
@@ -312,11 +272,7 @@
     }
 
     /**
-     * Gives what is free to those who want it, oldest wish first, and asks for idle permits where
-     * that is not enough.
-     *
-     * @param engine the engine
-     * @param allocation what is given
+     * Grants free permits, oldest request first, and recalls idle permits if they do not suffice.
      */
     private void grantFree(UpstreamId engine, Allocation allocation) {
         UpstreamState state = mUpstreamRegistry.get(engine);
@@ -348,12 +304,7 @@
         }
     }
 
-    /**
-     * Gives permits to a router, which may be this one.
-     *
-     * @param to the router
-     * @param grant the permits
-     */
+    /** Sends granted permits to a router, which may be this one. */
     private void sendGrant(Incarnation to, PeerMessage.PermitGrant grant) {
         mNode.count("permits.granted");
         if (to.equals(self())) {
@@ -363,12 +314,7 @@
         }
     }
 
-    /**
-     * Takes permits that a coordinator gave.
-     *
-     * @param from the coordinator
-     * @param grant the permits
-     */
+    /** Adds permits that a coordinator granted. */
     public void onGrant(Incarnation from, PeerMessage.PermitGrant grant) {
         Holding holding = holding(new UpstreamId(grant.engine()));
         holding.mReceived = holding.received(from) + grant.count();
@@ -381,11 +327,7 @@
         mOnPermits.run();
     }
 
-    /**
-     * Gives idle permits back because a coordinator wants them.
-     *
-     * @param engine the engine
-     */
+    /** Returns the idle permits of an engine to its coordinator. */
     public void returnIdle(UpstreamId engine) {
         Holding holding = holding(engine);
         if (holding.mFree > 0) {
@@ -394,17 +336,12 @@
         }
     }
 
-    /**
-     * Tells how many permits of an engine this router holds.
-     *
-     * @param engine the engine
-     * @return used and free
-     */
+    /** Returns the number of permits of an engine that this router holds, used and free. */
     public int heldPermits(UpstreamId engine) {
         return holding(engine).held();
     }
 
-    /** Tells every engine's coordinator what this router holds. */
+    /** Reports holdings to the coordinator of each engine. */
     private void report() {
         mHoldings.forEach(
                 (engine, holding) -> {
@@ -420,7 +357,10 @@
                 });
     }
 
-    /** Gives back what lies idle, notices new coordinators and forgets routers that are gone. */
+    /**
+     * Returns permits that have been idle for too long, drops the allocations of engines that this
+     * router no longer coordinates, and those of routers that are gone.
+     */
     private void tick() {
         List<Member> members = mMembership.serving();
         if (!members.equals(mMembers)) {
@@ -442,10 +382,8 @@
     }
 
     /**
-     * Finds or begins a allocation.
-     *
-     * @param engine the engine
-     * @return the allocation, or null where another router looks after the engine
+     * Returns the allocation of an engine, creating it if needed; null if another router
+     * coordinates the engine.
      */
     private Allocation allocation(UpstreamId engine) {
         if (!isCoordinator(engine)) {
@@ -454,12 +392,7 @@
         return mAllocations.computeIfAbsent(engine, id -> new Allocation(now()));
     }
 
-    /**
-     * Finds an engine's coordinator.
-     *
-     * @param engine the engine
-     * @return the router that looks after it, as this one sees it
-     */
+    /** Returns the coordinator of an engine, according to the members known here. */
     private Incarnation coordinator(UpstreamId engine) {
         if (mMembers.isEmpty()) {
             mMembers = mMembership.serving();
@@ -467,40 +400,18 @@
         return CoordinatorSelector.select(engine.value(), mMembers);
     }
 
-    /**
-     * Returns whether this router looks after an engine.
-     *
-     * @param engine the engine
-     * @return whether it is the engine's coordinator
-     */
     private boolean isCoordinator(UpstreamId engine) {
         return coordinator(engine).equals(self());
     }
 
-    /**
-     * Finds what this router holds of an engine.
-     *
-     * @param engine the engine
-     * @return what it holds
-     */
     private Holding holding(UpstreamId engine) {
         return mHoldings.computeIfAbsent(engine, id -> new Holding());
     }
 
-    /**
-     * Returns this router.
-     *
-     * @return its incarnation
-     */
     private Incarnation self() {
         return mNode.incarnation();
     }
 
-    /**
-     * Reads the monotonic clock.
-     *
-     * @return nanoseconds
-     */
     private long now() {
         return mNode.nanos().getAsLong();
     }
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/admission/DecodePermits.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/admission/DecodePermits.java
@@ -7,52 +7,35 @@
 import org.troutpier.daemon.placement.UpstreamState;
 
 /**
- * How the slots of decode engines are shared among routers. Implementations are confined to the
- * control thread. A permit that is wrong costs goodput only: the engine refuses what it has no room
- * for, as not started.
+ * Admission to the slots of decode engines, which several routers share. Implementations are
+ * confined to the control thread. A wrong permit only costs goodput: an engine without a free slot
+ * refuses the request as not started.
  */
 public interface DecodePermits {
 
-    /**
-     * Returns whether a slot could be taken now.
-     *
-     * @param decode the engine
-     * @return whether {@link #acquire} may be called
-     */
+    /** Returns whether a slot is available now, so that {@link #acquire} may be called. */
     boolean isAvailable(UpstreamState decode);
 
-    /**
-     * Takes a slot.
-     *
-     * @param decode the engine
-     */
+    /** Acquires a slot of an engine. */
     void acquire(UpstreamState decode);
 
-    /**
-     * Gives a slot back.
-     *
-     * @param decode the engine
-     */
+    /** Releases a slot of an engine. */
     void release(UpstreamState decode);
 
-    /**
-     * Takes note that an engine had no room after all.
-     *
-     * @param decode the engine
-     */
+    /** Records that an engine refused a request for lack of capacity. */
     void onRefusal(UpstreamState decode);
 
     /**
-     * Takes note that a request waits for any of these engines.
+     * Requests permits for waiting requests.
      *
-     * @param decodes the engines
-     * @param waiting how many requests wait
+     * @param decodes the engines, any of which will do
+     * @param waiting number of waiting requests
      */
     void requestPermits(Iterable<UpstreamState> decodes, int waiting);
 
-    /** Reserves nothing: a baseline. */
+    /** Does not limit requests; a baseline for comparison. */
     enum Unlimited implements DecodePermits {
-        /** The only instance. */
+        /** The singleton. */
         INSTANCE;
 
         /** {@inheritDoc} */
@@ -64,41 +47,40 @@
         /** {@inheritDoc} */
         @Override
         public void acquire(UpstreamState decode) {
-            // nothing is reserved
+            // no limit
         }
 
         /** {@inheritDoc} */
         @Override
         public void release(UpstreamState decode) {
-            // nothing is reserved
+            // no limit
         }
 
         /** {@inheritDoc} */
         @Override
         public void onRefusal(UpstreamState decode) {
-            // nothing is learned
+            // no limit
         }
 
         /** {@inheritDoc} */
         @Override
         public void requestPermits(Iterable<UpstreamState> decodes, int waiting) {
-            // nothing is asked for
+            // no limit
         }
     }
 
-    /** Gives each router the same fixed part of every engine, at least one slot. */
+    /** Divides the slots of every engine equally among the routers, with at least one slot each. */
     final class ForStaticDivision implements DecodePermits {
 
-        /** How many routers there are. */
         private final IntSupplier mRouterCount;
 
-        /** How many slots of each engine this router has taken. */
+        /** Number of slots of each engine that this router has acquired. */
         private final Map<UpstreamId, Integer> mAcquired = new HashMap<>();
 
         /**
          * Creates permits.
          *
-         * @param routers how many routers there are
+         * @param routerCount returns the current number of routers
          */
         public ForStaticDivision(IntSupplier routerCount) {
             mRouterCount = routerCount;
@@ -126,17 +108,20 @@
         /** {@inheritDoc} */
         @Override
         public void onRefusal(UpstreamState decode) {
-            // the division stays as it is
+            // the division is fixed
         }
 
         /** {@inheritDoc} */
         @Override
         public void requestPermits(Iterable<UpstreamState> decodes, int waiting) {
-            // the division stays as it is
+            // the division is fixed
         }
     }
 
-    /** Goes by the lagging load that engines publish, and waits a little after a refusal. */
+    /**
+     * Relies on the load that engines report, which lags behind, and treats an engine that refused
+     * a request as full until its next report.
+     */
     final class ForLaggingLoad implements DecodePermits {
 
         /** {@inheritDoc} */
@@ -148,13 +133,13 @@
         /** {@inheritDoc} */
         @Override
         public void acquire(UpstreamState decode) {
-            // the count of this router's own requests moves with the request
+            // UpstreamState counts the requests of this router
         }
 
         /** {@inheritDoc} */
         @Override
         public void release(UpstreamState decode) {
-            // the count of this router's own requests moves with the request
+            // UpstreamState counts the requests of this router
         }
 
         /** {@inheritDoc} */
@@ -166,7 +151,7 @@
         /** {@inheritDoc} */
         @Override
         public void requestPermits(Iterable<UpstreamState> decodes, int waiting) {
-            // the load comes by itself
+            // engines report their load without being asked for it
         }
     }
 }
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/admission/FairQueue.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/admission/FairQueue.java
@@ -11,61 +11,61 @@
 import org.troutpier.common.id.PartnerId;
 
 /**
- * Queues of several partners: weighted fair between them, earliest deadline first within one. Pure
- * decision, confined to one thread. Invariant: of two partners that both wait, each is served in
- * proportion to its weight, whatever the other's queue length.
+ * Queue with weighted fair sharing between partners and earliest deadline first within a partner.
+ * Pure decision logic, confined to one thread. Invariant: while two partners both have entries
+ * waiting, each is served in proportion to its weight, regardless of the length of the other's
+ * queue.
  *
- * @param <T> what waits
+ * @param <T> type of the queued items
  */
 public final class FairQueue<T> {
 
-    /** What waits, by partner. */
     private final Map<PartnerId, Flow<T>> mFlows = new HashMap<>();
 
-    /** The virtual time of the partner served last. */
+    /** Normalized service of the partner served last, at the time it was served. */
     private double mVirtualTime;
 
-    /** Breaks ties between equal deadlines by arrival. */
+    /** Next sequence number; entries with equal deadlines are served in order of arrival. */
     private long mNextSequence;
 
-    /** How many wait in all. */
     private int mSize;
 
     /**
-     * One that waits.
+     * A waiting item.
      *
-     * @param item what waits
-     * @param deadline when it must be served
-     * @param arrival its place among equals
-     * @param cost how much of its partner's share it takes
-     * @param <T> what waits
+     * @param item the item
+     * @param deadline sort key within the partner; lower is served first
+     * @param sequence order of arrival, for equal deadlines
+     * @param cost share of the partner's service that the item uses
+     * @param <T> type of the queued items
      */
     private record Entry<T>(T item, long deadline, long sequence, double cost) {}
 
     /**
-     * One partner's queue.
+     * Queue of one partner.
      *
-     * @param <T> what waits
+     * @param <T> type of the queued items
      */
     private static final class Flow<T> {
 
-        /** What waits, earliest deadline first. */
+        /** Entries, earliest deadline first. */
         private final PriorityQueue<Entry<T>> mEntries =
                 new PriorityQueue<>(
                         Comparator.<Entry<T>>comparingLong(Entry::deadline)
                                 .thenComparingLong(Entry::sequence));
 
-        /** How much the partner has been served, divided by its weight. */
+        /** Cost of all items served, each divided by the weight of the partner. */
         private double mNormalizedService;
     }
 
     /**
-     * Adds one that waits.
+     * Adds an item. A partner that had none waiting is advanced to the current virtual time, so
+     * that it gains no credit while idle.
      *
-     * @param partner whose it is
-     * @param item what waits
-     * @param deadline when it must be served; earlier goes first
-     * @param cost how much of the partner's share it takes
+     * @param partner the partner
+     * @param item the item
+     * @param deadline sort key within the partner; lower is served first
+     * @param cost share of the partner's service that the item uses
      */
     public void add(PartnerId partner, T item, long deadline, double cost) {
         Flow<T> flow = mFlows.computeIfAbsent(partner, id -> new Flow<>());
@@ -77,20 +77,20 @@
     }
 
     /**
-     * Returns the next to be served without taking it.
+     * Returns the next item without removing it.
      *
-     * @return the next, or empty where none waits
+     * @return the next item, or empty if the queue is empty
      */
     public Optional<T> peek() {
         return nextFlow().map(flow -> flow.mEntries.peek().item());
     }
 
     /**
-     * Charges a partner for one that was served, also one that did not wait.
+     * Charges a partner for an item that was served, whether or not it was queued.
      *
      * @param partner the partner
-     * @param cost how much of its share was taken
-     * @param weight the weight of each partner
+     * @param cost share of the partner's service that the item used
+     * @param weights weights of the partners
      */
     public void charge(PartnerId partner, double cost, Weights weights) {
         Flow<T> flow = mFlows.computeIfAbsent(partner, id -> new Flow<>());
@@ -99,10 +99,10 @@
     }
 
     /**
-     * Takes the next to be served and charges its partner.
+     * Removes the next item and charges its partner.
      *
-     * @param weight the weight of each partner
-     * @return the next, or empty where none waits
+     * @param weights weights of the partners
+     * @return the next item, or empty if the queue is empty
      */
     public Optional<T> poll(Weights weights) {
         Optional<Map.Entry<PartnerId, Flow<T>>> next = nextEntry();
@@ -116,11 +116,11 @@
     }
 
     /**
-     * Takes out all that wait, in the order in which they would be served, without charging anyone:
-     * those that find no room are added again.
+     * Removes all items, in the order in which they would be served, without charging any partner.
+     * Items that cannot be served are added again by the caller.
      *
-     * @param weight the weight of each partner
-     * @return all that waited
+     * @param weights weights of the partners
+     * @return all items
      */
     public List<T> drain(Weights weights) {
         List<T> order = new ArrayList<>();
@@ -136,22 +136,16 @@
         return order;
     }
 
-    /**
-     * Shows all that wait, in no order.
-     *
-     * @param viewer is shown each
-     */
+    /** Calls an action for all items, in no particular order. */
     public void forEach(Consumer<T> action) {
         mFlows.values()
                 .forEach(flow -> flow.mEntries.forEach(entry -> action.accept(entry.item())));
     }
 
     /**
-     * Takes out one that no longer waits.
+     * Removes an item.
      *
-     * @param partner whose it is
-     * @param item what waited
-     * @return whether it was there
+     * @return whether it was in the queue
      */
     public boolean remove(PartnerId partner, T item) {
         Flow<T> flow = mFlows.get(partner);
@@ -162,40 +156,22 @@
         return removed;
     }
 
-    /**
-     * Returns how many of a partner wait.
-     *
-     * @param partner the partner
-     * @return the count
-     */
+    /** Returns the number of items of a partner. */
     public int size(PartnerId partner) {
         Flow<T> flow = mFlows.get(partner);
         return flow == null ? 0 : flow.mEntries.size();
     }
 
-    /**
-     * Returns how many wait in all.
-     *
-     * @return the count
-     */
+    /** Returns the number of items of all partners. */
     public int size() {
         return mSize;
     }
 
-    /**
-     * Finds the lane to be served next.
-     *
-     * @return the lane, or empty where none waits
-     */
     private Optional<Flow<T>> nextFlow() {
         return nextEntry().map(Map.Entry::getValue);
     }
 
-    /**
-     * Finds the partner to be served next: the one that was served least for its weight.
-     *
-     * @return the partner and its lane, or empty where none waits
-     */
+    /** Returns the partner with the least normalized service among those with waiting items. */
     private Optional<Map.Entry<PartnerId, Flow<T>>> nextEntry() {
         return mFlows.entrySet().stream()
                 .filter(entry -> !entry.getValue().mEntries.isEmpty())
@@ -205,15 +181,10 @@
                                 .thenComparing(Map.Entry::getKey));
     }
 
-    /** The weight of each partner. */
+    /** Weights of the partners. */
     public interface Weights {
 
-        /**
-         * Returns a partner's weight.
-         *
-         * @param partner the partner
-         * @return its weight, above 0
-         */
+        /** Returns the weight of a partner, greater than 0. */
         double weight(PartnerId partner);
     }
 }
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/admission/Grant.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/admission/Grant.java
@@ -4,45 +4,41 @@
 import org.troutpier.daemon.placement.UpstreamState;
 
 /**
- * What a request may use. The declarations are immutable and may be read anywhere; the rest is
- * confined to the control thread. Invariant: each of the two halves is given back exactly once.
+ * The upstreams that an admitted request may use: the prefill half, absent for a plain service, and
+ * the main half. The declarations are immutable and may be read on any thread; the rest is confined
+ * to the control thread. Invariant: each half is released exactly once.
  */
 public final class Grant {
 
-    /** The prefill engine, or null for a plain service. */
+    /** Prefill engine, or null for a plain service. */
     private final UpstreamState mPrefill;
 
-    /** The decode engine or the service's replica. */
+    /** Decode engine, or replica of a plain service. */
     private final UpstreamState mMain;
 
-    /** The prefill engine's declaration when this was granted, or null. */
     private final UpstreamDeclaration mPrefillDeclaration;
 
-    /** The main upstream's declaration when this was granted. */
     private final UpstreamDeclaration mMainDeclaration;
 
-    /** How many tokens the prefill is expected to compute. */
+    /** Number of prompt tokens that are expected not to be cached by the prefill engine. */
     private final long mUncachedTokens;
 
-    /** How many tokens waited before it when this was granted. */
+    /** Estimated number of tokens queued at the prefill engine when this was granted. */
     private final long mQueuedTokens;
 
-    /** When this was granted. */
     private final long mGrantedNanos;
 
-    /** Whether the prefill half was given back. */
     private boolean mPrefillReleased;
 
-    /** Whether the main half was given back. */
     private boolean mMainReleased;
 
     /**
      * Creates a grant.
      *
-     * @param prefill the prefill engine, or null for a plain service
-     * @param main the decode engine or the service's replica
-     * @param uncachedTokens how many tokens the prefill is expected to compute
-     * @param grantedNanos when this is granted
+     * @param prefill prefill engine, or null for a plain service
+     * @param main decode engine, or replica of a plain service
+     * @param uncachedTokens number of tokens that the prefill is expected to compute
+     * @param grantedNanos time of the grant on the monotonic clock
      */
     Grant(UpstreamState prefill, UpstreamState main, long uncachedTokens, long grantedNanos) {
         mPrefill = prefill;
@@ -56,72 +52,52 @@
     }
 
     /**
-     * Returns the prefill engine; may be called from any thread.
-     *
-     * @return its declaration, null for a plain service
+     * Returns the declaration of the prefill engine at the time of the grant; null for a plain
+     * service. Thread safe.
      */
     public UpstreamDeclaration prefill() {
         return mPrefillDeclaration;
     }
 
     /**
-     * Returns the decode engine or the service's replica; may be called from any thread.
-     *
-     * @return its declaration
+     * Returns the declaration of the decode engine or service replica at the time of the grant.
+     * Thread safe.
      */
     public UpstreamDeclaration main() {
         return mMainDeclaration;
     }
 
-    /**
-     * Returns the prefill engine's state.
-     *
-     * @return the state, or null
-     */
+    /** Returns the state of the prefill engine, or null for a plain service. */
     UpstreamState prefillState() {
         return mPrefill;
     }
 
-    /**
-     * Returns the main upstream's state.
-     *
-     * @return the state
-     */
     UpstreamState mainState() {
         return mMain;
     }
 
-    /**
-     * Returns how many tokens the prefill is expected to compute.
-     *
-     * @return tokens
-     */
+    /** Returns the number of tokens that the prefill is expected to compute. */
     long uncachedTokens() {
         return mUncachedTokens;
     }
 
     /**
-     * Returns how many tokens were to be computed before this grant's own were done.
-     *
-     * @return tokens, those that waited included
+     * Returns the number of tokens to compute until this prefill is done, including those queued
+     * before it.
      */
     long tokensUntilDone() {
         return mQueuedTokens + mUncachedTokens;
     }
 
-    /**
-     * Returns when this was granted.
-     *
-     * @return nanoseconds by the monotonic clock
-     */
+    /** Returns the time of the grant on the monotonic clock. */
     long grantedNanos() {
         return mGrantedNanos;
     }
 
     /**
-     * Gives the prefill half back.
+     * Marks the prefill half as released.
      *
-     * @return whether it was not given back before
+     * @return whether it was not released before
      */
     boolean releasePrefill() {
         boolean first = !mPrefillReleased;
@@ -130,9 +106,9 @@
     }
 
     /**
-     * Gives the main half back.
+     * Marks the main half as released.
      *
-     * @return whether it was not given back before
+     * @return whether it was not released before
      */
     boolean releaseMain() {
         boolean first = !mMainReleased;
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/admission/Ticket.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/admission/Ticket.java
@@ -8,15 +8,15 @@
 import org.troutpier.common.result.TroutpierException;
 
 /**
- * One request's wish to start. Immutable and thread safe.
+ * A request that waits for admission. Immutable and thread safe.
  *
- * @param request the request
- * @param declared its class
- * @param blocks the prompt's prefix blocks; empty for a plain service
- * @param promptTokens the prompt's length; 0 for a plain service
- * @param arrivalNanos when the request arrived, by the monotonic clock
- * @param avoid the upstreams that failed this request before
- * @param answer hears what was decided, on the control thread
+ * @param request id of the request
+ * @param requestClass class of the request
+ * @param blocks ids of the prefix blocks of the prompt; empty for a plain service
+ * @param promptTokens length of the prompt; 0 for a plain service
+ * @param arrivalNanos time of arrival on the monotonic clock
+ * @param failedUpstreams upstreams that failed this request before
+ * @param listener receives the decision, on the control thread
  */
 public record Ticket(
         RequestId request,
@@ -27,31 +27,31 @@
         Set<UpstreamId> failedUpstreams,
         Listener listener) {
 
-    /** Nanoseconds in a millisecond. */
     private static final long NANOS_PER_MILLI = 1_000_000L;
 
-    /** Receives what was decided; both are called on the control thread, one of them once. */
+    /**
+     * Receives the decision on a ticket. One of the methods is called, once, on the control thread.
+     */
     public interface Listener {
 
         /**
          * Called when the request may start.
          *
-         * @param grant what it may use; must be ended once
+         * @param grant what it may use; must be released once
          */
         void onGranted(Grant grant);
 
         /**
-         * Called when the request may not start.
+         * Called when the request is refused.
          *
-         * @param why the code and the detail
+         * @param reason code and detail of the refusal
          */
         void onRefused(TroutpierException reason);
     }
 
     /**
-     * Returns when the first token is due.
-     *
-     * @return nanoseconds by the monotonic clock; the deadline where there is no target
+     * Returns the time at which the first token is due on the monotonic clock; the deadline if the
+     * request class has no first-token target.
      */
     public long dueNanos() {
         int millis =
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/admission/package-info.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/admission/package-info.java
@@ -1,2 +1,2 @@
-/** Who may start, and when: queues, shares and decode permits. */
+/** Admission control: queues, fair sharing between partners and decode permits. */
 package org.troutpier.daemon.admission;
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/placement/PairSelector.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/placement/PairSelector.java
@@ -7,18 +7,18 @@
 import org.troutpier.common.id.HallId;
 
 /**
- * Chooses the prefill and the decode engine of a request. Implementations are confined to the
- * control thread and take nothing: who takes the decode slot is the caller's business.
+ * Selects the prefill and the decode engine of a request. Implementations are confined to the
+ * control thread. They only select: the caller acquires the decode slot.
  */
 public interface PairSelector {
 
     /**
-     * Chooses a pair.
+     * Selects a pair of engines.
      *
-     * @param blocks the prompt's prefix blocks
-     * @param promptTokens the prompt's length
-     * @param prefills the prefill engines that may be used; not empty
-     * @param decodes the decode engines that have room; not empty
+     * @param blocks ids of the prefix blocks of the prompt
+     * @param promptTokens length of the prompt
+     * @param prefills usable prefill engines; not empty
+     * @param decodes decode engines with a free slot; not empty
      * @return the pair
      */
     Pair select(
@@ -32,8 +32,8 @@
      *
      * @param prefill the prefill engine
      * @param decode the decode engine
-     * @param uncachedTokens how many tokens the prefill is expected to compute
-     * @param firstTokenNanos when the first token is predicted, from now
+     * @param uncachedTokens number of tokens that the prefill is expected to compute
+     * @param firstTokenNanos predicted time to the first token
      */
     record Pair(
             UpstreamState prefill,
@@ -42,10 +42,10 @@
             double firstTokenNanos) {}
 
     /**
-     * Predicts a pair.
+     * Predicts the cost of a pair: the uncached tokens and the time to the first token.
      *
-     * @param blocks the prompt's prefix blocks
-     * @param promptTokens the prompt's length
+     * @param blocks ids of the prefix blocks of the prompt
+     * @param promptTokens length of the prompt
      * @param prefill the prefill engine
      * @param decode the decode engine
      * @return the pair with its prediction
@@ -58,10 +58,9 @@
         return new Pair(prefill, decode, uncached, nanos);
     }
 
-    /** Takes the engines in turn: a baseline. */
+    /** Selects the engines in turn; a baseline for comparison. */
     final class ForRoundRobin implements PairSelector {
 
-        /** Counts the choices. */
         private int mNext;
 
         /** {@inheritDoc} */
@@ -80,7 +79,7 @@
         }
     }
 
-    /** Takes the engines that published the least load: a baseline. */
+    /** Selects the engines with the fewest reported requests; a baseline for comparison. */
     final class ForLeastLoad implements PairSelector {
 
         /** {@inheritDoc} */
@@ -99,25 +98,25 @@
     }
 
     /**
-     * Takes the pair whose first token is predicted soonest: the wait at the prefill engine, the
-     * part of the prompt that is not cached, the step to the first token, and the way between
-     * halls.
+     * Selects the least loaded decode engine, preferring those in this router's hall, and the
+     * prefill engine with the earliest predicted first token. The prediction covers the queue at
+     * the prefill engine, the uncached part of the prompt, the first decode step and transfer
+     * between halls.
      */
     final class ForPredictedFirstToken implements PairSelector {
 
-        /** What crossing from one hall to another is taken to cost, nanoseconds. */
+        /** Assumed cost of crossing from one hall to another. */
         private static final double CROSS_HALL_COST_NANOS = 2e6;
 
-        /** What each request that runs on a decode engine is taken to cost, nanoseconds. */
+        /** Assumed cost of each request that runs on a decode engine. */
         private static final double RUNNING_REQUEST_COST_NANOS = 1e6;
 
-        /** The hall of this router. */
         private final HallId mHall;
 
         /**
          * Creates a selector.
          *
-         * @param hall the hall of this router
+         * @param hall hall of this router
          */
         public ForPredictedFirstToken(HallId hall) {
             mHall = hall;
@@ -138,24 +137,13 @@
                     .orElseThrow();
         }
 
-        /**
-         * Returns what a decode engine costs.
-         *
-         * @param decode the engine
-         * @return nanoseconds
-         */
+        /** Returns the cost of a decode engine in nanoseconds. */
         private double decodeCost(UpstreamState decode) {
             double hallCost = decode.declaration().hall().equals(mHall) ? 0 : CROSS_HALL_COST_NANOS;
             return hallCost + decode.estimatedRunning() * RUNNING_REQUEST_COST_NANOS;
         }
 
-        /**
-         * Returns what a pair costs.
-         *
-         * @param pair the pair
-         * @param near the hall of its decode engine
-         * @return nanoseconds
-         */
+        /** Returns the cost of a pair in nanoseconds. */
         private static double cost(Pair pair, HallId decodeHall) {
             double hallCost =
                     pair.prefill().declaration().hall().equals(decodeHall)
@@ -165,13 +153,7 @@
         }
     }
 
-    /**
-     * Finds the cheapest.
-     *
-     * @param states the candidates; not empty
-     * @param cost what each costs
-     * @return the cheapest, the first of equals
-     */
+    /** Returns the candidate with the lowest cost, the first one of equals. */
     private static UpstreamState cheapest(
             List<UpstreamState> states, ToDoubleFunction<UpstreamState> cost) {
         Optional<UpstreamState> cheapest = states.stream().min(Comparator.comparingDouble(cost));
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/placement/PromptBlocks.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/placement/PromptBlocks.java
@@ -6,35 +6,34 @@
 import java.util.zip.CRC32C;
 
 /**
- * Names the prefix blocks of a prompt as the engines do in their cache events. Stateless and thread
- * safe. The names are hints only: a wrong one costs time, never a promise.
+ * Computes the ids of the prefix blocks of a prompt, as the engines do in their cache events.
+ * Stateless and thread safe. The ids are hints: a wrong one costs time, but does not affect
+ * correctness.
  */
 public final class PromptBlocks {
 
-    /** How many tokens make a block. */
+    /** Number of tokens in a block. */
     public static final int TOKENS_PER_BLOCK = 64;
 
-    /** How many characters are taken for a token. */
+    /** Assumed mean number of characters in a token. */
     private static final int CHARACTERS_PER_TOKEN = 4;
 
-    /** Not to be instantiated. */
     private PromptBlocks() {}
 
     /**
-     * Guesses the length of a prompt.
+     * Estimates the length of a prompt.
      *
-     * @param prompt the prompt
-     * @return tokens, at least one
+     * @return the estimated number of tokens, at least 1
      */
     public static int estimateTokens(String prompt) {
         return Math.max(1, prompt.length() / CHARACTERS_PER_TOKEN);
     }
 
     /**
-     * Names the whole blocks of a prompt: each by a checksum over everything up to its end.
+     * Returns the ids of the complete blocks of a prompt. Each is a checksum of the prompt up to
+     * the end of the block, combined with the index of the block.
      *
-     * @param prompt the prompt
-     * @return the names, in order
+     * @return the ids, in order
      */
     public static List<Long> blockIds(String prompt) {
         byte[] bytes = prompt.getBytes(StandardCharsets.UTF_8);
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/placement/UpstreamRegistry.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/placement/UpstreamRegistry.java
@@ -9,17 +9,13 @@
 import org.troutpier.common.declaration.UpstreamDeclaration;
 import org.troutpier.common.id.UpstreamId;
 
-/** All upstreams and what is known of them. Confined to the control thread. */
+/** The declared upstreams and their state. Confined to the control thread. */
 public final class UpstreamRegistry {
 
-    /** The upstreams by id, in the order in which they are declared. */
+    /** States by id, in order of declaration. */
     private final Map<UpstreamId, UpstreamState> mStates = new LinkedHashMap<>();
 
-    /**
-     * Takes new declarations; what is known of an upstream stays while it is declared.
-     *
-     * @param declarations the declarations in force
-     */
+    /** Applies new declarations. Upstreams that remain declared keep their state. */
     public void apply(Declarations declarations) {
         Map<UpstreamId, UpstreamState> next = new LinkedHashMap<>();
         for (UpstreamDeclaration declaration : declarations.upstreams()) {
@@ -34,32 +30,23 @@
         mStates.putAll(next);
     }
 
-    /**
-     * Finds an upstream.
-     *
-     * @param id the upstream sought
-     * @return its state, or null where it is not declared
-     */
+    /** Returns the state of an upstream, or null if it is not declared. */
     public UpstreamState get(UpstreamId id) {
         return mStates.get(id);
     }
 
-    /**
-     * Lists all upstreams.
-     *
-     * @return their states
-     */
+    /** Returns the states of all upstreams. */
     public Collection<UpstreamState> all() {
         return mStates.values();
     }
 
     /**
-     * Lists the upstreams that may take new work.
+     * Returns the upstreams that may receive new requests.
      *
      * @param serves the model or service
      * @param role the role
-     * @param now the time
-     * @return their states, in the order in which they are declared
+     * @param now time on the monotonic clock
+     * @return their states, in order of declaration
      */
     public List<UpstreamState> usable(String serves, Role role, long now) {
         return mStates.values().stream()
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/placement/UpstreamState.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/placement/UpstreamState.java
@@ -6,76 +6,73 @@
 import org.troutpier.common.declaration.UpstreamDeclaration;
 
 /**
- * What this router knows of one upstream. Confined to the control thread. Invariant: the count of
- * this router's own requests there never falls below zero.
+ * The state of one upstream as known to this router. Confined to the control thread. Invariant: the
+ * number of this router's requests at the upstream never becomes negative.
  */
 public final class UpstreamState {
 
-    /** How many prefix blocks are remembered. */
+    /** Maximum number of cached prefix blocks that are remembered. */
     private static final int MAX_CACHED_BLOCKS = 20_000;
 
-    /** How long an upstream that failed is passed over, nanoseconds. */
+    /** Time for which an upstream is not used after it could not be reached. */
     private static final long COOLDOWN_NANOS = 1_000_000_000L;
 
-    /** How many silences in a row mean that it is not to be reached. */
+    /** Number of consecutive missed load reports after which an upstream counts as unreachable. */
     private static final int MISSED_REPORTS_LIMIT = 2;
 
-    /** How much a new measurement moves an average. */
+    /** Weight of a new sample in the exponential moving averages. */
     private static final double SMOOTHING_FACTOR = 0.1;
 
-    /** What is declared of it. */
     private UpstreamDeclaration mDeclaration;
 
-    /** Whether it said or was said to be leaving. */
+    /** Whether the upstream or the instance list reported that it is leaving. */
     private boolean mLeaving;
 
-    /** Until when it is passed over after a failure. */
+    /** End of the cooldown; only meaningful if {@link #mInCooldown} is set. */
     private long mCooldownUntil;
 
-    /** Whether it was passed over and has not answered since, so that the time above counts. */
+    /** Whether a cooldown was started and no load report has arrived since. */
     private boolean mInCooldown;
 
-    /** How often in a row it did not say how loaded it is. */
+    /** Number of consecutive missed load reports. */
     private int mMissedReports;
 
-    /** How many of this router's requests are there. */
+    /** Number of this router's requests at the upstream. */
     private int mLocalRequests;
 
-    /** How many of this router's tokens wait or run there, for a prefill engine. */
+    /**
+     * Number of this router's uncached tokens that are queued or being computed, for a prefill
+     * engine.
+     */
     private long mLocalTokens;
 
-    /** How many requests it published to have. */
+    /** Number of requests in the last load report. */
     private int mReportedRunning;
 
-    /** How many tokens it published to have waiting. */
+    /** Number of queued tokens in the last load report. */
     private long mReportedTokens;
 
-    /** How many of this router's requests were there when it published. */
+    /** Value of {@link #mLocalRequests} at the last load report. */
     private int mLocalRequestsAtReport;
 
-    /** How many of this router's tokens were there when it published. */
+    /** Value of {@link #mLocalTokens} at the last load report. */
     private long mLocalTokensAtReport;
 
-    /** Nanoseconds per uncached token, as measured. */
+    /** Moving average of the prefill time per uncached token. */
     private double mNanosPerToken;
 
-    /** Nanoseconds from the decode request to its first token, as measured. */
+    /** Moving average of the time from the decode request to its first token. */
     private double mFirstStepNanos;
 
-    /** How long a decode holds its slot, as measured, nanoseconds. */
+    /** Moving average of the time for which a decode holds its slot. */
     private double mHoldNanos;
 
-    /** The prefix blocks that it is said to have cached, oldest first. */
+    /** Ids of the prefix blocks reported as cached, oldest first. */
     private final Set<Long> mCachedBlocks = new LinkedHashSet<>();
 
-    /** The number of the last cache event seen. */
     private long mLastEventNumber;
 
-    /**
-     * Creates the state of an upstream of which nothing is known but its declaration.
-     *
-     * @param declared what is declared of it
-     */
+    /** Creates the state of an upstream of which only the declaration is known. */
     public UpstreamState(UpstreamDeclaration declaration) {
         mDeclaration = declaration;
         final double nanosPerSecond = 1e9;
@@ -85,29 +82,21 @@
         mHoldNanos = nanosPerSecond;
     }
 
-    /**
-     * Returns what is declared of it.
-     *
-     * @return the declaration
-     */
+    /** Returns the current declaration. */
     public UpstreamDeclaration declaration() {
         return mDeclaration;
     }
 
-    /**
-     * Takes a new declaration.
-     *
-     * @param declared what is declared now
-     */
+    /** Replaces the declaration. */
     public void setDeclaration(UpstreamDeclaration declaration) {
         mDeclaration = declaration;
     }
 
     /**
-     * Returns whether new work may be sent there.
+     * Returns whether new requests may be sent to the upstream: it is neither draining nor leaving,
+     * and not in cooldown.
      *
-     * @param now the time
-     * @return whether it is in service, not leaving, and did not fail a moment ago
+     * @param now time on the monotonic clock
      */
     public boolean isUsable(long now) {
         boolean inCooldown = mInCooldown && now - mCooldownUntil < 0;
@@ -115,10 +104,10 @@
     }
 
     /**
-     * Takes note that a connection to it was not to be had: it is passed over for a while, or until
-     * it answers again.
+     * Records that no connection could be established. The upstream is not used until the cooldown
+     * ends or it reports its load again.
      *
-     * @param now the time
+     * @param now time on the monotonic clock
      */
     public void recordUnreachable(long now) {
         mInCooldown = true;
@@ -126,10 +115,10 @@
     }
 
     /**
-     * Takes note that it did not say how loaded it is. One silence may be this router's own; after
-     * several in a row it is passed over.
+     * Records a missing load report. A single one may be caused by this router itself; after
+     * several in a row the upstream counts as unreachable.
      *
-     * @param now the time
+     * @param now time on the monotonic clock
      */
     public void recordMissedReport(long now) {
         mMissedReports++;
@@ -138,29 +127,21 @@
         }
     }
 
-    /**
-     * Takes note of whether it is leaving.
-     *
-     * @param leaving whether it is
-     */
+    /** Sets whether the upstream is leaving. */
     public void setLeaving(boolean leaving) {
         mLeaving = leaving;
     }
 
-    /**
-     * Returns whether it is leaving.
-     *
-     * @return whether it is
-     */
+    /** Returns whether the upstream is leaving. */
     public boolean isLeaving() {
         return mLeaving;
     }
 
     /**
-     * Takes note of a published load.
+     * Records a load report, which also ends a cooldown.
      *
-     * @param running how many requests it has
-     * @param waitingTokens how many tokens it has waiting
+     * @param running number of requests at the upstream
+     * @param waitingTokens number of tokens queued there
      */
     public void recordLoad(int running, long waitingTokens) {
         mMissedReports = 0;
@@ -172,9 +153,9 @@
     }
 
     /**
-     * Takes note that a request of this router goes there.
+     * Records that this router sends a request to the upstream.
      *
-     * @param tokens how many uncached tokens it brings, 0 where that does not matter
+     * @param tokens number of uncached tokens of the prompt; 0 if not relevant
      */
     public void recordStart(long tokens) {
         mLocalRequests++;
@@ -182,9 +163,9 @@
     }
 
     /**
-     * Takes note that a request of this router has left.
+     * Records that a request of this router has ended at the upstream.
      *
-     * @param tokens as when it entered
+     * @param tokens same value as passed to {@link #recordStart}
      */
     public void recordEnd(long tokens) {
         mLocalRequests--;
@@ -193,58 +174,46 @@
                 mLocalRequests >= 0, "upstream-count", mDeclaration.id());
     }
 
-    /**
-     * Returns how many of this router's requests are there.
-     *
-     * @return the count
-     */
+    /** Returns the number of this router's requests at the upstream. */
     public int localRequests() {
         return mLocalRequests;
     }
 
     /**
-     * Guesses how many requests are there now: the published number, corrected by what this router
-     * has sent and got back since.
-     *
-     * @return the guess
+     * Estimates the current number of requests at the upstream: the last reported number, corrected
+     * by the requests of this router that started or ended since.
      */
     public int estimatedRunning() {
         return Math.max(mLocalRequests, mReportedRunning + mLocalRequests - mLocalRequestsAtReport);
     }
 
-    /**
-     * Returns the published number of requests.
-     *
-     * @return the number, late
-     */
+    /** Returns the last reported number of requests, which lags behind. */
     public int reportedRunning() {
         return mReportedRunning;
     }
 
     /**
-     * Guesses how many tokens wait there now.
-     *
-     * @return the guess
+     * Estimates the current number of queued tokens in the same way as {@link #estimatedRunning}.
      */
     public long estimatedTokens() {
         return Math.max(mLocalTokens, mReportedTokens + mLocalTokens - mLocalTokensAtReport);
     }
 
     /**
-     * Predicts how long a prefill takes there.
+     * Predicts the duration of a prefill in nanoseconds, including the wait for tokens queued
+     * before it.
      *
-     * @param uncachedTokens how many tokens must be computed
-     * @return nanoseconds, with the wait for those before it
+     * @param uncachedTokens number of tokens to compute
      */
     public double predictedPrefillNanos(long uncachedTokens) {
         return (estimatedTokens() + uncachedTokens) * mNanosPerToken;
     }
 
     /**
-     * Learns from a prefill.
+     * Updates the time per token with a completed prefill.
      *
-     * @param tokens how many tokens were computed or waited for
-     * @param nanos how long that took
+     * @param tokens number of tokens computed, including those queued before
+     * @param nanos duration
      */
     public void recordPrefill(long tokens, long nanos) {
         double measured = (double) nanos / Math.max(1, tokens);
@@ -252,46 +221,32 @@
     }
 
     /**
-     * Predicts the time from a decode request to its first token, transfer included.
-     *
-     * @return nanoseconds
+     * Predicts the time from a decode request to its first token in nanoseconds, including the
+     * transfer of the prefill result.
      */
     public double predictedFirstStepNanos() {
         return mFirstStepNanos;
     }
 
-    /**
-     * Learns from a decode's first token.
-     *
-     * @param nanos how long it took
-     */
+    /** Updates the time to the first token of a decode. */
     public void recordFirstStep(long nanos) {
         mFirstStepNanos += SMOOTHING_FACTOR * (nanos - mFirstStepNanos);
     }
 
-    /**
-     * Predicts how long a decode holds its slot.
-     *
-     * @return nanoseconds
-     */
+    /** Predicts the time for which a decode holds its slot, in nanoseconds. */
     public double predictedHoldNanos() {
         return mHoldNanos;
     }
 
-    /**
-     * Learns from a decode that has ended.
-     *
-     * @param nanos how long it held its slot
-     */
+    /** Updates the time for which a decode holds its slot. */
     public void recordHold(long nanos) {
         mHoldNanos += SMOOTHING_FACTOR * (nanos - mHoldNanos);
     }
 
     /**
-     * Counts the leading blocks that are said to be cached.
+     * Returns the number of leading blocks of a prompt that are reported as cached.
      *
-     * @param blocks a prompt's blocks, in order
-     * @return how many of the first ones are there
+     * @param blocks ids of the blocks, in order
      */
     public int cachedPrefixBlocks(List<Long> blocks) {
         int cached = 0;
@@ -301,11 +256,7 @@
         return cached;
     }
 
-    /**
-     * Takes note of a cached block.
-     *
-     * @param block the block's name
-     */
+    /** Adds a block that is reported as cached, and evicts the oldest one if there are too many. */
     public void addCachedBlock(long block) {
         mCachedBlocks.add(block);
         if (mCachedBlocks.size() > MAX_CACHED_BLOCKS) {
@@ -313,20 +264,12 @@
         }
     }
 
-    /**
-     * Returns the number of the last cache event seen.
-     *
-     * @return the number
-     */
+    /** Returns the number of the last cache event received. */
     public long lastEventNumber() {
         return mLastEventNumber;
     }
 
-    /**
-     * Takes note of the last cache event seen.
-     *
-     * @param number its number
-     */
+    /** Sets the number of the last cache event received. */
     public void setLastEventNumber(long number) {
         mLastEventNumber = number;
     }
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/placement/package-info.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/placement/package-info.java
@@ -1,2 +1,2 @@
-/** Where a request runs: the choice of a prefill and a decode engine. */
+/** Placement of requests: selection of a prefill and a decode engine. */
 package org.troutpier.daemon.placement;
--- a/troutpier-daemon/src/test/java/org/troutpier/daemon/admission/CoordinatorPermitsTest.java
+++ b/troutpier-daemon/src/test/java/org/troutpier/daemon/admission/CoordinatorPermitsTest.java
@@ -26,7 +26,10 @@
 import org.troutpier.daemon.placement.UpstreamRegistry;
 import org.troutpier.daemon.placement.UpstreamState;
 
-/** Several routers' permits driven by hand: messages are late and the clock is a number. */
+/**
+ * Tests the permits of several routers in a simulation: messages are delayed and the clock is set
+ * by the test.
+ */
 public class CoordinatorPermitsTest {
 
     private static final int ROUTERS = 4;
@@ -189,7 +192,7 @@
         assertNoPermitIsLost(mRouters.get(random.nextInt(ROUTERS)), seed);
     }
 
-    /** Gives everything back and lets one router take it all. */
+    /** Releases everything and lets one router acquire all permits. */
     private void assertNoPermitIsLost(Router last, long seed) {
         for (Router router : mRouters) {
             for (; router.mUsed > 0; router.mUsed--) {
--- a/troutpier-daemon/src/test/java/org/troutpier/daemon/admission/ManualControl.java
+++ b/troutpier-daemon/src/test/java/org/troutpier/daemon/admission/ManualControl.java
@@ -6,7 +6,7 @@
 import java.util.Queue;
 import org.troutpier.daemon.node.Control;
 
-/** A control thread that a test drives: tasks run when they are told to. */
+/** Control thread for tests that runs tasks only when asked to. */
 final class ManualControl implements Control {
 
     private final Queue<Runnable> mTasks = new ArrayDeque<>();
