--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/claim/ClaimOutcome.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/claim/ClaimOutcome.java
@@ -2,34 +2,26 @@
 
 import org.troutpier.common.result.ResultCode;
 
-/** What came of asking for a claim. Implementations are immutable and thread safe. */
+/** Result of an attempt to acquire a claim. Implementations are immutable and thread safe. */
 public interface ClaimOutcome {
 
-    /**
-     * The request is this router's to run.
-     *
-     * @param claim the claim
-     */
+    /** This router holds the claim and runs the request. */
     record Granted(Claim claim) implements ClaimOutcome {}
 
-    /**
-     * The request was answered before and the answer is kept.
-     *
-     * @param answer the answer
-     */
+    /** The request has already been answered and the answer is stored. */
     record Replayed(StoredAnswer answer) implements ClaimOutcome {}
 
     /**
      * The request must not be run.
      *
      * @param code why
-     * @param detail what exactly
+     * @param detail detail of the refusal
      */
     record Refused(ResultCode code, String detail) implements ClaimOutcome {}
 
-    /** The table is away and nothing of this request stands in it for certain. */
+    /** The table is unavailable, so it is not known whether it contains a claim on the request. */
     enum TableUnavailable implements ClaimOutcome {
-        /** The only instance. */
+        /** The singleton. */
         INSTANCE
     }
 }
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/claim/ClaimRow.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/claim/ClaimRow.java
@@ -4,20 +4,22 @@
 import org.troutpier.common.id.Incarnation;
 
 /**
- * A claim as it stands in the table. Immutable and thread safe. Invariant: the epoch rises with
- * every new holder, and a row that is answered or ended never changes again.
+ * A claim as stored in the table. Immutable and thread safe. The names of the components and states
+ * are stored. Invariant: the epoch increases with every new holder, and a row that is answered or
+ * ended never changes again.
  *
- * @param state how far the request is
- * @param holder the router that holds it
- * @param holderUrl where the holder takes callers
- * @param epoch rises with every new holder
- * @param attempt names the write that made this holder; settles a lost acknowledgement
- * @param fingerprint the hash of the request, so that a key cannot be used for another
- * @param leaseEndMillis when another router may take over, by the wall clock
- * @param expiresMillis when the row may be deleted, by the wall clock
- * @param answerInline the kept answer, Base64; null where there is none here
- * @param answerObject the key of the kept answer in the object store; null where there is none
- * @param endCode the result code of a request that ended otherwise, or null
+ * @param state state of the request
+ * @param holder router that holds the claim
+ * @param holderUrl URL at which the holder accepts callers
+ * @param epoch increases with every new holder
+ * @param attempt id of the write that made this router the holder; allows a write to be recognised
+ *     if its acknowledgement was lost
+ * @param fingerprint hash of the request, so that a key cannot be reused for another one
+ * @param leaseEndMillis wall-clock time after which another router may take over
+ * @param expiresMillis wall-clock time after which the row may be deleted
+ * @param answerInline the stored answer in Base64; null if it is not stored in the row
+ * @param answerObject key of the answer in the object store; null if it is not stored there
+ * @param endCode result code of a request that ended without an answer; null otherwise
  */
 public record ClaimRow(
         State state,
@@ -32,66 +34,46 @@
         String answerObject,
         String endCode) {
 
-    /** How far a claimed request is. */
+    /** State of a claimed request. */
     public enum State {
-        /** Its holder runs it. */
+        /** The holder is running it. */
         RUNNING,
-        /** Its holder gave it up with proof that it was not run; anyone may run it. */
+        /** The holder released it: it was not run, or may be run again, by any router. */
         RELEASED,
         /** It was answered. */
         ANSWERED,
-        /** It ended without an answer and must not be run again. */
+        /** It ended without an answer; only a repeatable request may be run again. */
         ENDED
     }
 
-    /**
-     * Returns the row as given up.
-     *
-     * @return a new row
-     */
+    /** Returns a copy with the claim released. */
     public ClaimRow asReleased() {
         return withState(State.RELEASED, null, null, null);
     }
 
-    /**
-     * Returns the row as answered, with the answer in it.
-     *
-     * @param answer the answer's bytes
-     * @return a new row
-     */
+    /** Returns a copy with an answer that is stored in the row. */
     public ClaimRow asAnsweredInline(byte[] answer) {
         return withState(State.ANSWERED, Base64.getEncoder().encodeToString(answer), null, null);
     }
 
     /**
-     * Returns the row as answered, with the answer in the object store or nowhere.
+     * Returns a copy with an answer that is stored in the object store, or not at all.
      *
-     * @param object the object's key, or null where the answer is not kept
-     * @return a new row
+     * @param object key of the object, or null if the answer is not stored
      */
     public ClaimRow asAnswered(String object) {
         return withState(State.ANSWERED, null, object, null);
     }
 
     /**
-     * Returns the row as ended without an answer.
+     * Returns a copy that ended without an answer.
      *
-     * @param code the result code's name
-     * @return a new row
+     * @param code name of the result code
      */
     public ClaimRow asEnded(String code) {
         return withState(State.ENDED, null, null, code);
     }
 
-    /**
-     * Returns the row in another state; who holds it stays.
-     *
-     * @param newState the state
-     * @param inline the kept answer, or null
-     * @param object the key of the kept answer, or null
-     * @param code how it ended, or null
-     * @return a new row
-     */
     private ClaimRow withState(State newState, String inline, String object, String code) {
         return new ClaimRow(
                 newState,
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/claim/ClaimRules.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/claim/ClaimRules.java
@@ -4,41 +4,42 @@
 import org.troutpier.common.declaration.ClassDeclaration.AnswerCommit;
 
 /**
- * What to do when a key comes again. Pure decision, stateless and thread safe. Invariant: a request
- * that must not be repeated is never taken over from a holder that may have started it.
+ * Decides what happens to a request whose key has already been claimed. Pure decision logic,
+ * stateless and thread safe. Invariant: a request that is not repeatable is never taken over from a
+ * holder that may have started it.
  */
 public final class ClaimRules {
 
-    /** How far wall clocks are taken to differ at most, milliseconds. */
+    /** Maximum assumed difference between the wall clocks of two routers. */
     public static final long CLOCK_MARGIN_MILLIS = 2000;
 
-    /** Not to be instantiated. */
     private ClaimRules() {}
 
-    /** What to do. */
+    /** What to do with the request. */
     public enum Decision {
-        /** Give the kept answer. */
+        /** Return the stored answer. */
         REPLAY,
-        /** Take the request over with a higher epoch. */
+        /** Take the claim over with a higher epoch and run the request. */
         TAKE_OVER,
-        /** Say that it runs, and when to come back. */
+        /** Report that the request is running, with a time after which to retry. */
         RUNNING,
-        /** Say that its holder is gone and nothing is known. */
+        /** Report that the holder is gone and the outcome is unknown. */
         HOLDER_GONE,
-        /** Say how it ended. */
+        /** Report how the request ended. */
         REPORT_END,
-        /** Say that the key was used for another request. */
+        /** Report that the key was used for another request. */
         KEY_REUSED
     }
 
     /**
-     * Decides.
+     * Decides what to do with a request.
      *
-     * @param row the claim as it stands
-     * @param fingerprint the hash of the request that comes now
-     * @param declared its class
-     * @param holderGone whether the holder is gone for good, or is this router and lost it
-     * @param wallMillis the wall clock
+     * @param row the existing claim
+     * @param fingerprint hash of the new request
+     * @param requestClass class of the request
+     * @param holderGone whether the holder is gone for good, or is this router but no longer runs
+     *     the attempt
+     * @param wallMillis wall-clock time
      * @return what to do
      */
     public static Decision decide(
@@ -59,13 +60,9 @@
     }
 
     /**
-     * Decides on a claim that says it runs.
-     *
-     * @param row the claim as it stands
-     * @param declared its class
-     * @param holderGone whether the holder is gone for good
-     * @param wallMillis the wall clock
-     * @return what to do
+     * Decides on a claim in state {@code RUNNING}. A holder that is gone may still be sending an
+     * answer. If the end mark is only sent after the answer is committed, a takeover makes that
+     * commit fail, so the claim is taken over at once; otherwise the lease has to expire first.
      */
     private static Decision decideRunning(
             ClaimRow row, ClassDeclaration requestClass, boolean holderGone, long wallMillis) {
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/claim/ClaimSettler.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/claim/ClaimSettler.java
@@ -14,44 +14,40 @@
 import org.troutpier.daemon.table.Table.Outcome;
 
 /**
- * Settles claims that are over: writes what came of them, and goes on in the background where the
- * table does not say whether it was written. Thread safe. Invariants: only a row of the claim's own
- * epoch is replaced; a claim of unknown fate is given up until its row says so or has expired.
+ * Settles claims: writes the outcome to the table and retries in the background if the result of a
+ * write is unknown. Thread safe. Invariants: only a row of the claim's own epoch is replaced; a
+ * claim of unknown state is retried until its row is confirmed or has expired.
  */
 final class ClaimSettler {
 
-    /** The largest answer that is kept in the row itself, bytes. */
+    /** Largest answer that is normally stored in the row itself. */
     private static final int MAX_INLINE_BYTES = 4096;
 
-    /** The largest answer that goes into the row when the object store is away, bytes. */
+    /** Largest answer that is stored in the row if the object store is unavailable. */
     private static final int MAX_FALLBACK_INLINE_BYTES = 65_536;
 
-    /** How often a write whose fate is unknown is settled again, milliseconds. */
+    /** Delay before a write of unknown result is retried. */
     private static final long SETTLE_RETRY_MILLIS = 300;
 
-    /** The router's identity, threads, clock and metrics. */
     private final Node mNode;
 
-    /** Where claims stand. */
     private final Table mTable;
 
-    /** Where large answers are kept. */
     private final ObjectStore mObjects;
 
-    /** The wall clock, milliseconds. */
     private final LongSupplier mWallMillis;
 
-    /** Takes the claims that are over. */
+    /** Called with claims that need no further action. */
     private final Consumer<Claim> mOnDone;
 
     /**
-     * Creates a part that settles claims.
+     * Creates a settler.
      *
-     * @param node the router's identity, threads, clock and metrics
-     * @param table where claims stand
-     * @param objects where large answers are kept
-     * @param wallMillis the wall clock
-     * @param forget takes the claims that are over; thread safe
+     * @param node identity, threads, clock and metrics of this router
+     * @param table the table of claims
+     * @param objects store of large answers
+     * @param wallMillis wall clock
+     * @param onDone called with claims that need no further action; thread safe
      */
     ClaimSettler(
             Node node,
@@ -67,12 +63,12 @@
     }
 
     /**
-     * Records that a request was answered. The end mark of the answer may be sent once this says
+     * Records that a request was answered. The end mark of the answer may be sent once this returns
      * {@link SettlementResult#DONE}.
      *
      * @param claim the claim
-     * @param answer the answer to keep, or empty where it is too large
-     * @return what came of it; never fails
+     * @param answer the answer to store; empty if it is too large
+     * @return the result; never fails
      */
     CompletableFuture<SettlementResult> recordAnswer(Claim claim, Optional<StoredAnswer> answer) {
         if (answer.isEmpty()) {
@@ -98,10 +94,10 @@
     }
 
     /**
-     * Records that a request was answered, until the table says so, in the background.
+     * Records that a request was answered, retrying in the background until the table confirms it.
      *
      * @param claim the claim
-     * @param answer the answer to keep, or empty where it is too large
+     * @param answer the answer to store; empty if it is too large
      */
     void recordAnswerInBackground(Claim claim, Optional<StoredAnswer> answer) {
         recordAnswer(claim, answer)
@@ -114,11 +110,9 @@
     }
 
     /**
-     * Writes the row of this router's epoch once.
+     * Writes the new row once, if the stored row is still the one that the claim wrote.
      *
-     * @param claim the claim
-     * @param change what to make of the row
-     * @return what came of it
+     * @param change creates the new row
      */
     private CompletableFuture<SettlementResult> settle(
             Claim claim, Function<ClaimRow, ClaimRow> change) {
@@ -138,12 +132,10 @@
     }
 
     /**
-     * Reads what became of a row that was not written for certain.
+     * Reads the row back after a write that was not confirmed.
      *
-     * @param claim the claim
-     * @param next the row as it should be
-     * @param outcome what is known of the write
-     * @return what came of it
+     * @param next the row that was to be written
+     * @param outcome result of the write
      */
     private CompletableFuture<SettlementResult> readBack(
             Claim claim, ClaimRow next, Outcome outcome) {
@@ -165,10 +157,10 @@
     }
 
     /**
-     * Writes a row until its fate is known, in the background.
+     * Writes a new row, retrying in the background while the result is unknown.
      *
      * @param claim the claim
-     * @param change what to make of the row
+     * @param change creates the new row
      */
     void settleInBackground(Claim claim, Function<ClaimRow, ClaimRow> change) {
         settle(claim, change)
@@ -178,13 +170,7 @@
                                         claim, settled, () -> settleInBackground(claim, change)));
     }
 
-    /**
-     * Settles a claim again a little later where its fate is unknown and still matters.
-     *
-     * @param claim the claim
-     * @param settled what is known
-     * @param again settles it again
-     */
+    /** Schedules another try if the result is unknown and the claim has not expired. */
     private void retryIfUnknown(Claim claim, SettlementResult settled, Runnable retry) {
         if (settled == SettlementResult.UNKNOWN && isUnexpired(claim)) {
             mNode.control().later(retry, SETTLE_RETRY_MILLIS);
@@ -194,21 +180,17 @@
     }
 
     /**
-     * Gives up a claim that may or may not have been written, until the table says that it is not
-     * in the way: it writes a released row where there is none, so that a late write finds it.
+     * Undoes a claim that may have been written, in the background. If there is no row, a released
+     * one is inserted, so that a late write of the claim conflicts with it.
      *
-     * @param wished the claim as it was meant
+     * @param intended the claim that was to be written
      */
     void abandonLater(Claim intended) {
         mOnDone.accept(intended);
         mNode.control().later(() -> abandon(intended), SETTLE_RETRY_MILLIS);
     }
 
-    /**
-     * Tries once to give up a claim that may or may not have been written.
-     *
-     * @param wished the claim as it was meant
-     */
+    /** Tries once to undo a claim that may have been written. */
     private void abandon(Claim intended) {
         JsonNode released = Table.toJson(intended.row().asReleased());
         mTable.insert(intended.key(), released)
@@ -228,11 +210,9 @@
     }
 
     /**
-     * Releases a row if it is the one that was meant.
+     * Releases the row if it was written by the given claim.
      *
-     * @param wished the claim as it was meant
-     * @param released the row as released
-     * @return whether the row is not in the way any more
+     * @return whether the claim no longer blocks the request
      */
     private CompletableFuture<Boolean> releaseIfOwnAttempt(Claim intended, JsonNode released) {
         return mTable.read(intended.key())
@@ -246,33 +226,16 @@
                         });
     }
 
-    /**
-     * Returns whether it still matters what became of a claim.
-     *
-     * @param claim the claim
-     * @return whether its row has not expired
-     */
     private boolean isUnexpired(Claim claim) {
         return mWallMillis.getAsLong() < claim.row().expiresMillis();
     }
 
-    /**
-     * Returns whether a row is the one that a claim wrote.
-     *
-     * @param row the row
-     * @param claim the claim
-     * @return whether the attempt is the same
-     */
+    /** Returns whether a row was written by a claim: their attempts are equal. */
     static boolean isOwnAttempt(Table.Row row, Claim claim) {
         return parse(row.value()).attempt().equals(claim.row().attempt());
     }
 
-    /**
-     * Parses a row.
-     *
-     * @param value the row's value
-     * @return the claim in it
-     */
+    /** Converts the value of a row. */
     static ClaimRow parse(JsonNode value) {
         return Json.mapper().convertValue(value, ClaimRow.class);
     }
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/claim/ClaimStore.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/claim/ClaimStore.java
@@ -19,57 +19,53 @@
 import org.troutpier.daemon.table.Table.WriteResult;
 
 /**
- * Takes, settles and gives up claims on keyed requests. Thread safe. Invariant: an answer counts as
- * given only once the row of this router's own epoch says so, and a write whose acknowledgement was
- * lost is settled by reading its attempt back.
+ * Acquires, settles and releases claims on requests with idempotency keys. Thread safe. Invariants:
+ * an answer counts as delivered only once the row of this router's epoch records it; a write whose
+ * acknowledgement was lost is resolved by reading the row and comparing its attempt.
  */
 public final class ClaimStore {
 
-    /** Where claims stand in the table. */
+    /** Prefix of the keys of claim rows. */
     public static final String PREFIX = "claims/";
 
-    /** How long a claim row stays beyond its lease at least, milliseconds. */
     private static final long MILLIS_PER_SECOND = 1000;
 
-    /** How many characters of a key's hash name its row. */
+    /** Number of characters of the key's hash that are used in the row key. */
     private static final int HASH_LENGTH = 40;
 
-    /** How many times the same row is tried when others write it too. */
+    /** Maximum number of retries if other routers write the same row concurrently. */
     private static final int MAX_ROUNDS = 5;
 
-    /** The router's identity, threads, clock and metrics. */
     private final Node mNode;
 
-    /** Where claims stand. */
     private final Table mTable;
 
-    /** Where large answers are kept. */
     private final ObjectStore mObjects;
 
-    /** Who is gone. */
+    /** Used to determine whether the holder of a claim is gone. */
     private final Membership mMembership;
 
-    /** Where this router takes callers. */
+    /** URL at which this router accepts callers. */
     private final String mUrl;
 
-    /** The wall clock, milliseconds. */
     private final LongSupplier mWallMillis;
 
-    /** Settles claims that are over. */
     private final ClaimSettler mSettler;
 
-    /** The attempts of this router that are under way. */
+    /**
+     * Attempts of this router in progress. A row of this router with another attempt is orphaned.
+     */
     private final Set<String> mAttempts = ConcurrentHashMap.newKeySet();
 
     /**
      * Creates a store.
      *
-     * @param node the router's identity, threads, clock and metrics
-     * @param table where claims stand
-     * @param objects where large answers are kept
-     * @param membership who is gone
-     * @param url where this router takes callers
-     * @param wallMillis the wall clock
+     * @param node identity, threads, clock and metrics of this router
+     * @param table the table of claims
+     * @param objects store of large answers
+     * @param membership determines which routers are gone
+     * @param url URL at which this router accepts callers
+     * @param wallMillis wall clock
      */
     public ClaimStore(
             Node node,
@@ -87,23 +83,23 @@
         mSettler = new ClaimSettler(node, table, objects, wallMillis, this::removeAttempt);
     }
 
-    /** What settling a claim came to. */
+    /** Result of settling a claim. */
     public enum SettlementResult {
-        /** The row says what it should. */
+        /** The outcome is recorded. */
         DONE,
         /** Another router has taken over. */
         SUPERSEDED,
-        /** The table does not say. */
+        /** It is not known whether the outcome was recorded. */
         UNKNOWN
     }
 
     /**
-     * Asks for a claim.
+     * Acquires the claim on a request.
      *
-     * @param declared the request's class
-     * @param key the caller's key
-     * @param fingerprint the hash of the request
-     * @return what came of it; never fails
+     * @param requestClass class of the request
+     * @param key idempotency key of the caller
+     * @param fingerprint hash of the request
+     * @return the outcome; never fails
      */
     public CompletableFuture<ClaimOutcome> acquire(
             ClassDeclaration requestClass, String key, String fingerprint) {
@@ -123,24 +119,18 @@
     }
 
     /**
-     * Returns the key of a claim's row.
+     * Returns the key of a claim's row. It contains the partner, so that keys of different partners
+     * cannot collide.
      *
-     * @param partner the partner, so that two partners' keys never meet
-     * @param key the caller's key
-     * @return the row's key
+     * @param partner the partner
+     * @param key idempotency key of the caller
+     * @return the key of the row
      */
     public static String rowKey(PartnerId partner, String key) {
         return PREFIX + partner + "/" + Tokens.hash(key).substring(0, HASH_LENGTH);
     }
 
-    /**
-     * Makes a row that says this router runs the request.
-     *
-     * @param declared the class
-     * @param fingerprint the hash of the request
-     * @param epoch the epoch
-     * @return the row
-     */
+    /** Creates a row in state {@code RUNNING} that is held by this router. */
     private ClaimRow newRow(ClassDeclaration requestClass, String fingerprint, long epoch) {
         long now = mWallMillis.getAsLong();
         long leaseEnd = now + requestClass.deadlineMillis();
@@ -160,10 +150,8 @@
     }
 
     /**
-     * Returns until when a claim taken now is safe.
-     *
-     * @param declared the class
-     * @return nanoseconds by the monotonic clock
+     * Returns the time on the monotonic clock until which a claim made now is protected by its
+     * lease.
      */
     private long safeUntil(ClassDeclaration requestClass) {
         final long nanosPerMilli = 1_000_000L;
@@ -171,13 +159,11 @@
     }
 
     /**
-     * Goes on after the write that asks for a claim.
+     * Continues after the write of a claim.
      *
-     * @param declared the class
-     * @param wished the claim as it was meant
-     * @param write what is known of the write
-     * @param round how many times the row was tried
-     * @return what came of it
+     * @param intended the claim that was to be written
+     * @param write result of the write
+     * @param round number of previous tries
      */
     private CompletableFuture<ClaimOutcome> onWriteResult(
             ClassDeclaration requestClass, Claim intended, WriteResult write, int round) {
@@ -199,15 +185,7 @@
         };
     }
 
-    /**
-     * Goes on after reading back a write whose acknowledgement was lost.
-     *
-     * @param declared the class
-     * @param wished the claim as it was meant
-     * @param row the row as it stands
-     * @param round how many times the row was tried
-     * @return what came of it
-     */
+    /** Continues after a row was read back because the acknowledgement of its write was lost. */
     private CompletableFuture<ClaimOutcome> onReadBack(
             ClassDeclaration requestClass, Claim intended, Optional<Table.Row> row, int round) {
         if (row.isPresent() && ClaimSettler.isOwnAttempt(row.get(), intended)) {
@@ -221,14 +199,7 @@
         return CompletableFuture.completedFuture(ClaimOutcome.TableUnavailable.INSTANCE);
     }
 
-    /**
-     * Reads a row that is in the way and decides.
-     *
-     * @param declared the class
-     * @param wished the claim as it was meant
-     * @param round how many times the row was tried
-     * @return what came of it
-     */
+    /** Reads the row that conflicts with a claim and decides what to do. */
     private CompletableFuture<ClaimOutcome> readExisting(
             ClassDeclaration requestClass, Claim intended, int round) {
         return mTable.read(intended.key())
@@ -241,14 +212,7 @@
                         });
     }
 
-    /**
-     * Tries again to insert a row that was in the way and is gone.
-     *
-     * @param declared the class
-     * @param wished the claim as it was meant
-     * @param round how many times the row was tried
-     * @return what came of it
-     */
+    /** Tries again to insert a row after the conflicting one has disappeared. */
     private CompletableFuture<ClaimOutcome> retryInsert(
             ClassDeclaration requestClass, Claim intended, int round) {
         if (round >= MAX_ROUNDS) {
@@ -258,15 +222,7 @@
                 .thenCompose(write -> onWriteResult(requestClass, intended, write, round + 1));
     }
 
-    /**
-     * Decides what to do about a row that is in the way.
-     *
-     * @param declared the class
-     * @param wished the claim as it was meant
-     * @param found the row as it stands
-     * @param round how many times the row was tried
-     * @return what came of it
-     */
+    /** Decides what to do about an existing row. */
     private CompletableFuture<ClaimOutcome> decide(
             ClassDeclaration requestClass, Claim intended, Table.Row found, int round) {
         ClaimRow row = ClaimSettler.parse(found.value());
@@ -289,16 +245,7 @@
         };
     }
 
-    /**
-     * Takes a request over.
-     *
-     * @param declared the class
-     * @param wished the claim as it was meant
-     * @param found the row as it stands
-     * @param row the same, parsed
-     * @param round how many times the row was tried
-     * @return what came of it
-     */
+    /** Takes over a request with a higher epoch. */
     private CompletableFuture<ClaimOutcome> takeOver(
             ClassDeclaration requestClass,
             Claim intended,
@@ -319,13 +266,7 @@
                 .thenCompose(write -> onWriteResult(requestClass, claim, write, round + 1));
     }
 
-    /**
-     * Fetches a kept answer.
-     *
-     * @param wished the claim as it was meant
-     * @param row the claim as it stands
-     * @return what came of it
-     */
+    /** Returns the stored answer. */
     private CompletableFuture<ClaimOutcome> replay(Claim intended, ClaimRow row) {
         removeAttempt(intended);
         if (row.answerInline() != null) {
@@ -357,12 +298,12 @@
     }
 
     /**
-     * Records that a request was answered. The end mark of the answer may be sent once this says
+     * Records that a request was answered. The end mark of the answer may be sent once this returns
      * {@link SettlementResult#DONE}.
      *
      * @param claim the claim
-     * @param answer the answer to keep, or empty where it is too large
-     * @return what came of it; never fails
+     * @param answer the answer to store; empty if it is too large
+     * @return the result; never fails
      */
     public CompletableFuture<SettlementResult> recordAnswer(
             Claim claim, Optional<StoredAnswer> answer) {
@@ -370,65 +311,41 @@
     }
 
     /**
-     * Records that a request was answered, until the table says so, in the background.
+     * Records that a request was answered, retrying in the background until the table confirms it.
      *
      * @param claim the claim
-     * @param answer the answer to keep, or empty where it is too large
+     * @param answer the answer to store; empty if it is too large
      */
     public void recordAnswerInBackground(Claim claim, Optional<StoredAnswer> answer) {
         mSettler.recordAnswerInBackground(claim, answer);
     }
 
-    /**
-     * Gives a claim up: the request was not run, or may be run again.
-     *
-     * @param claim the claim
-     */
+    /** Releases a claim in the background: the request was not run, or may be run again. */
     public void release(Claim claim) {
         mSettler.settleInBackground(claim, ClaimRow::asReleased);
     }
 
     /**
-     * Records that a request ended without an answer.
+     * Records in the background that a request ended without an answer.
      *
      * @param claim the claim
-     * @param code how it ended
+     * @param code result code of the request
      */
     public void recordEnd(Claim claim, ResultCode code) {
         mSettler.settleInBackground(claim, row -> row.asEnded(code.name()));
     }
 
-    /**
-     * Takes note that a claim is this router's.
-     *
-     * @param wished the claim as it was meant
-     * @param tag the tag of its row
-     * @return the outcome
-     */
     private static ClaimOutcome granted(Claim intended, String tag) {
         return new ClaimOutcome.Granted(
                 new Claim(intended.key(), tag, intended.row(), intended.safeUntilNanos()));
     }
 
-    /**
-     * Refuses a claim.
-     *
-     * @param wished the claim as it was meant
-     * @param code why
-     * @param detail what exactly
-     * @return the outcome
-     */
     private CompletableFuture<ClaimOutcome> refused(
             Claim intended, ResultCode code, String detail) {
         removeAttempt(intended);
         return CompletableFuture.completedFuture(new ClaimOutcome.Refused(code, detail));
     }
 
-    /**
-     * Takes note that an attempt is over.
-     *
-     * @param claim the claim
-     */
     private void removeAttempt(Claim claim) {
         mAttempts.remove(claim.row().attempt());
     }
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/claim/StoredAnswer.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/claim/StoredAnswer.java
@@ -4,32 +4,24 @@
 import org.troutpier.common.http.Json;
 
 /**
- * A whole answer as it is kept. Immutable and thread safe.
+ * A complete answer as stored for a claim. Immutable and thread safe. The names of the components
+ * are stored.
  *
- * @param status the HTTP status
- * @param headers the headers worth keeping
- * @param text the text of a completion, or null for a plain service
- * @param tokens how many tokens the text has
- * @param body the body of a plain service's answer, or null for a completion
+ * @param status HTTP status
+ * @param headers headers to store
+ * @param text text of a completion; null for a plain service
+ * @param tokens number of tokens in the text
+ * @param body body of a plain service's answer; null for a completion
  */
 public record StoredAnswer(
         int status, Map<String, String> headers, String text, int tokens, byte[] body) {
 
-    /**
-     * Reads a kept answer.
-     *
-     * @param bytes its bytes
-     * @return the answer
-     */
+    /** Decodes a stored answer from JSON. */
     public static StoredAnswer decode(byte[] bytes) {
         return Json.read(bytes, StoredAnswer.class);
     }
 
-    /**
-     * Writes the answer.
-     *
-     * @return its bytes
-     */
+    /** Encodes the answer as JSON. */
     public byte[] encode() {
         return Json.bytes(this);
     }
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/claim/package-info.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/claim/package-info.java
@@ -1,2 +1,2 @@
-/** Claims on keyed requests: who runs one, and what came of it. */
+/** Claims on requests with idempotency keys: which router runs a request, and its outcome. */
 package org.troutpier.daemon.claim;
