--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/request/Arrival.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/request/Arrival.java
@@ -5,15 +5,15 @@
 import org.troutpier.common.id.RequestId;
 
 /**
- * A request as it was read and classified. Immutable but for the exchange, which is confined to its
+ * A parsed and classified request. Immutable except for the exchange, which is confined to its
  * event loop.
  *
- * @param exchange the request and the way to answer it
- * @param id names the request
- * @param declared its class
- * @param key the caller's key, or null
- * @param fingerprint the hash of what was asked, so that a key cannot be used for another request
- * @param call the caller's own mark, empty for none
+ * @param exchange the request and its response
+ * @param id id of the request
+ * @param requestClass class of the request
+ * @param key idempotency key of the caller, or null
+ * @param fingerprint hash of the request, so that a key cannot be reused for another one
+ * @param call identifier given by the caller; empty for none
  */
 public record Arrival(
         HttpExchange exchange,
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/request/CompletionExchange.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/request/CompletionExchange.java
@@ -22,74 +22,69 @@
 import org.troutpier.daemon.upstream.TokenEvent;
 
 /**
- * The handling of a completion: prefill, transfer, decode, answer. Confined to the event loop of
- * its caller's connection. Invariant: the end mark is sent only after the decode engine's own end
- * mark, and an answer that was cut is continued from the token where it broke off.
+ * Handling of a completion: prefill, transfer, decode, answer. Confined to the event loop of the
+ * caller's connection. Invariants: the end mark is sent only after the end mark of the decode
+ * engine; a retry of an interrupted answer continues after the last token received.
  */
 public final class CompletionExchange extends RequestExchange {
 
-    /** How often a silent upstream is looked for, milliseconds. */
+    /** Interval at which the upstream is checked for silence. */
     private static final long SILENCE_CHECK_INTERVAL_MILLIS = 250;
 
-    /** How long a prefill may take beyond what is predicted, nanoseconds. */
+    /** Maximum duration of a prefill. */
     private static final long PREFILL_TIMEOUT_NANOS = 4_000_000_000L;
 
-    /** How long a transfer may take up to the first token, nanoseconds. */
+    /** Maximum time from the decode request to the first token, including the transfer. */
     private static final long TRANSFER_TIMEOUT_NANOS = 2_000_000_000L;
 
-    /** How long a decode may be silent between tokens, nanoseconds. */
+    /** Maximum time between tokens. */
     private static final long TOKEN_TIMEOUT_NANOS = 3_000_000_000L;
 
-    /** How much may wait for a slow caller, bytes. */
+    /** Maximum number of bytes buffered for a slow caller. */
     private static final long MAX_PENDING_BYTES = 1024 * 1024;
 
-    /** The end mark of a stream. */
+    /** End mark of an event stream. */
     private static final byte[] END_MARK = "data: [DONE]\n\n".getBytes(StandardCharsets.US_ASCII);
 
-    /** What was asked. */
     private final CompletionRequest mRequest;
 
-    /** The prompt's prefix blocks. */
     private final List<Long> mBlocks;
 
-    /** The answer so far. */
+    /** Text received so far, over all attempts. */
     private final StringBuilder mText = new StringBuilder();
 
-    /** How many tokens that is. */
+    /** Number of tokens in {@link #mText}. */
     private int mTokens;
 
-    /** How many tokens there were when the current attempt began. */
+    /** Number of tokens when the current attempt started. */
     private int mTokensBefore;
 
-    /** Ends the exchange with the upstream of the current step. */
+    /** Aborts the call to the upstream of the current step. */
     private Engines.Abort mAbort = () -> {};
 
-    /** What the current attempt uses, or null. */
     private Grant mCurrentGrant;
 
-    /** The current attempt. */
     private String mAttempt = "";
 
-    /** Whether the prefill engine may hold something of the current attempt. */
+    /** Whether the prefill engine may hold resources of the current attempt. */
     private boolean mPrefillMayHold;
 
-    /** Whether the decode engine may hold something of the current attempt. */
+    /** Whether the decode engine may hold resources of the current attempt. */
     private boolean mDecodeMayHold;
 
-    /** When the current step began or the last token came. */
+    /** Start of the current step or arrival of the last token. */
     private long mLastProgressNanos;
 
-    /** When the first token came, or 0. */
+    /** Arrival of the first token; 0 if there is none yet. */
     private long mFirstTokenNanos;
 
-    /** Looks for a silent upstream. */
     private Future<?> mSilenceTimer;
 
     /**
-     * What a caller asks of a model. Immutable and thread safe.
+     * Parameters of a completion. Immutable and thread safe.
      *
      * @param prompt the prompt
-     * @param maxTokens how many tokens at most
+     * @param maxTokens maximum number of tokens to generate
      * @param stream whether the answer is streamed
      */
     public record CompletionRequest(String prompt, int maxTokens, boolean stream) {}
@@ -97,9 +92,9 @@
     /**
      * Creates an exchange.
      *
-     * @param services what it calls on
-     * @param arrival the request as it arrived
-     * @param order what was asked
+     * @param services shared services
+     * @param arrival the request
+     * @param request parameters of the completion
      */
     public CompletionExchange(
             ExchangeServices services, Arrival arrival, CompletionRequest request) {
@@ -161,18 +156,13 @@
     }
 
     /**
-     * Receives the prefill engine's answer on any thread and passes on what is still of interest.
+     * Receives the result of the prefill on any thread and ignores it if the attempt is no longer
+     * current.
      */
     private final class PrefillHandler implements Engines.PrefillListener {
 
-        /** The attempt that this belongs to. */
         private final String mListenedAttempt;
 
-        /**
-         * Creates a listener.
-         *
-         * @param attempt the attempt that this belongs to
-         */
         PrefillHandler(String attempt) {
             mListenedAttempt = attempt;
         }
@@ -202,9 +192,9 @@
     }
 
     /**
-     * Goes on with the decode.
+     * Starts the decode.
      *
-     * @param handle the prefill's result
+     * @param handle handle of the prefill result
      */
     private void startDecode(String handle) {
         Grant grant = mCurrentGrant;
@@ -237,18 +227,13 @@
     }
 
     /**
-     * Receives the decode engine's events on any thread and passes on what is still of interest.
+     * Receives the events of the decode engine on any thread and ignores those of an attempt that
+     * is no longer current.
      */
     private final class DecodeHandler implements Engines.DecodeListener {
 
-        /** The attempt that this belongs to. */
         private final String mListenedAttempt;
 
-        /**
-         * Creates a listener.
-         *
-         * @param attempt the attempt that this belongs to
-         */
         DecodeHandler(String attempt) {
             mListenedAttempt = attempt;
         }
@@ -289,11 +274,8 @@
     }
 
     /**
-     * Corrects how a decode ended by what went before it: the prefill has run and no whole answer
-     * came, so the request ran and failed, whatever became of the decode.
-     *
-     * @param end how the decode ended
-     * @return how the attempt ended
+     * Adjusts the end of a decode for the prefill before it: since the prefill has run and no
+     * complete answer has arrived, the request has run and failed, whatever happened to the decode.
      */
     private static AttemptEnd endAfterPrefill(AttemptEnd end) {
         boolean ranAndFailed = end.code().family() == ResultCode.Family.RAN_AND_FAILED;
@@ -305,11 +287,7 @@
                 end.detail());
     }
 
-    /**
-     * Takes a token.
-     *
-     * @param event the token
-     */
+    /** Appends a token and sends it to the caller of a stream. */
     private void appendToken(TokenEvent event) {
         long now = now();
         if (mTokens == mTokensBefore) {
@@ -326,11 +304,7 @@
         }
     }
 
-    /**
-     * Takes note of the first token of an attempt.
-     *
-     * @param now the time
-     */
+    /** Records the first token of an attempt. */
     private void onFirstTokenOfAttempt(long now) {
         setStage(Stage.DECODE);
         recordEvent("first-token", "");
@@ -350,10 +324,8 @@
     }
 
     /**
-     * Returns an event as the caller sees it: with the request's id, whichever attempt it is of.
-     *
-     * @param event the event
-     * @return its bytes
+     * Returns the bytes of an event with the id of the attempt replaced by that of the request, so
+     * that retries are not visible to the caller.
      */
     private byte[] withRequestId(TokenEvent event) {
         if (mAttempt.equals(id().value())) {
@@ -363,7 +335,7 @@
         return text.replace(mAttempt, id().value()).getBytes(StandardCharsets.UTF_8);
     }
 
-    /** Goes on when the decode engine's end mark has come. */
+    /** Completes the answer after the end mark of the decode engine. */
     private void onDecodeComplete() {
         mDecodeMayHold = false;
         mPrefillMayHold = false;
@@ -372,7 +344,10 @@
         onAnswerComplete(new StoredAnswer(200, Map.of(), mText.toString(), mTokens, null), true);
     }
 
-    /** Counts the request as good if it met both its targets. */
+    /**
+     * Counts the request as good if it met its targets for the first token and the mean time
+     * between tokens.
+     */
     private void countGoodput() {
         final long nanosPerMilli = 1_000_000L;
         long first = (mFirstTokenNanos - arrivalNanos()) / nanosPerMilli;
@@ -387,18 +362,13 @@
         count(firstInTime && restInTime ? "good" : "late");
     }
 
-    /**
-     * Counts several.
-     *
-     * @param what what to count
-     * @param many how many
-     */
+    /** Adds to a counter of the partner. */
     private void count(String what, int amount) {
         String name = "requests." + requestClass().partner() + "." + what;
         services().node().metrics().counter(name).inc(amount);
     }
 
-    /** Gives up an upstream that has been silent for too long. */
+    /** Ends the attempt if its upstream has been silent for too long. */
     private void checkSilence() {
         if (!isCurrent(mAttempt)) {
             return;
@@ -409,17 +379,17 @@
             case TRANSFER -> abandonAfter(silent, TRANSFER_TIMEOUT_NANOS, "no first token");
             case DECODE -> abandonAfter(silent, TOKEN_TIMEOUT_NANOS, "no next token");
             default -> {
-                // nothing is waited for
+                // nothing is awaited
             }
         }
     }
 
     /**
-     * Gives up if a silence is too long.
+     * Ends the attempt if the time since the last progress exceeds a timeout.
      *
-     * @param silent how long it has lasted, nanoseconds
-     * @param most how long it may last
-     * @param what what did not come
+     * @param silent time since the last progress, nanoseconds
+     * @param timeout the timeout, nanoseconds
+     * @param missing what has not arrived
      */
     private void abandonAfter(long silent, long timeout, String missing) {
         if (silent > timeout) {
@@ -485,11 +455,6 @@
         exchange().cut();
     }
 
-    /**
-     * Returns the headers of a streamed answer.
-     *
-     * @return new headers
-     */
     private DefaultHttpHeaders streamHeaders() {
         DefaultHttpHeaders headers = new DefaultHttpHeaders();
         headers.set(HttpHeaderNames.CONTENT_TYPE, "text/event-stream");
@@ -497,23 +462,13 @@
         return headers;
     }
 
-    /**
-     * Returns a kept answer as one event.
-     *
-     * @param answer the answer
-     * @return the event's bytes
-     */
+    /** Returns a stored answer as a single event. */
     private byte[] answerEvent(StoredAnswer answer) {
         String json = new String(Json.bytes(body(answer)), StandardCharsets.UTF_8);
         return ("data: " + json + "\n\n").getBytes(StandardCharsets.UTF_8);
     }
 
-    /**
-     * Returns an answer as JSON.
-     *
-     * @param answer the answer
-     * @return the body, for the JSON library
-     */
+    /** Returns the body of an answer, to be serialised as JSON. */
     private Map<String, Object> body(StoredAnswer answer) {
         Map<String, Object> choice = new LinkedHashMap<>();
         choice.put("index", 0);
@@ -527,11 +482,6 @@
         return body;
     }
 
-    /**
-     * Reads the monotonic clock.
-     *
-     * @return nanoseconds
-     */
     private long now() {
         return services().node().nanos().getAsLong();
     }
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/request/ExchangeRegistry.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/request/ExchangeRegistry.java
@@ -8,25 +8,25 @@
 import org.troutpier.common.id.RequestId;
 
 /**
- * The requests that this router carries. Thread safe. Invariant: a partner never has more in it
- * than its limit allowed when each came in.
+ * The requests in progress on this router. Thread safe. Invariant: a request is only added while
+ * its partner has fewer requests than the limit at that time.
  */
 public final class ExchangeRegistry {
 
-    /** Parts a request's id from the number of the attempt. */
+    /** Separates the id of a request from the number of the attempt. */
     public static final char ATTEMPT_SEPARATOR = '.';
 
-    /** The requests by id. */
+    /** Requests by id. */
     private final Map<String, RequestExchange> mExchanges = new ConcurrentHashMap<>();
 
-    /** How many requests each partner has. */
+    /** Number of requests by partner. */
     private final Map<PartnerId, AtomicInteger> mCounts = new ConcurrentHashMap<>();
 
     /**
-     * Adds a request unless its partner has too many.
+     * Adds a request, unless its partner has reached the limit.
      *
      * @param exchange the request
-     * @param limit how many the partner may have
+     * @param limit maximum number of requests of the partner
      * @return whether it was added
      */
     boolean add(RequestExchange exchange, int limit) {
@@ -39,11 +39,7 @@
         return true;
     }
 
-    /**
-     * Takes a request out.
-     *
-     * @param exchange the request
-     */
+    /** Removes a request. */
     void remove(RequestExchange exchange) {
         if (mExchanges.remove(exchange.id().value(), exchange)) {
             count(exchange.requestClass().partner()).decrementAndGet();
@@ -51,41 +47,25 @@
     }
 
     /**
-     * Returns whether an attempt belongs to a request that is carried here.
+     * Returns whether the request of an attempt is in progress on this router.
      *
-     * @param attempt the attempt
-     * @return whether its request is here
+     * @param attempt id of the attempt
      */
     public boolean containsAttempt(String attempt) {
         int separator = attempt.indexOf(ATTEMPT_SEPARATOR);
         return mExchanges.containsKey(separator < 0 ? attempt : attempt.substring(0, separator));
     }
 
-    /**
-     * Finds a request.
-     *
-     * @param id the request
-     * @return the request, or null
-     */
+    /** Returns the request with the given id, or null. */
     public RequestExchange get(RequestId id) {
         return mExchanges.get(id.value());
     }
 
-    /**
-     * Lists the requests.
-     *
-     * @return the requests, as they come and go
-     */
+    /** Returns a live view of all requests. */
     public Collection<RequestExchange> all() {
         return mExchanges.values();
     }
 
-    /**
-     * Returns a partner's counter.
-     *
-     * @param partner the partner
-     * @return the counter
-     */
     private AtomicInteger count(PartnerId partner) {
         return mCounts.computeIfAbsent(partner, id -> new AtomicInteger());
     }
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/request/ExchangeServices.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/request/ExchangeServices.java
@@ -7,15 +7,15 @@
 import org.troutpier.daemon.upstream.Engines;
 
 /**
- * What the handling of every request calls on. Immutable and thread safe.
+ * Services shared by all exchanges. Immutable and thread safe.
  *
- * @param node the router's identity, threads, clock and metrics
- * @param controller decides who starts; control thread only
- * @param claims takes and settles claims
- * @param engines the model engines
- * @param cancels cancels attempts; control thread only
- * @param budget bounds retries
- * @param registry the requests that this router carries
+ * @param node identity, threads, clock and metrics of this router
+ * @param controller admission control; control thread only
+ * @param claims acquires and settles claims
+ * @param engines client of the model engines
+ * @param cancels cancels attempts, with retries; control thread only
+ * @param budget limits retries
+ * @param registry the requests in progress on this router
  */
 public record ExchangeServices(
         Node node,
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/request/OutcomeTracker.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/request/OutcomeTracker.java
@@ -5,23 +5,23 @@
 import org.troutpier.daemon.upstream.AttemptEnd;
 
 /**
- * What is known of a request's work over all its attempts, and what may therefore be said. Pure
- * decision, confined to the request's event loop. Invariants: "not run" is never said once any
- * attempt may have run; once an attempt was lost, nothing but "unknown" is said.
+ * Tracks over all attempts of a request whether it may have run, and restricts the reported result
+ * code accordingly. Pure decision logic, confined to the event loop of the request. Invariants:
+ * "not run" is never reported once any attempt may have run; once an attempt was lost, only
+ * "unknown" is reported.
  */
 public final class OutcomeTracker {
 
-    /** Whether an upstream may have run any of it. */
+    /** Whether an upstream may have run any part of the request. */
     private boolean mMayHaveRun;
 
-    /** What is known of the attempts that may have run: unknown as soon as one is; or null. */
-    private ResultCode mKnownCode;
-
     /**
-     * Takes note of an attempt's end.
-     *
-     * @param end how the attempt ended
+     * Result of the attempts that may have run: an unknown outcome once any of them has one; null
+     * if there is none.
      */
+    private ResultCode mKnownCode;
+
+    /** Records the end of an attempt. */
     public void recordAttemptEnd(AttemptEnd end) {
         if (end.notStarted()) {
             return;
@@ -32,29 +32,21 @@
         }
     }
 
-    /**
-     * Takes note of whether an upstream has the request just now.
-     *
-     * @param atUpstream whether one has it
-     */
+    /** Records whether an upstream currently has the request. Once set, this is never reset. */
     public void recordAtUpstream(boolean atUpstream) {
         mMayHaveRun |= atUpstream;
     }
 
-    /**
-     * Returns whether an upstream may have run any of it.
-     *
-     * @return whether it cannot be said that it was not run
-     */
+    /** Returns whether an upstream may have run any part of the request. */
     public boolean mayHaveRun() {
         return mMayHaveRun;
     }
 
     /**
-     * Returns the code that is true for the whole request.
+     * Returns the result code to report for the request.
      *
-     * @param wished the code that fits the last step
-     * @return the same, or what is known where it would say too much
+     * @param preferred code of the last step
+     * @return the same code, or a more cautious one if the attempts do not prove it
      */
     public ResultCode reportableCode(ResultCode preferred) {
         boolean lost = mKnownCode != null && mKnownCode.family() == Family.OUTCOME_UNKNOWN;
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/request/RequestExchange.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/request/RequestExchange.java
@@ -25,66 +25,62 @@
 import org.troutpier.daemon.upstream.AttemptEnd;
 
 /**
- * The handling of one request, from arrival to its one answer. Confined to the event loop of its
- * caller's connection, but for the accessors, which may be read anywhere. Invariants: the caller
- * gets one answer or one refusal; "not run" is said only when no upstream may have run it; whatever
- * the request holds is given back in {@link #finish(ResultCode)}, which every way out passes once.
+ * Handling of a request, from arrival to the answer or refusal. Confined to the event loop of the
+ * caller's connection, except for the accessors, which are thread safe. Invariants: the caller
+ * receives exactly one answer or refusal; "not run" is reported only if no upstream may have run
+ * the request; all resources are released in {@link #finish(ResultCode)}, which every accepted
+ * request passes exactly once.
  */
 public abstract class RequestExchange {
 
-    /** How many attempts are made at most, the first included. */
+    /** Maximum number of attempts, including the first one. */
     private static final int MAX_ATTEMPTS = 4;
 
-    /** How long to wait before an outcome is recorded again, milliseconds. */
+    /** Delay before a failed attempt to record an outcome is retried. */
     private static final long RECORD_RETRY_MILLIS = 200;
 
-    /** How long before its end a lease is no longer trusted, nanoseconds. */
+    /** Time before the end of a lease from which it is no longer relied on. */
     private static final long LEASE_MARGIN_NANOS = 2_000_000_000L;
 
-    /** What this exchange calls on. */
     private final ExchangeServices mServices;
 
-    /** The request as it arrived. */
     private final Arrival mArrival;
 
-    /** When it arrived, by the monotonic clock. */
+    /** Time of arrival on the monotonic clock. */
     private final long mArrivalNanos;
 
-    /** Where the request is in its handling. */
     private volatile Stage mStage = Stage.RECEIVED;
 
-    /** The upstream that has it, for people to see; empty for none. */
+    /** Upstream that has the request, for display; empty for none. */
     private volatile String mUpstream = "";
 
-    /** Ends the request when its deadline passes. */
     private Future<?> mDeadlineTimer;
 
-    /** The claim on its key, once granted. */
+    /** Claim on the idempotency key; null if there is none. */
     private Claim mClaim;
 
-    /** The ticket that waits at the admission controller, or null. */
+    /** Ticket that waits for admission, or null. */
     private Ticket mTicket;
 
-    /** What the current attempt may use, or null. */
+    /** Upstreams that the current attempt may use, or null. */
     private Grant mGrant;
 
-    /** How many attempts were started. */
+    /** Number of attempts started. */
     private int mAttempts;
 
-    /** What is known of the work. */
     private final OutcomeTracker mOutcomeTracker = new OutcomeTracker();
 
-    /** The upstreams that failed it. */
+    /** Upstreams that failed this request. */
     private final Set<UpstreamId> mFailedUpstreams = new HashSet<>();
 
-    /** The complete answer while its outcome is being recorded, or null. */
+    /** Complete answer while its outcome is being recorded, or null. */
     private StoredAnswer mPendingAnswer;
 
     /**
      * Creates an exchange.
      *
-     * @param services what it calls on
-     * @param arrival the request as it arrived
+     * @param services shared services
+     * @param arrival the request
      */
     protected RequestExchange(ExchangeServices services, Arrival arrival) {
         mServices = services;
@@ -95,7 +91,7 @@
     /**
      * Starts the exchange.
      *
-     * @param partnerLimit how many requests the partner may have here
+     * @param partnerLimit maximum number of the partner's requests in progress on this router
      */
     public final void start(int partnerLimit) {
         if (!mServices.registry().add(this, partnerLimit)) {
@@ -125,11 +121,7 @@
         }
     }
 
-    /**
-     * Goes on after asking for a claim.
-     *
-     * @param outcome what came of it
-     */
+    /** Continues after the attempt to acquire a claim. */
     private void onClaimOutcome(ClaimOutcome outcome) {
         if (outcome instanceof ClaimOutcome.Granted granted) {
             mClaim = granted.claim();
@@ -156,7 +148,7 @@
         }
     }
 
-    /** Asks the admission controller to start. */
+    /** Submits a ticket to the admission controller. */
     private void enqueue() {
         setStage(Stage.QUEUED);
         mTicket = ticket(mArrivalNanos, Set.copyOf(mFailedUpstreams), new AdmissionListener());
@@ -164,7 +156,7 @@
         mServices.node().control().execute(() -> mServices.controller().submit(ticket));
     }
 
-    /** Receives the admission controller's answer on the control thread and passes it on. */
+    /** Receives the admission decision on the control thread and forwards it to the event loop. */
     private final class AdmissionListener implements Ticket.Listener {
 
         /** {@inheritDoc} */
@@ -180,11 +172,7 @@
         }
     }
 
-    /**
-     * Starts an attempt.
-     *
-     * @param grant what it may use
-     */
+    /** Starts an attempt, or releases the grant if the request is over. */
     private void startAttempt(Grant grant) {
         if (isOver()) {
             release(grant);
@@ -201,46 +189,43 @@
     }
 
     /**
-     * Makes the ticket for the admission controller.
+     * Creates the ticket for the admission controller.
      *
-     * @param arrivalNanos when the request arrived
-     * @param avoid the upstreams that failed it
-     * @param answer hears the admission controller's answer
+     * @param arrivalNanos time of arrival on the monotonic clock
+     * @param failedUpstreams upstreams that failed this request
+     * @param listener receives the admission decision
      * @return the ticket
      */
     protected abstract Ticket ticket(
             long arrivalNanos, Set<UpstreamId> failedUpstreams, Ticket.Listener listener);
 
     /**
-     * Runs one attempt.
+     * Runs an attempt.
      *
-     * @param grant what it may use
-     * @param attempt names the attempt
+     * @param grant upstreams that it may use
+     * @param attempt id of the attempt
      */
     protected abstract void runAttempt(Grant grant, String attempt);
 
-    /** Ends the exchanges of the current attempt and cancels what its upstreams may hold. */
+    /** Aborts the calls of the current attempt and cancels what its upstreams may hold. */
     protected abstract void stopAttempt();
 
-    /**
-     * Sends a whole answer, or what is missing of one that has begun.
-     *
-     * @param answer the answer
-     */
+    /** Sends a complete answer, or the rest of one that has been started. */
     protected abstract void sendAnswer(StoredAnswer answer);
 
     /**
-     * Tells the caller of an answer that has begun that it will not be whole, and cuts it.
+     * Reports to the caller that an answer that has been started cannot be completed, and truncates
+     * it.
      *
      * @param code why
-     * @param detail what exactly
+     * @param detail detail of the failure
      */
     protected abstract void sendTruncation(ResultCode code, String detail);
 
     /**
-     * Ends the current attempt without an answer: the request is tried again or refused.
+     * Ends the current attempt without an answer; the request is retried or refused.
      *
-     * @param end how it ended
+     * @param end how the attempt ended
      */
     protected final void onAttemptEnd(AttemptEnd end) {
         if (isOver()) {
@@ -264,11 +249,7 @@
         }
     }
 
-    /**
-     * Tries again if the partner's budget allows.
-     *
-     * @param end how the last attempt ended
-     */
+    /** Retries the request if the partner's retry budget allows it, or else refuses it. */
     private void retryWithinBudget(AttemptEnd end) {
         if (mServices.budget().tryAcquire(requestClass().partner())) {
             count("retries");
@@ -282,12 +263,7 @@
         }
     }
 
-    /**
-     * Tells the admission controller how an attempt ended.
-     *
-     * @param grant what it used
-     * @param end how it ended
-     */
+    /** Reports the end of an attempt to the admission controller. */
     private void reportAttemptEnd(Grant grant, AttemptEnd end) {
         UpstreamId failedUpstream = failedUpstream(grant);
         mFailedUpstreams.add(failedUpstream);
@@ -305,20 +281,15 @@
                         });
     }
 
-    /**
-     * Returns which upstream an attempt ended at.
-     *
-     * @param grant what it used
-     * @return the upstream
-     */
+    /** Returns the upstream at which the current attempt ended. */
     protected abstract UpstreamId failedUpstream(Grant grant);
 
     /**
-     * Goes on when the answer is complete: its outcome is recorded where the class asks for it, and
-     * the end mark is sent.
+     * Handles a complete answer: its outcome is recorded if the request has a claim, and the end
+     * mark is sent.
      *
      * @param answer the answer
-     * @param keep whether it is small enough to be kept
+     * @param keep whether the answer is small enough to be stored
      */
     protected final void onAnswerComplete(StoredAnswer answer, boolean keep) {
         Grant grant = mGrant;
@@ -341,12 +312,7 @@
         }
     }
 
-    /**
-     * Records that the request was answered, as often as it takes, and then sends the end mark.
-     *
-     * @param answer the answer
-     * @param keep whether it is small enough to be kept
-     */
+    /** Records the answer, retrying until the result is known, and then sends the end mark. */
     private void recordOutcome(StoredAnswer answer, boolean keep) {
         if (isOver()) {
             return;
@@ -357,13 +323,7 @@
                 .thenAccept(settled -> runOnLoop(() -> onRecorded(answer, keep, settled)));
     }
 
-    /**
-     * Goes on after recording.
-     *
-     * @param answer the answer
-     * @param keep whether it is small enough to be kept
-     * @param settled what came of it
-     */
+    /** Continues after an attempt to record the answer. */
     private void onRecorded(StoredAnswer answer, boolean keep, SettlementResult settled) {
         if (isOver()) {
             return;
@@ -388,21 +348,12 @@
         }
     }
 
-    /**
-     * Returns what is to be kept of an answer.
-     *
-     * @param answer the answer
-     * @param keep whether it is small enough
-     * @return the answer, or empty
-     */
     private static Optional<StoredAnswer> answerToKeep(StoredAnswer answer, boolean keep) {
         return keep ? Optional.of(answer) : Optional.empty();
     }
 
     /**
-     * Sends the end of a complete answer.
-     *
-     * @param answer the answer
+     * Sends the complete answer, or the end of one that has been started, and finishes the request.
      */
     private void sendAndFinish(StoredAnswer answer) {
         count("answered");
@@ -411,7 +362,7 @@
         finish(null);
     }
 
-    /** Ends the request because its deadline has passed. */
+    /** Refuses the request because its deadline has passed. */
     private void onDeadline() {
         if (mStage == Stage.ANSWERING) {
             refuse(ResultCode.OUTCOME_NOT_RECORDED, "the table did not confirm in time");
@@ -422,7 +373,10 @@
         }
     }
 
-    /** Ends the request because its caller is gone. */
+    /**
+     * Finishes the request because the caller has disconnected. A complete answer is still
+     * recorded.
+     */
     private void onCallerGone() {
         if (isOver()) {
             return;
@@ -438,9 +392,9 @@
     }
 
     /**
-     * Cancels the request for an operator; may be called from any thread.
+     * Cancels the request on behalf of an operator. Thread safe.
      *
-     * @param by who orders it
+     * @param by who cancels it
      */
     public final void cancel(String by) {
         runOnLoop(
@@ -453,11 +407,11 @@
     }
 
     /**
-     * Refuses the request, or cuts its answer if one has begun. What is said never claims more than
-     * is known.
+     * Refuses the request, or truncates the answer if it has been started. The reported code is
+     * restricted to what is known of all attempts.
      *
-     * @param wished the code that fits the last step
-     * @param detail what exactly
+     * @param preferred code of the last step
+     * @param detail detail of the refusal
      */
     protected final void refuse(ResultCode preferred, String detail) {
         if (isOver()) {
@@ -480,9 +434,9 @@
     }
 
     /**
-     * The one way out: gives everything back.
+     * Ends the request and releases all its resources.
      *
-     * @param code how the request ended, or null where it was answered
+     * @param code how the request ended; null if it was answered
      */
     private void finish(ResultCode code) {
         Invariants.check(mStage != Stage.OVER, "ended-twice", id());
@@ -510,19 +464,13 @@
         mServices.registry().remove(this);
     }
 
-    /**
-     * Gives a grant back.
-     *
-     * @param grant the grant
-     */
     private void release(Grant grant) {
         mServices.node().control().execute(() -> mServices.controller().release(grant));
     }
 
     /**
-     * Names the current attempt.
-     *
-     * @return the request's id, with the attempt's number from the second on
+     * Returns the id of the current attempt: the id of the request, followed by the number of the
+     * attempt from the second one on.
      */
     private String attemptId() {
         return mAttempts == 1
@@ -530,11 +478,7 @@
                 : id().value() + ExchangeRegistry.ATTEMPT_SEPARATOR + mAttempts;
     }
 
-    /**
-     * Runs an action on the caller's event loop.
-     *
-     * @param action the action
-     */
+    /** Runs an action on the event loop of the caller's connection. */
     protected final void runOnLoop(Runnable action) {
         if (exchange().loop().inEventLoop()) {
             action.run();
@@ -543,141 +487,93 @@
         }
     }
 
-    /**
-     * Takes note of where the request is.
-     *
-     * @param stage the stage
-     */
+    /** Sets the stage of the request. */
     protected final void setStage(Stage stage) {
         mStage = stage;
     }
 
-    /**
-     * Takes note of which upstream has the request.
-     *
-     * @param where the upstream
-     */
+    /** Sets the upstream that has the request, for display. */
     protected final void setUpstream(String upstream) {
         mUpstream = upstream;
     }
 
     /**
-     * Counts one for the request's partner.
+     * Increments a counter of the partner.
      *
-     * @param what what to count
+     * @param what name of the counter
      */
     protected final void count(String what) {
         mServices.node().count("requests." + requestClass().partner() + "." + what);
     }
 
     /**
-     * Records an event about the request.
+     * Records an event of the request.
      *
-     * @param kind what happened
-     * @param detail what else is worth knowing
+     * @param kind kind of the event
+     * @param detail further details
      */
     protected final void recordEvent(String kind, String detail) {
         mServices.node().events().record(kind, id().value(), detail);
     }
 
     /**
-     * Returns whether an attempt may still act.
+     * Returns whether an attempt is the current one and the request is not over. Results of other
+     * attempts are ignored.
      *
-     * @param attempt the attempt
-     * @return whether it is the current one of a request that is not over
+     * @param attempt id of the attempt
      */
     protected final boolean isCurrent(String attempt) {
         return !isOver() && mGrant != null && attempt.equals(attemptId());
     }
 
-    /**
-     * Returns how much time is left.
-     *
-     * @return milliseconds to the deadline, at least one
-     */
+    /** Returns the time until the deadline in milliseconds, at least 1. */
     protected final int remainingMillis() {
         final long nanosPerMilli = 1_000_000L;
         long elapsedMillis = (mServices.node().nanos().getAsLong() - mArrivalNanos) / nanosPerMilli;
         return (int) Math.max(1, requestClass().deadlineMillis() - elapsedMillis);
     }
 
-    /**
-     * Returns what this exchange calls on.
-     *
-     * @return the services
-     */
+    /** Returns the shared services. */
     protected final ExchangeServices services() {
         return mServices;
     }
 
-    /**
-     * Returns the exchange.
-     *
-     * @return the request and the way to answer it
-     */
+    /** Returns the request and its response. */
     protected final HttpExchange exchange() {
         return mArrival.exchange();
     }
 
-    /**
-     * Returns the request as it arrived.
-     *
-     * @return the arrival
-     */
+    /** Returns the request as parsed and classified. */
     protected final Arrival arrival() {
         return mArrival;
     }
 
-    /**
-     * Returns when the request arrived.
-     *
-     * @return nanoseconds by the monotonic clock
-     */
+    /** Returns the time of arrival on the monotonic clock. */
     public final long arrivalNanos() {
         return mArrivalNanos;
     }
 
-    /**
-     * Returns whether the request is over.
-     *
-     * @return whether it got its one answer or refusal, or its caller is gone
-     */
+    /** Returns whether the request was answered or refused, or its caller has disconnected. */
     public final boolean isOver() {
         return mStage == Stage.OVER;
     }
 
-    /**
-     * Returns the request's id.
-     *
-     * @return the id
-     */
+    /** Returns the id of the request. */
     public final RequestId id() {
         return mArrival.id();
     }
 
-    /**
-     * Returns the request's class.
-     *
-     * @return the class
-     */
+    /** Returns the class of the request. */
     public final ClassDeclaration requestClass() {
         return mArrival.requestClass();
     }
 
-    /**
-     * Returns where the request is in its handling.
-     *
-     * @return the stage
-     */
+    /** Returns the stage of the request. */
     public final Stage currentStage() {
         return mStage;
     }
 
-    /**
-     * Returns which upstream has the request.
-     *
-     * @return the upstream, empty for none
-     */
+    /** Returns the upstream that has the request; empty for none. */
     public final String currentUpstream() {
         return mUpstream;
     }
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/request/RetryBudget.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/request/RetryBudget.java
@@ -5,26 +5,22 @@
 import org.troutpier.common.id.PartnerId;
 
 /**
- * Bounds retries to a share of a partner's first tries, so that a fault does not become a storm.
- * Thread safe by its lock. Invariant: at any moment a partner's retries are at most a tenth of its
- * first tries.
+ * Limits the retries of each partner to a fraction of its first attempts, so that failures do not
+ * cause a retry storm. Thread safe by its lock. Invariant: a partner's retries never exceed a tenth
+ * of its first attempts.
  */
 public final class RetryBudget {
 
-    /** How much of a retry each first try earns. */
+    /** Number of retries that each first attempt earns. */
     public static final double EARNED_PER_FIRST_ATTEMPT = 0.1;
 
-    /** How many retries may be saved up. */
+    /** Maximum number of unused retries that a partner can accumulate. */
     private static final double MAX_BALANCE = 200;
 
-    /** What each partner has saved up. */
+    /** Unused retries by partner. */
     private final Map<PartnerId, Double> mBalances = new HashMap<>();
 
-    /**
-     * Takes note of a first try.
-     *
-     * @param partner whose it is
-     */
+    /** Records the first attempt of a request. */
     public synchronized void recordFirstAttempt(PartnerId partner) {
         mBalances.merge(
                 partner,
@@ -33,10 +29,9 @@
     }
 
     /**
-     * Asks for a retry.
+     * Takes one retry from the budget of a partner.
      *
-     * @param partner whose it is
-     * @return whether it may be made
+     * @return whether the retry is allowed
      */
     public synchronized boolean tryAcquire(PartnerId partner) {
         final double oneRetry = 1 - 1e-9;
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/request/ServiceExchange.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/request/ServiceExchange.java
@@ -26,25 +26,28 @@
 import org.troutpier.daemon.upstream.AttemptEnd;
 
 /**
- * The handling of a call to a plain service. Confined to the event loop of its caller's connection.
- * Invariant: a call that must not be repeated goes out on a connection of its own, so that a
- * connection that the service has just closed can never leave it in doubt.
+ * Handling of a call to a plain service. Confined to the event loop of the caller's connection.
+ * Invariant: a call that is not repeatable is sent on a new connection. On a pooled connection that
+ * the service has just closed, it would be unknown whether the call was received.
  */
 public final class ServiceExchange extends RequestExchange {
 
-    /** Says, with {@code false}, that a refused call was not started. */
+    /**
+     * Response header that, with the value {@code false}, confirms that a refused call was not
+     * started.
+     */
     public static final String STARTED_HEADER = "X-Request-Started";
 
-    /** Carries the attempt's id to the service and back. */
+    /** Carries the id of the attempt to the service and back. */
     public static final String ID_HEADER = "X-Request-Id";
 
-    /** The largest answer that is kept for a key, bytes. */
+    /** Largest answer that is stored for an idempotency key. */
     private static final int MAX_KEPT_BYTES = 1024 * 1024;
 
-    /** The status by which a service may say that it did not start. */
+    /** Status with which a service may report that it did not start a call. */
     private static final int UNAVAILABLE = 503;
 
-    /** The headers that belong to one connection and are not passed on. */
+    /** Headers that apply to a single connection and are not forwarded. */
     private static final Set<String> HOP_BY_HOP_HEADERS =
             Set.of(
                     "connection",
@@ -57,40 +60,37 @@
                     "transfer-encoding",
                     "upgrade");
 
-    /** The headers that are between the caller and the router. */
+    /** Headers that are exchanged between the caller and the router only. */
     private static final Set<String> ROUTER_HEADERS =
             Set.of("authorization", "troutpier-class", "idempotency-key", "host", "expect");
 
-    /** The path and query to ask the service for, still encoded. */
+    /** Encoded path and query of the call to the service. */
     private final String mPath;
 
-    /** The exchange with the service, or null. */
+    /** The call to the service, or null. */
     private HttpCalls.Ongoing mCall;
 
-    /** The current attempt. */
     private String mAttempt = "";
 
-    /** The status of the service's answer. */
     private int mStatus;
 
-    /** The headers of the service's answer. */
     private HttpHeaders mHeaders;
 
-    /** The body so far, while it is kept back. */
+    /** Body received so far, while it is buffered. */
     private final ByteArrayOutputStream mBody = new ByteArrayOutputStream();
 
-    /** Whether the body is kept back until the outcome is recorded. */
+    /** Whether the body is buffered until the outcome is recorded. */
     private boolean mBuffering;
 
-    /** Whether the body grew too large to be kept. */
+    /** Whether the body grew too large to be stored. */
     private boolean mOverflow;
 
     /**
      * Creates an exchange.
      *
-     * @param services what it calls on
-     * @param arrival the request as it arrived
-     * @param path the path and query to ask the service for, still encoded
+     * @param services shared services
+     * @param arrival the request
+     * @param path encoded path and query of the call to the service
      */
     public ServiceExchange(ExchangeServices services, Arrival arrival, String path) {
         super(services, arrival);
@@ -128,11 +128,7 @@
         mCall = services().node().calls().send(call, new ReplyHandler(attempt));
     }
 
-    /**
-     * Returns the caller's headers that the service gets.
-     *
-     * @return the headers
-     */
+    /** Returns the headers of the caller that are forwarded to the service. */
     private Map<String, String> forwardedHeaders() {
         Map<String, String> headers = new LinkedHashMap<>();
         for (Map.Entry<String, String> header : exchange().headers()) {
@@ -145,26 +141,19 @@
         return headers;
     }
 
-    /** Receives the service's answer on any thread and passes on what is still of interest. */
+    /**
+     * Receives the service's answer on any thread and ignores it if the attempt is no longer
+     * current.
+     */
     private final class ReplyHandler implements ReplyListener {
 
-        /** The attempt that this belongs to. */
         private final String mListenedAttempt;
 
-        /**
-         * Creates a listener.
-         *
-         * @param attempt the attempt that this belongs to
-         */
         ReplyHandler(String attempt) {
             mListenedAttempt = attempt;
         }
 
-        /**
-         * Runs an action if the attempt is still the current one.
-         *
-         * @param action the action
-         */
+        /** Runs an action on the event loop if the attempt is still current. */
         private void ifCurrent(Runnable action) {
             runOnLoop(
                     () -> {
@@ -205,12 +194,7 @@
         }
     }
 
-    /**
-     * Takes the head of the service's answer.
-     *
-     * @param status the HTTP status
-     * @param headers the headers
-     */
+    /** Handles status and headers of the service's answer. */
     private void acceptHead(int status, HttpHeaders headers) {
         String echoed = headers.get(ID_HEADER);
         if (status == UNAVAILABLE && "false".equals(headers.get(STARTED_HEADER))) {
@@ -223,11 +207,7 @@
         }
     }
 
-    /**
-     * Takes a part of the service's answer.
-     *
-     * @param part the part
-     */
+    /** Buffers or forwards a part of the service's body. */
     private void acceptPart(byte[] part) {
         if (mBuffering) {
             mBody.writeBytes(part);
@@ -243,9 +223,8 @@
     }
 
     /**
-     * Sends a part to the caller and holds the service back while the caller is slower.
-     *
-     * @param part the part
+     * Sends a part of the body to the caller and pauses reading from the service while the caller
+     * is slower.
      */
     private void forward(byte[] part) {
         if (!exchange().begun()) {
@@ -265,14 +244,14 @@
         }
     }
 
-    /** Lets the service go on. */
+    /** Resumes reading from the service. */
     private void resume() {
         if (mCall != null) {
             mCall.resume();
         }
     }
 
-    /** Goes on when the service's answer is complete. */
+    /** Completes the answer after the end of the service's answer. */
     private void finishReply() {
         mCall = null;
         boolean good = !requestClass().hasTarget() || metTarget();
@@ -283,11 +262,7 @@
                 new StoredAnswer(mStatus, headers, null, 0, mBody.toByteArray()), !mOverflow);
     }
 
-    /**
-     * Returns whether the answer met the class's target.
-     *
-     * @return whether it came in time
-     */
+    /** Returns whether the answer arrived within the target of the request class. */
     private boolean metTarget() {
         final long nanosPerMilli = 1_000_000L;
         long took = services().node().nanos().getAsLong() - arrivalNanos();
@@ -295,9 +270,8 @@
     }
 
     /**
-     * Goes on when the exchange with the service broke.
-     *
-     * @param end how it ended
+     * Handles a failed call: an answer that has been started is truncated, otherwise the attempt
+     * ends.
      */
     private void onCallFailure(AttemptEnd end) {
         if (exchange().begun()) {
@@ -349,12 +323,7 @@
         exchange().cut();
     }
 
-    /**
-     * Returns the service's headers that the caller gets.
-     *
-     * @param headers the service's headers
-     * @return new headers
-     */
+    /** Returns the headers of the service's answer that are forwarded to the caller. */
     private HttpHeaders callerHeaders(HttpHeaders headers) {
         HttpHeaders callerHeaders = new DefaultHttpHeaders();
         for (Map.Entry<String, String> header : headers) {
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/request/Stage.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/request/Stage.java
@@ -2,41 +2,33 @@
 
 import java.util.Locale;
 
-/** Where a request is in its handling. Immutable and thread safe. */
+/** Stages of the handling of a request. Immutable and thread safe. */
 public enum Stage {
-    /** It was read and classified. */
+    /** Parsed and classified. */
     RECEIVED,
-    /** A claim on its key is being asked for. */
+    /** Acquiring the claim on the idempotency key. */
     CLAIMING,
-    /** It waits for room. */
+    /** Waiting for admission. */
     QUEUED,
-    /** A prefill engine has it. */
+    /** At a prefill engine. */
     PREFILL,
-    /** A decode engine fetches the prefill's result. */
+    /** A decode engine is fetching the prefill result. */
     TRANSFER,
-    /** A decode engine generates. */
+    /** A decode engine is generating tokens. */
     DECODE,
-    /** A plain service has it. */
+    /** At a plain service. */
     CALLING,
     /** The answer is complete and its outcome is being recorded. */
     ANSWERING,
-    /** It got its one answer or refusal, or its caller is gone. */
+    /** Answered or refused, or the caller has disconnected. */
     OVER;
 
-    /**
-     * Returns whether an upstream may have the request.
-     *
-     * @return whether bytes may have left
-     */
+    /** Returns whether an upstream may have received the request. */
     public boolean isAtUpstream() {
         return this == PREFILL || this == TRANSFER || this == DECODE || this == CALLING;
     }
 
-    /**
-     * Returns the name for people.
-     *
-     * @return the name in lower case
-     */
+    /** Returns the lower-case name, as shown to operators and callers. */
     public String label() {
         return name().toLowerCase(Locale.ROOT);
     }
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/request/package-info.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/request/package-info.java
@@ -1,2 +1,2 @@
-/** The handling of a request, from arrival to its one answer. */
+/** Handling of requests, from arrival to the answer or refusal. */
 package org.troutpier.daemon.request;
