--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/admission/AdmissionController.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/admission/AdmissionController.java
@@ -23,59 +23,52 @@
 import org.troutpier.daemon.placement.UpstreamState;
 
 /**
- * Decides which request starts, when and where. Confined to the control thread. Invariant: every
- * ticket hears exactly one answer, and whatever a grant takes is given back once.
+ * Decides which request starts, when, and on which upstreams. Confined to the control thread.
+ * Invariant: the listener of every submitted ticket is called exactly once, and whatever a grant
+ * acquires is released exactly once.
  */
 public final class AdmissionController {
 
-    /** How often tickets that wait in vain are looked for, milliseconds. */
-    private static final long SWEEP_MILLIS = 20;
+    /** Interval at which waiting tickets are checked for missed targets. */
+    private static final long SWEEP_INTERVAL_MILLIS = 20;
 
-    /** Nanoseconds in a microsecond. */
     private static final long NANOS_PER_MICRO = 1000;
 
-    /** What became of the first of a queue. */
+    /** Outcome for the first ticket of a queue. */
     private enum Decision {
-        /** It was granted. */
         STARTED,
-        /** It was refused. */
         REFUSED,
-        /** It waits for room. */
+        /** The ticket stays in its queue until capacity is available. */
         WAITS
     }
 
-    /** The router's identity, threads, clock and metrics. */
     private final Node mNode;
 
-    /** All upstreams. */
     private final UpstreamRegistry mUpstreamRegistry;
 
-    /** How decode slots are shared among routers. */
     private final DecodePermits mPermits;
 
-    /** How a pair of engines is chosen. */
     private final PairSelector mSelector;
 
-    /** Whether a request whose target is out of reach is refused. */
+    /** Whether requests that cannot meet their first-token target are refused (load shedding). */
     private final boolean mShed;
 
-    /** What waits, by model or service. */
+    /** Waiting tickets by kind and model or service. */
     private final Map<String, FairQueue<Ticket>> mQueues = new HashMap<>();
 
-    /** How far the predicted first token was off, microseconds. */
+    /** Absolute error of the predicted time to the first token, microseconds. */
     private final Histogram mPredictionError;
 
-    /** The declarations in force. */
     private Declarations mDeclarations = Declarations.EMPTY;
 
     /**
      * Creates a controller.
      *
-     * @param node the router's identity, threads, clock and metrics
+     * @param node identity, threads, clock and metrics of this router
      * @param registry all upstreams
-     * @param permits how decode slots are shared among routers
-     * @param selector how a pair of engines is chosen
-     * @param shed whether a request whose target is out of reach is refused
+     * @param permits admission to decode slots that several routers share
+     * @param selector chooses the prefill and decode engine of a completion
+     * @param shed whether requests that cannot meet their first-token target are refused
      */
     public AdmissionController(
             Node node,
@@ -89,352 +82,279 @@
         mSelector = selector;
         mShed = shed;
         mPredictionError = node.metrics().histogram("admission.prediction-error-micros");
-        node.control().every(this::sweep, SWEEP_MILLIS);
+        node.control().every(this::sweep, SWEEP_INTERVAL_MILLIS);
     }
 
-    /**
-     * Takes new declarations.
-     *
-     * @param declarations the declarations in force
-     */
+    /** Applies new declarations and starts what they allow. */
     public void apply(Declarations declarations) {
         mDeclarations = declarations;
         mUpstreamRegistry.apply(declarations);
-        pumpAll();
+        dispatchAll();
     }
 
     /**
-     * Takes a ticket: it starts, waits or is refused.
-     *
-     * @param ticket the ticket
+     * Submits a ticket, which is granted, queued or refused. It is refused with {@link
+     * ResultCode#QUEUE_FULL} if its partner's queue limit is reached.
      */
     public void submit(Ticket ticket) {
-        PartnerId partner = ticket.declared().partner();
-        FairQueue<Ticket> queue = queue(ticket.declared());
+        PartnerId partner = ticket.requestClass().partner();
+        FairQueue<Ticket> queue = queue(ticket.requestClass());
         int limit = mDeclarations.partner(partner).map(PartnerDeclaration::queueLimit).orElse(0);
-        if (queue.waiting(partner) >= limit) {
+        if (queue.size(partner) >= limit) {
             refuse(ticket, ResultCode.QUEUE_FULL, partner + " has " + limit + " waiting");
             return;
         }
         queue.add(partner, ticket, ticket.dueNanos(), 1);
-        pump(ticket.declared());
+        dispatch(ticket.requestClass());
     }
 
     /**
-     * Takes a ticket back.
+     * Withdraws a ticket.
      *
-     * @param ticket the ticket
      * @return whether it was still waiting
      */
     public boolean withdraw(Ticket ticket) {
-        return queue(ticket.declared()).remove(ticket.declared().partner(), ticket);
+        return queue(ticket.requestClass()).remove(ticket.requestClass().partner(), ticket);
     }
 
     /**
-     * Takes note that a grant's prefill has ended, well or not.
+     * Records that the prefill of a grant has ended and releases its prefill half.
      *
      * @param grant the grant
-     * @param nanos how long it took, 0 where it did not end well
+     * @param nanos duration of the prefill; 0 if it failed, so that it is not measured
      */
-    public void prefillEnded(Grant grant, long nanos) {
-        if (grant.leavePrefill()) {
-            grant.prefillState().left(grant.uncachedTokens());
+    public void onPrefillEnd(Grant grant, long nanos) {
+        if (grant.releasePrefill()) {
+            grant.prefillState().recordEnd(grant.uncachedTokens());
             if (nanos > 0) {
-                grant.prefillState().prefilled(grant.tokensToDone(), nanos);
+                grant.prefillState().recordPrefill(grant.tokensUntilDone(), nanos);
             }
         }
     }
 
     /**
-     * Takes note of a grant's first token.
+     * Records the first token of a grant.
      *
      * @param grant the grant
-     * @param stepNanos how long it took from the decode request
+     * @param stepNanos time since the decode request was sent
      */
-    public void firstToken(Grant grant, long stepNanos) {
-        double predicted = grant.mainState().firstStepNanos();
+    public void onFirstToken(Grant grant, long stepNanos) {
+        double predicted = grant.mainState().predictedFirstStepNanos();
         long error = Math.abs((long) predicted - stepNanos);
         mPredictionError.update(error / NANOS_PER_MICRO);
-        grant.mainState().firstStep(stepNanos);
+        grant.mainState().recordFirstStep(stepNanos);
     }
 
-    /**
-     * Ends a grant: whatever it still holds is given back.
-     *
-     * @param grant the grant
-     */
-    public void ended(Grant grant) {
-        prefillEnded(grant, 0);
-        if (grant.leaveMain()) {
+    /** Releases whatever a grant still holds; further calls have no effect. */
+    public void release(Grant grant) {
+        onPrefillEnd(grant, 0);
+        if (grant.releaseMain()) {
             UpstreamState main = grant.mainState();
-            main.left(0);
-            main.held(mNode.nanos().getAsLong() - grant.grantedNanos());
-            if (main.declared().role() != Role.SERVICE) {
-                mPermits.giveBack(main);
+            main.recordEnd(0);
+            main.recordHold(mNode.nanos().getAsLong() - grant.grantedNanos());
+            if (main.declaration().role() != Role.SERVICE) {
+                mPermits.release(main);
             }
-            pumpAll();
+            dispatchAll();
         }
     }
 
-    /**
-     * Takes note that an upstream could not be reached.
-     *
-     * @param id the upstream
-     */
-    public void unreached(UpstreamId id) {
+    /** Records that an upstream could not be reached. */
+    public void onUnreachable(UpstreamId id) {
         UpstreamState state = mUpstreamRegistry.get(id);
         if (state != null) {
-            state.unreached(mNode.nanos().getAsLong());
+            state.recordUnreachable(mNode.nanos().getAsLong());
         }
     }
 
     /**
-     * Takes note that an upstream had no room, or is leaving.
+     * Records that an upstream refused a request because it had no capacity or is leaving.
      *
      * @param id the upstream
-     * @param leaving whether it said that it is leaving
+     * @param leaving whether it reported that it is leaving
      */
-    public void refusedBy(UpstreamId id, boolean leaving) {
+    public void onRefusal(UpstreamId id, boolean leaving) {
         UpstreamState state = mUpstreamRegistry.get(id);
         if (state != null && leaving) {
-            state.leaving(true);
+            state.setLeaving(true);
         } else if (state != null) {
-            mPermits.refusedBy(state);
+            mPermits.onRefusal(state);
         }
     }
 
-    /** Starts whatever can start now. */
-    public void pumpAll() {
+    /** Starts every waiting request that can start now. */
+    public void dispatchAll() {
         for (String serves : List.copyOf(mQueues.keySet())) {
-            pump(mQueues.get(serves));
+            dispatch(mQueues.get(serves));
         }
     }
 
-    /**
-     * Counts those who wait.
-     *
-     * @return the count, over all queues
-     */
-    public int waiting() {
+    /** Returns the number of waiting requests in all queues. */
+    public int waitingCount() {
         return mQueues.values().stream().mapToInt(FairQueue::size).sum();
     }
 
-    /**
-     * Returns the queue for a class.
-     *
-     * @param declared the class
-     * @return the queue for the model or service that it asks
-     */
-    private FairQueue<Ticket> queue(ClassDeclaration declared) {
-        String name = declared.kind() + " " + declared.serves();
+    /** Returns the queue for the model or service of a request class. */
+    private FairQueue<Ticket> queue(ClassDeclaration requestClass) {
+        String name = requestClass.kind() + " " + requestClass.serves();
         return mQueues.computeIfAbsent(name, key -> new FairQueue<>());
     }
 
-    /**
-     * Starts whatever can start of a class's queue.
-     *
-     * @param declared the class
-     */
-    private void pump(ClassDeclaration declared) {
-        pump(queue(declared));
+    private void dispatch(ClassDeclaration requestClass) {
+        dispatch(queue(requestClass));
     }
 
-    /**
-     * Starts whatever can start of a queue, in its order.
-     *
-     * @param queue the queue
-     */
-    private void pump(FairQueue<Ticket> queue) {
+    /** Starts or refuses requests from the head of a queue until one has to wait. */
+    private void dispatch(FairQueue<Ticket> queue) {
         while (true) {
             Optional<Ticket> first = queue.peek();
             if (first.isEmpty()) {
                 return;
             }
             Ticket ticket = first.get();
-            boolean completion = ticket.declared().kind() == ClassDeclaration.Kind.COMPLETION;
-            Decision decision = completion ? placeCompletion(ticket) : placeCall(ticket);
+            boolean completion = ticket.requestClass().kind() == ClassDeclaration.Kind.COMPLETION;
+            Decision decision = completion ? admitCompletion(ticket) : admitServiceCall(ticket);
             if (decision == Decision.WAITS) {
                 return;
             }
-            queue.remove(ticket.declared().partner(), ticket);
+            queue.remove(ticket.requestClass().partner(), ticket);
             if (decision == Decision.STARTED) {
-                queue.charge(ticket.declared().partner(), 1, this::weight);
+                queue.charge(ticket.requestClass().partner(), 1, this::weight);
             }
         }
     }
 
-    /**
-     * Starts or refuses a completion.
-     *
-     * @param ticket its ticket
-     * @return what was decided
-     */
-    private Decision placeCompletion(Ticket ticket) {
+    private Decision admitCompletion(Ticket ticket) {
         long now = mNode.nanos().getAsLong();
-        String model = ticket.declared().serves();
+        String model = ticket.requestClass().serves();
         List<UpstreamState> prefills =
-                wanted(ticket, mUpstreamRegistry.usable(model, Role.PREFILL, now));
+                preferUntried(ticket, mUpstreamRegistry.usable(model, Role.PREFILL, now));
         List<UpstreamState> decodes =
-                wanted(ticket, mUpstreamRegistry.usable(model, Role.DECODE, now));
+                preferUntried(ticket, mUpstreamRegistry.usable(model, Role.DECODE, now));
         if (prefills.isEmpty() || decodes.isEmpty()) {
-            return withoutUpstream(ticket, "no live prefill and decode for " + model);
+            return waitOrRefuse(ticket, "no live prefill and decode for " + model);
         }
-        List<UpstreamState> free = decodes.stream().filter(mPermits::available).toList();
+        List<UpstreamState> free = decodes.stream().filter(mPermits::isAvailable).toList();
         if (free.isEmpty()) {
-            mPermits.wanted(decodes, queue(ticket.declared()).size());
+            mPermits.requestPermits(decodes, queue(ticket.requestClass()).size());
             return Decision.WAITS;
         }
         PairSelector.Pair pair =
                 mSelector.select(ticket.blocks(), ticket.promptTokens(), prefills, free);
-        if (tooLate(ticket, now + (long) pair.firstTokenNanos())) {
+        if (isTooLate(ticket, now + (long) pair.firstTokenNanos())) {
             refuse(ticket, ResultCode.TARGET_OUT_OF_REACH, "the first token would be late");
             return Decision.REFUSED;
         }
-        mPermits.take(pair.decode());
+        mPermits.acquire(pair.decode());
         Grant grant = new Grant(pair.prefill(), pair.decode(), pair.uncachedTokens(), now);
-        pair.prefill().entered(pair.uncachedTokens());
-        pair.decode().entered(0);
-        ticket.answer().granted(grant);
+        pair.prefill().recordStart(pair.uncachedTokens());
+        pair.decode().recordStart(0);
+        ticket.listener().onGranted(grant);
         return Decision.STARTED;
     }
 
-    /**
-     * Starts or refuses a call to a plain service.
-     *
-     * @param ticket its ticket
-     * @return what was decided
-     */
-    private Decision placeCall(Ticket ticket) {
+    private Decision admitServiceCall(Ticket ticket) {
         long now = mNode.nanos().getAsLong();
-        String service = ticket.declared().serves();
+        String service = ticket.requestClass().serves();
         List<UpstreamState> replicas =
-                wanted(ticket, mUpstreamRegistry.usable(service, Role.SERVICE, now));
+                preferUntried(ticket, mUpstreamRegistry.usable(service, Role.SERVICE, now));
         if (replicas.isEmpty()) {
-            return withoutUpstream(ticket, "no live replica of " + service);
+            return waitOrRefuse(ticket, "no live replica of " + service);
         }
         HallId hall = mNode.hall();
         Optional<UpstreamState> replica =
                 replicas.stream()
-                        .filter(state -> state.guessedRunning() < state.declared().slots())
+                        .filter(state -> state.estimatedRunning() < state.declaration().slots())
                         .min(
-                                Comparator.comparingInt(UpstreamState::guessedRunning)
+                                Comparator.comparingInt(UpstreamState::estimatedRunning)
                                         .thenComparing(
-                                                state -> !state.declared().hall().equals(hall)));
+                                                state -> !state.declaration().hall().equals(hall)));
         if (replica.isEmpty()) {
             return Decision.WAITS;
         }
-        replica.get().entered(0);
-        ticket.answer().granted(new Grant(null, replica.get(), 0, now));
+        replica.get().recordStart(0);
+        ticket.listener().onGranted(new Grant(null, replica.get(), 0, now));
         return Decision.STARTED;
     }
 
     /**
-     * Decides on a ticket for which no upstream is usable: one that can wait waits for an upstream
-     * that failed a moment ago to come back; one with a target is refused at once.
-     *
-     * @param ticket the ticket
-     * @param detail what is missing
-     * @return what was decided
+     * Decides on a ticket for which no upstream is usable. A request without a first-token target
+     * waits, since an upstream that failed a moment ago may recover; one with a target is refused
+     * at once.
      */
-    private Decision withoutUpstream(Ticket ticket, String detail) {
-        boolean hope =
+    private Decision waitOrRefuse(Ticket ticket, String detail) {
+        boolean mayRecover =
                 mUpstreamRegistry.all().stream()
-                        .filter(state -> state.declared().serves().equals(serves(ticket)))
-                        .anyMatch(state -> !state.declared().draining());
-        if (hope && !ticket.declared().hasTarget()) {
+                        .filter(state -> state.declaration().serves().equals(serves(ticket)))
+                        .anyMatch(state -> !state.declaration().draining());
+        if (mayRecover && !ticket.requestClass().hasTarget()) {
             return Decision.WAITS;
         }
         refuse(ticket, ResultCode.NO_UPSTREAM, detail);
         return Decision.REFUSED;
     }
 
-    /**
-     * Returns what a ticket asks for.
-     *
-     * @param ticket the ticket
-     * @return the model or service
-     */
+    /** Returns the model or service that a ticket requests. */
     private static String serves(Ticket ticket) {
-        return ticket.declared().serves();
+        return ticket.requestClass().serves();
     }
 
-    /**
-     * Leaves out the upstreams that failed a request before, unless none would be left.
-     *
-     * @param ticket the request's ticket
-     * @param states the upstreams
-     * @return those to choose from
-     */
-    private static List<UpstreamState> wanted(Ticket ticket, List<UpstreamState> states) {
-        Predicate<UpstreamState> avoided = state -> ticket.avoid().contains(state.declared().id());
-        List<UpstreamState> others = states.stream().filter(avoided.negate()).toList();
-        return others.isEmpty() ? states : others;
+    /** Filters out the upstreams that failed this request before, unless none would be left. */
+    private static List<UpstreamState> preferUntried(Ticket ticket, List<UpstreamState> states) {
+        Predicate<UpstreamState> failedBefore =
+                state -> ticket.failedUpstreams().contains(state.declaration().id());
+        List<UpstreamState> untried = states.stream().filter(failedBefore.negate()).toList();
+        return untried.isEmpty() ? states : untried;
     }
 
     /**
-     * Returns whether a first token would come too late to be of use.
+     * Returns whether a request is to be refused because its first token would miss the target.
      *
-     * @param ticket the request's ticket
-     * @param firstTokenNanos when it would come
-     * @return whether to refuse
+     * @param firstTokenNanos predicted time of the first token on the monotonic clock
      */
-    private boolean tooLate(Ticket ticket, long firstTokenNanos) {
-        return mShed && ticket.declared().hasTarget() && firstTokenNanos - ticket.dueNanos() > 0;
+    private boolean isTooLate(Ticket ticket, long firstTokenNanos) {
+        return mShed
+                && ticket.requestClass().hasTarget()
+                && firstTokenNanos - ticket.dueNanos() > 0;
     }
 
-    /** Refuses the tickets whose time has passed while they waited. */
+    /** Refuses the waiting tickets that can no longer meet their target. */
     private void sweep() {
         long now = mNode.nanos().getAsLong();
         for (FairQueue<Ticket> queue : mQueues.values()) {
             List<Ticket> late = new ArrayList<>();
             queue.forEach(
                     ticket -> {
-                        if (tooLate(ticket, now + bestFirstStep(ticket, now))) {
+                        if (isTooLate(ticket, now + minFirstStepNanos(ticket, now))) {
                             late.add(ticket);
                         }
                     });
             for (Ticket ticket : late) {
-                queue.remove(ticket.declared().partner(), ticket);
+                queue.remove(ticket.requestClass().partner(), ticket);
                 refuse(ticket, ResultCode.TARGET_OUT_OF_REACH, "the target passed in the queue");
             }
         }
-        pumpAll();
+        dispatchAll();
     }
 
     /**
-     * Predicts the least time to the first token, if the request started now.
-     *
-     * @param ticket the request's ticket
-     * @param now the time
-     * @return nanoseconds
+     * Returns the shortest predicted time to the first token, in nanoseconds, if decoding started
+     * now; 0 for a plain service or if no engine is usable.
      */
-    private long bestFirstStep(Ticket ticket, long now) {
-        if (ticket.declared().kind() == ClassDeclaration.Kind.SERVICE) {
+    private long minFirstStepNanos(Ticket ticket, long now) {
+        if (ticket.requestClass().kind() == ClassDeclaration.Kind.SERVICE) {
             return 0;
         }
-        return mUpstreamRegistry.usable(ticket.declared().serves(), Role.DECODE, now).stream()
-                .mapToLong(state -> (long) state.firstStepNanos())
+        return mUpstreamRegistry.usable(ticket.requestClass().serves(), Role.DECODE, now).stream()
+                .mapToLong(state -> (long) state.predictedFirstStepNanos())
                 .min()
                 .orElse(0);
     }
 
-    /**
-     * Refuses a ticket.
-     *
-     * @param ticket the ticket
-     * @param code why
-     * @param detail what exactly
-     */
     private static void refuse(Ticket ticket, ResultCode code, String detail) {
-        ticket.answer().refused(new TroutpierException(code, detail));
+        ticket.listener().onRefused(new TroutpierException(code, detail));
     }
 
-    /**
-     * Returns a partner's weight.
-     *
-     * @param partner the partner
-     * @return its share
-     */
     private double weight(PartnerId partner) {
         return mDeclarations.partner(partner).map(PartnerDeclaration::share).orElse(1);
     }
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/admission/DecodePermits.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/admission/DecodePermits.java
@@ -7,166 +7,151 @@
 import org.troutpier.daemon.placement.UpstreamState;
 
 /**
- * How the slots of decode engines are shared among routers. Implementations are confined to the
- * control thread. A permit that is wrong costs goodput only: the engine refuses what it has no room
- * for, as not started.
+ * Admission to the slots of decode engines, which several routers share. Implementations are
+ * confined to the control thread. A wrong permit only costs goodput: an engine without a free slot
+ * refuses the request as not started.
  */
 public interface DecodePermits {
 
-    /**
-     * Returns whether a slot could be taken now.
-     *
-     * @param decode the engine
-     * @return whether {@link #take} may be called
-     */
-    boolean available(UpstreamState decode);
+    /** Returns whether a slot is available now, so that {@link #acquire} may be called. */
+    boolean isAvailable(UpstreamState decode);
 
-    /**
-     * Takes a slot.
-     *
-     * @param decode the engine
-     */
-    void take(UpstreamState decode);
+    /** Acquires a slot of an engine. */
+    void acquire(UpstreamState decode);
 
-    /**
-     * Gives a slot back.
-     *
-     * @param decode the engine
-     */
-    void giveBack(UpstreamState decode);
+    /** Releases a slot of an engine. */
+    void release(UpstreamState decode);
 
-    /**
-     * Takes note that an engine had no room after all.
-     *
-     * @param decode the engine
-     */
-    void refusedBy(UpstreamState decode);
+    /** Records that an engine refused a request for lack of capacity. */
+    void onRefusal(UpstreamState decode);
 
     /**
-     * Takes note that a request waits for any of these engines.
+     * Requests permits for waiting requests.
      *
-     * @param decodes the engines
-     * @param waiting how many requests wait
+     * @param decodes the engines, any of which will do
+     * @param waiting number of waiting requests
      */
-    void wanted(Iterable<UpstreamState> decodes, int waiting);
+    void requestPermits(Iterable<UpstreamState> decodes, int waiting);
 
-    /** Reserves nothing: a baseline. */
+    /** Does not limit requests; a baseline for comparison. */
     enum Unlimited implements DecodePermits {
-        /** The only instance. */
+        /** The singleton. */
         INSTANCE;
 
         /** {@inheritDoc} */
         @Override
-        public boolean available(UpstreamState decode) {
+        public boolean isAvailable(UpstreamState decode) {
             return true;
         }
 
         /** {@inheritDoc} */
         @Override
-        public void take(UpstreamState decode) {
-            // nothing is reserved
+        public void acquire(UpstreamState decode) {
+            // no limit
         }
 
         /** {@inheritDoc} */
         @Override
-        public void giveBack(UpstreamState decode) {
-            // nothing is reserved
+        public void release(UpstreamState decode) {
+            // no limit
         }
 
         /** {@inheritDoc} */
         @Override
-        public void refusedBy(UpstreamState decode) {
-            // nothing is learned
+        public void onRefusal(UpstreamState decode) {
+            // no limit
         }
 
         /** {@inheritDoc} */
         @Override
-        public void wanted(Iterable<UpstreamState> decodes, int waiting) {
-            // nothing is asked for
+        public void requestPermits(Iterable<UpstreamState> decodes, int waiting) {
+            // no limit
         }
     }
 
-    /** Gives each router the same fixed part of every engine, at least one slot. */
+    /** Divides the slots of every engine equally among the routers, with at least one slot each. */
     final class ForStaticDivision implements DecodePermits {
 
-        /** How many routers there are. */
-        private final IntSupplier mRouters;
+        private final IntSupplier mRouterCount;
 
-        /** How many slots of each engine this router has taken. */
-        private final Map<UpstreamId, Integer> mTaken = new HashMap<>();
+        /** Number of slots of each engine that this router has acquired. */
+        private final Map<UpstreamId, Integer> mAcquired = new HashMap<>();
 
         /**
          * Creates permits.
          *
-         * @param routers how many routers there are
+         * @param routerCount returns the current number of routers
          */
-        public ForStaticDivision(IntSupplier routers) {
-            mRouters = routers;
+        public ForStaticDivision(IntSupplier routerCount) {
+            mRouterCount = routerCount;
         }
 
         /** {@inheritDoc} */
         @Override
-        public boolean available(UpstreamState decode) {
-            int part = decode.declared().slots() / Math.max(1, mRouters.getAsInt());
-            return mTaken.getOrDefault(decode.declared().id(), 0) < Math.max(1, part);
+        public boolean isAvailable(UpstreamState decode) {
+            int share = decode.declaration().slots() / Math.max(1, mRouterCount.getAsInt());
+            return mAcquired.getOrDefault(decode.declaration().id(), 0) < Math.max(1, share);
         }
 
         /** {@inheritDoc} */
         @Override
-        public void take(UpstreamState decode) {
-            mTaken.merge(decode.declared().id(), 1, Integer::sum);
+        public void acquire(UpstreamState decode) {
+            mAcquired.merge(decode.declaration().id(), 1, Integer::sum);
         }
 
         /** {@inheritDoc} */
         @Override
-        public void giveBack(UpstreamState decode) {
-            mTaken.merge(decode.declared().id(), -1, Integer::sum);
+        public void release(UpstreamState decode) {
+            mAcquired.merge(decode.declaration().id(), -1, Integer::sum);
         }
 
         /** {@inheritDoc} */
         @Override
-        public void refusedBy(UpstreamState decode) {
-            // the division stays as it is
+        public void onRefusal(UpstreamState decode) {
+            // the division is fixed
         }
 
         /** {@inheritDoc} */
         @Override
-        public void wanted(Iterable<UpstreamState> decodes, int waiting) {
-            // the division stays as it is
+        public void requestPermits(Iterable<UpstreamState> decodes, int waiting) {
+            // the division is fixed
         }
     }
 
-    /** Goes by the lagging load that engines publish, and waits a little after a refusal. */
+    /**
+     * Relies on the load that engines report, which lags behind, and treats an engine that refused
+     * a request as full until its next report.
+     */
     final class ForLaggingLoad implements DecodePermits {
 
         /** {@inheritDoc} */
         @Override
-        public boolean available(UpstreamState decode) {
-            return decode.guessedRunning() < decode.declared().slots();
+        public boolean isAvailable(UpstreamState decode) {
+            return decode.estimatedRunning() < decode.declaration().slots();
         }
 
         /** {@inheritDoc} */
         @Override
-        public void take(UpstreamState decode) {
-            // the count of this router's own requests moves with the request
+        public void acquire(UpstreamState decode) {
+            // UpstreamState counts the requests of this router
         }
 
         /** {@inheritDoc} */
         @Override
-        public void giveBack(UpstreamState decode) {
-            // the count of this router's own requests moves with the request
+        public void release(UpstreamState decode) {
+            // UpstreamState counts the requests of this router
         }
 
         /** {@inheritDoc} */
         @Override
-        public void refusedBy(UpstreamState decode) {
-            decode.published(Math.max(decode.declared().slots(), decode.publishedRunning()), 0);
+        public void onRefusal(UpstreamState decode) {
+            decode.recordLoad(Math.max(decode.declaration().slots(), decode.reportedRunning()), 0);
         }
 
         /** {@inheritDoc} */
         @Override
-        public void wanted(Iterable<UpstreamState> decodes, int waiting) {
-            // the load comes by itself
+        public void requestPermits(Iterable<UpstreamState> decodes, int waiting) {
+            // engines report their load without being asked for it
         }
     }
 }
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/claim/ClaimStore.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/claim/ClaimStore.java
@@ -19,57 +19,53 @@
 import org.troutpier.daemon.table.Table.WriteResult;
 
 /**
- * Takes, settles and gives up claims on keyed requests. Thread safe. Invariant: an answer counts as
- * given only once the row of this router's own epoch says so, and a write whose acknowledgement was
- * lost is settled by reading its attempt back.
+ * Acquires, settles and releases claims on requests with idempotency keys. Thread safe. Invariants:
+ * an answer counts as delivered only once the row of this router's epoch records it; a write whose
+ * acknowledgement was lost is resolved by reading the row and comparing its attempt.
  */
 public final class ClaimStore {
 
-    /** Where claims stand in the table. */
+    /** Prefix of the keys of claim rows. */
     public static final String PREFIX = "claims/";
 
-    /** How long a claim row stays beyond its lease at least, milliseconds. */
-    private static final long MILLIS = 1000;
+    private static final long MILLIS_PER_SECOND = 1000;
 
-    /** How many characters of a key's hash name its row. */
+    /** Number of characters of the key's hash that are used in the row key. */
     private static final int HASH_LENGTH = 40;
 
-    /** How many times the same row is tried when others write it too. */
-    private static final int MOST_ROUNDS = 5;
+    /** Maximum number of retries if other routers write the same row concurrently. */
+    private static final int MAX_ROUNDS = 5;
 
-    /** The router's identity, threads, clock and metrics. */
     private final Node mNode;
 
-    /** Where claims stand. */
     private final Table mTable;
 
-    /** Where large answers are kept. */
     private final ObjectStore mObjects;
 
-    /** Who is gone. */
+    /** Used to determine whether the holder of a claim is gone. */
     private final Membership mMembership;
 
-    /** Where this router takes callers. */
+    /** URL at which this router accepts callers. */
     private final String mUrl;
 
-    /** The wall clock, milliseconds. */
     private final LongSupplier mWallMillis;
 
-    /** Settles claims that are over. */
-    private final ClaimSettling mSettling;
+    private final ClaimSettler mSettler;
 
-    /** The attempts of this router that are under way. */
+    /**
+     * Attempts of this router in progress. A row of this router with another attempt is orphaned.
+     */
     private final Set<String> mAttempts = ConcurrentHashMap.newKeySet();
 
     /**
      * Creates a store.
      *
-     * @param node the router's identity, threads, clock and metrics
-     * @param table where claims stand
-     * @param objects where large answers are kept
-     * @param membership who is gone
-     * @param url where this router takes callers
-     * @param wallMillis the wall clock
+     * @param node identity, threads, clock and metrics of this router
+     * @param table the table of claims
+     * @param objects store of large answers
+     * @param membership determines which routers are gone
+     * @param url URL at which this router accepts callers
+     * @param wallMillis wall clock
      */
     public ClaimStore(
             Node node,
@@ -84,67 +80,61 @@
         mMembership = membership;
         mUrl = url;
         mWallMillis = wallMillis;
-        mSettling = new ClaimSettling(node, table, objects, wallMillis, this::forget);
+        mSettler = new ClaimSettler(node, table, objects, wallMillis, this::removeAttempt);
     }
 
-    /** What settling a claim came to. */
-    public enum Settled {
-        /** The row says what it should. */
+    /** Result of settling a claim. */
+    public enum SettlementResult {
+        /** The outcome is recorded. */
         DONE,
         /** Another router has taken over. */
         SUPERSEDED,
-        /** The table does not say. */
+        /** It is not known whether the outcome was recorded. */
         UNKNOWN
     }
 
     /**
-     * Asks for a claim.
+     * Acquires the claim on a request.
      *
-     * @param declared the request's class
-     * @param key the caller's key
-     * @param fingerprint the hash of the request
-     * @return what came of it; never fails
+     * @param requestClass class of the request
+     * @param key idempotency key of the caller
+     * @param fingerprint hash of the request
+     * @return the outcome; never fails
      */
-    public CompletableFuture<ClaimOutcome> begin(
-            ClassDeclaration declared, String key, String fingerprint) {
-        String rowKey = rowKey(declared.partner(), key);
-        long safeUntil = safeUntil(declared);
-        ClaimRow row = row(declared, fingerprint, 1);
+    public CompletableFuture<ClaimOutcome> acquire(
+            ClassDeclaration requestClass, String key, String fingerprint) {
+        String rowKey = rowKey(requestClass.partner(), key);
+        long safeUntil = safeUntil(requestClass);
+        ClaimRow row = newRow(requestClass, fingerprint, 1);
         mAttempts.add(row.attempt());
         return mTable.insert(rowKey, Table.toJson(row))
                 .thenCompose(
                         write ->
-                                settleBegin(
-                                        declared,
+                                onWriteResult(
+                                        requestClass,
                                         new Claim(rowKey, null, row, safeUntil),
                                         write,
                                         0))
-                .exceptionally(failure -> ClaimOutcome.TableAway.INSTANCE);
+                .exceptionally(failure -> ClaimOutcome.TableUnavailable.INSTANCE);
     }
 
     /**
-     * Returns the key of a claim's row.
+     * Returns the key of a claim's row. It contains the partner, so that keys of different partners
+     * cannot collide.
      *
-     * @param partner the partner, so that two partners' keys never meet
-     * @param key the caller's key
-     * @return the row's key
+     * @param partner the partner
+     * @param key idempotency key of the caller
+     * @return the key of the row
      */
     public static String rowKey(PartnerId partner, String key) {
         return PREFIX + partner + "/" + Tokens.hash(key).substring(0, HASH_LENGTH);
     }
 
-    /**
-     * Makes a row that says this router runs the request.
-     *
-     * @param declared the class
-     * @param fingerprint the hash of the request
-     * @param epoch the epoch
-     * @return the row
-     */
-    private ClaimRow row(ClassDeclaration declared, String fingerprint, long epoch) {
+    /** Creates a row in state {@code RUNNING} that is held by this router. */
+    private ClaimRow newRow(ClassDeclaration requestClass, String fingerprint, long epoch) {
         long now = mWallMillis.getAsLong();
-        long leaseEnd = now + declared.deadlineMillis();
-        long expires = leaseEnd + declared.keepAnswerSeconds() * MILLIS;
+        long leaseEnd = now + requestClass.deadlineMillis();
+        long expires = leaseEnd + requestClass.keepAnswerSeconds() * MILLIS_PER_SECOND;
         return new ClaimRow(
                 ClaimRow.State.RUNNING,
                 mNode.incarnation(),
@@ -160,175 +150,132 @@
     }
 
     /**
-     * Returns until when a claim taken now is safe.
-     *
-     * @param declared the class
-     * @return nanoseconds by the monotonic clock
+     * Returns the time on the monotonic clock until which a claim made now is protected by its
+     * lease.
      */
-    private long safeUntil(ClassDeclaration declared) {
+    private long safeUntil(ClassDeclaration requestClass) {
         final long nanosPerMilli = 1_000_000L;
-        return mNode.nanos().getAsLong() + declared.deadlineMillis() * nanosPerMilli;
+        return mNode.nanos().getAsLong() + requestClass.deadlineMillis() * nanosPerMilli;
     }
 
     /**
-     * Goes on after the write that asks for a claim.
+     * Continues after the write of a claim.
      *
-     * @param declared the class
-     * @param wished the claim as it was meant
-     * @param write what is known of the write
-     * @param round how many times the row was tried
-     * @return what came of it
+     * @param intended the claim that was to be written
+     * @param write result of the write
+     * @param round number of previous tries
      */
-    private CompletableFuture<ClaimOutcome> settleBegin(
-            ClassDeclaration declared, Claim wished, WriteResult write, int round) {
+    private CompletableFuture<ClaimOutcome> onWriteResult(
+            ClassDeclaration requestClass, Claim intended, WriteResult write, int round) {
         return switch (write.outcome()) {
-            case WRITTEN -> CompletableFuture.completedFuture(granted(wished, write.tag()));
+            case WRITTEN -> CompletableFuture.completedFuture(granted(intended, write.tag()));
             case NOT_SENT -> {
-                forget(wished);
-                yield CompletableFuture.completedFuture(ClaimOutcome.TableAway.INSTANCE);
+                removeAttempt(intended);
+                yield CompletableFuture.completedFuture(ClaimOutcome.TableUnavailable.INSTANCE);
             }
-            case CONFLICT -> examine(declared, wished, round);
+            case CONFLICT -> readExisting(requestClass, intended, round);
             case UNKNOWN ->
-                    mTable.read(wished.key())
-                            .thenCompose(row -> readBack(declared, wished, row, round))
+                    mTable.read(intended.key())
+                            .thenCompose(row -> onReadBack(requestClass, intended, row, round))
                             .exceptionally(
                                     failure -> {
-                                        mSettling.giveUpLater(wished);
-                                        return ClaimOutcome.TableAway.INSTANCE;
+                                        mSettler.abandonLater(intended);
+                                        return ClaimOutcome.TableUnavailable.INSTANCE;
                                     });
         };
     }
 
-    /**
-     * Goes on after reading back a write whose acknowledgement was lost.
-     *
-     * @param declared the class
-     * @param wished the claim as it was meant
-     * @param row the row as it stands
-     * @param round how many times the row was tried
-     * @return what came of it
-     */
-    private CompletableFuture<ClaimOutcome> readBack(
-            ClassDeclaration declared, Claim wished, Optional<Table.Row> row, int round) {
-        if (row.isPresent() && ClaimSettling.mine(row.get(), wished)) {
+    /** Continues after a row was read back because the acknowledgement of its write was lost. */
+    private CompletableFuture<ClaimOutcome> onReadBack(
+            ClassDeclaration requestClass, Claim intended, Optional<Table.Row> row, int round) {
+        if (row.isPresent() && ClaimSettler.isOwnAttempt(row.get(), intended)) {
             mNode.count("claim.acknowledgement-recovered");
-            return CompletableFuture.completedFuture(granted(wished, row.get().tag()));
+            return CompletableFuture.completedFuture(granted(intended, row.get().tag()));
         }
         if (row.isPresent()) {
-            return decide(declared, wished, row.get(), round);
+            return decide(requestClass, intended, row.get(), round);
         }
-        mSettling.giveUpLater(wished);
-        return CompletableFuture.completedFuture(ClaimOutcome.TableAway.INSTANCE);
+        mSettler.abandonLater(intended);
+        return CompletableFuture.completedFuture(ClaimOutcome.TableUnavailable.INSTANCE);
     }
 
-    /**
-     * Reads a row that is in the way and decides.
-     *
-     * @param declared the class
-     * @param wished the claim as it was meant
-     * @param round how many times the row was tried
-     * @return what came of it
-     */
-    private CompletableFuture<ClaimOutcome> examine(
-            ClassDeclaration declared, Claim wished, int round) {
-        return mTable.read(wished.key())
+    /** Reads the row that conflicts with a claim and decides what to do. */
+    private CompletableFuture<ClaimOutcome> readExisting(
+            ClassDeclaration requestClass, Claim intended, int round) {
+        return mTable.read(intended.key())
                 .thenCompose(
                         row -> {
                             if (row.isPresent()) {
-                                return decide(declared, wished, row.get(), round);
+                                return decide(requestClass, intended, row.get(), round);
                             }
-                            return retryInsert(declared, wished, round);
+                            return retryInsert(requestClass, intended, round);
                         });
     }
 
-    /**
-     * Tries again to insert a row that was in the way and is gone.
-     *
-     * @param declared the class
-     * @param wished the claim as it was meant
-     * @param round how many times the row was tried
-     * @return what came of it
-     */
+    /** Tries again to insert a row after the conflicting one has disappeared. */
     private CompletableFuture<ClaimOutcome> retryInsert(
-            ClassDeclaration declared, Claim wished, int round) {
-        if (round >= MOST_ROUNDS) {
-            return refused(wished, ResultCode.ALREADY_RUNNING, "the claim changes hands");
+            ClassDeclaration requestClass, Claim intended, int round) {
+        if (round >= MAX_ROUNDS) {
+            return refused(intended, ResultCode.ALREADY_RUNNING, "the claim changes hands");
         }
-        return mTable.insert(wished.key(), Table.toJson(wished.row()))
-                .thenCompose(write -> settleBegin(declared, wished, write, round + 1));
+        return mTable.insert(intended.key(), Table.toJson(intended.row()))
+                .thenCompose(write -> onWriteResult(requestClass, intended, write, round + 1));
     }
 
-    /**
-     * Decides what to do about a row that is in the way.
-     *
-     * @param declared the class
-     * @param wished the claim as it was meant
-     * @param found the row as it stands
-     * @param round how many times the row was tried
-     * @return what came of it
-     */
+    /** Decides what to do about an existing row. */
     private CompletableFuture<ClaimOutcome> decide(
-            ClassDeclaration declared, Claim wished, Table.Row found, int round) {
-        ClaimRow row = ClaimSettling.parse(found.value());
+            ClassDeclaration requestClass, Claim intended, Table.Row found, int round) {
+        ClaimRow row = ClaimSettler.parse(found.value());
         Incarnation holder = row.holder();
-        boolean lostHere = holder.equals(mNode.incarnation()) && !mAttempts.contains(row.attempt());
-        boolean gone = lostHere || mMembership.isGone(holder);
-        String fingerprint = wished.row().fingerprint();
+        boolean lostByThisRouter =
+                holder.equals(mNode.incarnation()) && !mAttempts.contains(row.attempt());
+        boolean holderGone = lostByThisRouter || mMembership.isGone(holder);
+        String fingerprint = intended.row().fingerprint();
         ClaimRules.Decision decision =
-                ClaimRules.decide(row, fingerprint, declared, gone, mWallMillis.getAsLong());
+                ClaimRules.decide(
+                        row, fingerprint, requestClass, holderGone, mWallMillis.getAsLong());
         return switch (decision) {
-            case REPLAY -> replay(wished, row);
-            case TAKE_OVER -> takeOver(declared, wished, found, row, round);
-            case RUNNING -> refused(wished, ResultCode.ALREADY_RUNNING, "held by " + holder);
-            case HOLDER_GONE -> refused(wished, ResultCode.HOLDER_GONE, "was held by " + holder);
-            case KEY_REUSED -> refused(wished, ResultCode.KEY_REUSED, "the body differs");
-            case TELL_END ->
-                    refused(wished, ResultCode.valueOf(row.endCode()), "the first try ended so");
+            case REPLAY -> replay(intended, row);
+            case TAKE_OVER -> takeOver(requestClass, intended, found, row, round);
+            case RUNNING -> refused(intended, ResultCode.ALREADY_RUNNING, "held by " + holder);
+            case HOLDER_GONE -> refused(intended, ResultCode.HOLDER_GONE, "was held by " + holder);
+            case KEY_REUSED -> refused(intended, ResultCode.KEY_REUSED, "the body differs");
+            case REPORT_END ->
+                    refused(intended, ResultCode.valueOf(row.endCode()), "the first try ended so");
         };
     }
 
-    /**
-     * Takes a request over.
-     *
-     * @param declared the class
-     * @param wished the claim as it was meant
-     * @param found the row as it stands
-     * @param row the same, parsed
-     * @param round how many times the row was tried
-     * @return what came of it
-     */
+    /** Takes over a request with a higher epoch. */
     private CompletableFuture<ClaimOutcome> takeOver(
-            ClassDeclaration declared, Claim wished, Table.Row found, ClaimRow row, int round) {
-        if (round >= MOST_ROUNDS) {
-            return refused(wished, ResultCode.ALREADY_RUNNING, "the claim changes hands");
+            ClassDeclaration requestClass,
+            Claim intended,
+            Table.Row found,
+            ClaimRow row,
+            int round) {
+        if (round >= MAX_ROUNDS) {
+            return refused(intended, ResultCode.ALREADY_RUNNING, "the claim changes hands");
         }
-        forget(wished);
-        long safeUntil = safeUntil(declared);
-        ClaimRow next = row(declared, row.fingerprint(), row.epoch() + 1);
+        removeAttempt(intended);
+        long safeUntil = safeUntil(requestClass);
+        ClaimRow next = newRow(requestClass, row.fingerprint(), row.epoch() + 1);
         mAttempts.add(next.attempt());
         mNode.count("claim.taken-over");
-        mNode.events().record("claim-taken-over", wished.key(), "from " + row.holder());
-        Claim claim = new Claim(wished.key(), null, next, safeUntil);
-        return mTable.replace(wished.key(), found.tag(), Table.toJson(next))
-                .thenCompose(write -> settleBegin(declared, claim, write, round + 1));
+        mNode.events().record("claim-taken-over", intended.key(), "from " + row.holder());
+        Claim claim = new Claim(intended.key(), null, next, safeUntil);
+        return mTable.replace(intended.key(), found.tag(), Table.toJson(next))
+                .thenCompose(write -> onWriteResult(requestClass, claim, write, round + 1));
     }
 
-    /**
-     * Fetches a kept answer.
-     *
-     * @param wished the claim as it was meant
-     * @param row the claim as it stands
-     * @return what came of it
-     */
-    private CompletableFuture<ClaimOutcome> replay(Claim wished, ClaimRow row) {
-        forget(wished);
+    /** Returns the stored answer. */
+    private CompletableFuture<ClaimOutcome> replay(Claim intended, ClaimRow row) {
+        removeAttempt(intended);
         if (row.answerInline() != null) {
             byte[] bytes = Base64.getDecoder().decode(row.answerInline());
             return CompletableFuture.completedFuture(
-                    new ClaimOutcome.Replayed(StoredAnswer.of(bytes)));
+                    new ClaimOutcome.Replayed(StoredAnswer.decode(bytes)));
         }
         if (row.answerObject() == null) {
-            return refused(wished, ResultCode.ANSWER_NOT_KEPT, "answered by " + row.holder());
+            return refused(intended, ResultCode.ANSWER_NOT_KEPT, "answered by " + row.holder());
         }
         return mObjects.read(row.answerObject())
                 .handle(
@@ -341,7 +288,7 @@
                             return object.<ClaimOutcome>map(
                                             bytes ->
                                                     new ClaimOutcome.Replayed(
-                                                            StoredAnswer.of(bytes)))
+                                                            StoredAnswer.decode(bytes)))
                                     .orElseGet(
                                             () ->
                                                     new ClaimOutcome.Refused(
@@ -351,77 +298,55 @@
     }
 
     /**
-     * Records that a request was answered. The end mark of the answer may be sent once this says
-     * {@link Settled#DONE}.
+     * Records that a request was answered. The end mark of the answer may be sent once this returns
+     * {@link SettlementResult#DONE}.
      *
      * @param claim the claim
-     * @param answer the answer to keep, or empty where it is too large
-     * @return what came of it; never fails
+     * @param answer the answer to store; empty if it is too large
+     * @return the result; never fails
      */
-    public CompletableFuture<Settled> answered(Claim claim, Optional<StoredAnswer> answer) {
-        return mSettling.answered(claim, answer);
+    public CompletableFuture<SettlementResult> recordAnswer(
+            Claim claim, Optional<StoredAnswer> answer) {
+        return mSettler.recordAnswer(claim, answer);
     }
 
     /**
-     * Records that a request was answered, until the table says so, in the background.
+     * Records that a request was answered, retrying in the background until the table confirms it.
      *
      * @param claim the claim
-     * @param answer the answer to keep, or empty where it is too large
+     * @param answer the answer to store; empty if it is too large
      */
-    public void answeredInBackground(Claim claim, Optional<StoredAnswer> answer) {
-        mSettling.answeredInBackground(claim, answer);
+    public void recordAnswerInBackground(Claim claim, Optional<StoredAnswer> answer) {
+        mSettler.recordAnswerInBackground(claim, answer);
     }
 
-    /**
-     * Gives a claim up: the request was not run, or may be run again.
-     *
-     * @param claim the claim
-     */
-    public void released(Claim claim) {
-        mSettling.inBackground(claim, ClaimRow::released);
+    /** Releases a claim in the background: the request was not run, or may be run again. */
+    public void release(Claim claim) {
+        mSettler.settleInBackground(claim, ClaimRow::asReleased);
     }
 
     /**
-     * Records that a request ended without an answer.
+     * Records in the background that a request ended without an answer.
      *
      * @param claim the claim
-     * @param code how it ended
+     * @param code result code of the request
      */
-    public void ended(Claim claim, ResultCode code) {
-        mSettling.inBackground(claim, row -> row.ended(code.name()));
+    public void recordEnd(Claim claim, ResultCode code) {
+        mSettler.settleInBackground(claim, row -> row.asEnded(code.name()));
     }
 
-    /**
-     * Takes note that a claim is this router's.
-     *
-     * @param wished the claim as it was meant
-     * @param tag the tag of its row
-     * @return the outcome
-     */
-    private static ClaimOutcome granted(Claim wished, String tag) {
+    private static ClaimOutcome granted(Claim intended, String tag) {
         return new ClaimOutcome.Granted(
-                new Claim(wished.key(), tag, wished.row(), wished.safeUntilNanos()));
+                new Claim(intended.key(), tag, intended.row(), intended.safeUntilNanos()));
     }
 
-    /**
-     * Refuses a claim.
-     *
-     * @param wished the claim as it was meant
-     * @param code why
-     * @param detail what exactly
-     * @return the outcome
-     */
-    private CompletableFuture<ClaimOutcome> refused(Claim wished, ResultCode code, String detail) {
-        forget(wished);
+    private CompletableFuture<ClaimOutcome> refused(
+            Claim intended, ResultCode code, String detail) {
+        removeAttempt(intended);
         return CompletableFuture.completedFuture(new ClaimOutcome.Refused(code, detail));
     }
 
-    /**
-     * Takes note that an attempt is over.
-     *
-     * @param claim the claim
-     */
-    private void forget(Claim claim) {
+    private void removeAttempt(Claim claim) {
         mAttempts.remove(claim.row().attempt());
     }
 }
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/placement/PairSelector.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/placement/PairSelector.java
@@ -7,18 +7,18 @@
 import org.troutpier.common.id.HallId;
 
 /**
- * Chooses the prefill and the decode engine of a request. Implementations are confined to the
- * control thread and take nothing: who takes the decode slot is the caller's business.
+ * Selects the prefill and the decode engine of a request. Implementations are confined to the
+ * control thread. They only select: the caller acquires the decode slot.
  */
 public interface PairSelector {
 
     /**
-     * Chooses a pair.
+     * Selects a pair of engines.
      *
-     * @param blocks the prompt's prefix blocks
-     * @param promptTokens the prompt's length
-     * @param prefills the prefill engines that may be used; not empty
-     * @param decodes the decode engines that have room; not empty
+     * @param blocks ids of the prefix blocks of the prompt
+     * @param promptTokens length of the prompt
+     * @param prefills usable prefill engines; not empty
+     * @param decodes decode engines with a free slot; not empty
      * @return the pair
      */
     Pair select(
@@ -32,8 +32,8 @@
      *
      * @param prefill the prefill engine
      * @param decode the decode engine
-     * @param uncachedTokens how many tokens the prefill is expected to compute
-     * @param firstTokenNanos when the first token is predicted, from now
+     * @param uncachedTokens number of tokens that the prefill is expected to compute
+     * @param firstTokenNanos predicted time to the first token
      */
     record Pair(
             UpstreamState prefill,
@@ -42,26 +42,25 @@
             double firstTokenNanos) {}
 
     /**
-     * Predicts a pair.
+     * Predicts the cost of a pair: the uncached tokens and the time to the first token.
      *
-     * @param blocks the prompt's prefix blocks
-     * @param promptTokens the prompt's length
+     * @param blocks ids of the prefix blocks of the prompt
+     * @param promptTokens length of the prompt
      * @param prefill the prefill engine
      * @param decode the decode engine
      * @return the pair with its prediction
      */
-    static Pair predicted(
+    static Pair predict(
             List<Long> blocks, int promptTokens, UpstreamState prefill, UpstreamState decode) {
-        int cached = prefill.cachedBlocks(blocks) * PromptBlocks.TOKENS_PER_BLOCK;
+        int cached = prefill.cachedPrefixBlocks(blocks) * PromptBlocks.TOKENS_PER_BLOCK;
         long uncached = Math.max(1, promptTokens - cached);
-        double nanos = prefill.prefillNanos(uncached) + decode.firstStepNanos();
+        double nanos = prefill.predictedPrefillNanos(uncached) + decode.predictedFirstStepNanos();
         return new Pair(prefill, decode, uncached, nanos);
     }
 
-    /** Takes the engines in turn: a baseline. */
+    /** Selects the engines in turn; a baseline for comparison. */
     final class ForRoundRobin implements PairSelector {
 
-        /** Counts the choices. */
         private int mNext;
 
         /** {@inheritDoc} */
@@ -72,7 +71,7 @@
                 List<UpstreamState> prefills,
                 List<UpstreamState> decodes) {
             mNext++;
-            return predicted(
+            return predict(
                     blocks,
                     promptTokens,
                     prefills.get(mNext % prefills.size()),
@@ -80,7 +79,7 @@
         }
     }
 
-    /** Takes the engines that published the least load: a baseline. */
+    /** Selects the engines with the fewest reported requests; a baseline for comparison. */
     final class ForLeastLoad implements PairSelector {
 
         /** {@inheritDoc} */
@@ -90,34 +89,34 @@
                 int promptTokens,
                 List<UpstreamState> prefills,
                 List<UpstreamState> decodes) {
-            return predicted(
+            return predict(
                     blocks,
                     promptTokens,
-                    least(prefills, UpstreamState::publishedRunning),
-                    least(decodes, UpstreamState::publishedRunning));
+                    cheapest(prefills, UpstreamState::reportedRunning),
+                    cheapest(decodes, UpstreamState::reportedRunning));
         }
     }
 
     /**
-     * Takes the pair whose first token is predicted soonest: the wait at the prefill engine, the
-     * part of the prompt that is not cached, the step to the first token, and the way between
-     * halls.
+     * Selects the least loaded decode engine, preferring those in this router's hall, and the
+     * prefill engine with the earliest predicted first token. The prediction covers the queue at
+     * the prefill engine, the uncached part of the prompt, the first decode step and transfer
+     * between halls.
      */
     final class ForPredictedFirstToken implements PairSelector {
 
-        /** What crossing from one hall to another is taken to cost, nanoseconds. */
-        private static final double HALL_NANOS = 2e6;
+        /** Assumed cost of crossing from one hall to another. */
+        private static final double CROSS_HALL_COST_NANOS = 2e6;
 
-        /** What each request that runs on a decode engine is taken to cost, nanoseconds. */
-        private static final double RUNNING_NANOS = 1e6;
+        /** Assumed cost of each request that runs on a decode engine. */
+        private static final double RUNNING_REQUEST_COST_NANOS = 1e6;
 
-        /** The hall of this router. */
         private final HallId mHall;
 
         /**
          * Creates a selector.
          *
-         * @param hall the hall of this router
+         * @param hall hall of this router
          */
         public ForPredictedFirstToken(HallId hall) {
             mHall = hall;
@@ -130,48 +129,34 @@
                 int promptTokens,
                 List<UpstreamState> prefills,
                 List<UpstreamState> decodes) {
-            UpstreamState decode = least(decodes, this::decodeCost);
-            HallId near = decode.declared().hall();
+            UpstreamState decode = cheapest(decodes, this::decodeCost);
+            HallId decodeHall = decode.declaration().hall();
             return prefills.stream()
-                    .map(prefill -> predicted(blocks, promptTokens, prefill, decode))
-                    .min(Comparator.comparingDouble(pair -> cost(pair, near)))
+                    .map(prefill -> predict(blocks, promptTokens, prefill, decode))
+                    .min(Comparator.comparingDouble(pair -> cost(pair, decodeHall)))
                     .orElseThrow();
         }
 
-        /**
-         * Returns what a decode engine costs.
-         *
-         * @param decode the engine
-         * @return nanoseconds
-         */
+        /** Returns the cost of a decode engine in nanoseconds. */
         private double decodeCost(UpstreamState decode) {
-            double away = decode.declared().hall().equals(mHall) ? 0 : HALL_NANOS;
-            return away + decode.guessedRunning() * RUNNING_NANOS;
+            double hallCost = decode.declaration().hall().equals(mHall) ? 0 : CROSS_HALL_COST_NANOS;
+            return hallCost + decode.estimatedRunning() * RUNNING_REQUEST_COST_NANOS;
         }
 
-        /**
-         * Returns what a pair costs.
-         *
-         * @param pair the pair
-         * @param near the hall of its decode engine
-         * @return nanoseconds
-         */
-        private static double cost(Pair pair, HallId near) {
-            double away = pair.prefill().declared().hall().equals(near) ? 0 : HALL_NANOS;
-            return pair.firstTokenNanos() + away;
+        /** Returns the cost of a pair in nanoseconds. */
+        private static double cost(Pair pair, HallId decodeHall) {
+            double hallCost =
+                    pair.prefill().declaration().hall().equals(decodeHall)
+                            ? 0
+                            : CROSS_HALL_COST_NANOS;
+            return pair.firstTokenNanos() + hallCost;
         }
     }
 
-    /**
-     * Finds the cheapest.
-     *
-     * @param states the candidates; not empty
-     * @param cost what each costs
-     * @return the cheapest, the first of equals
-     */
-    private static UpstreamState least(
+    /** Returns the candidate with the lowest cost, the first one of equals. */
+    private static UpstreamState cheapest(
             List<UpstreamState> states, ToDoubleFunction<UpstreamState> cost) {
-        Optional<UpstreamState> least = states.stream().min(Comparator.comparingDouble(cost));
-        return least.orElseThrow();
+        Optional<UpstreamState> cheapest = states.stream().min(Comparator.comparingDouble(cost));
+        return cheapest.orElseThrow();
     }
 }
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/request/CompletionExchange.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/request/CompletionExchange.java
@@ -22,159 +22,158 @@
 import org.troutpier.daemon.upstream.TokenEvent;
 
 /**
- * The handling of a completion: prefill, transfer, decode, answer. Confined to the event loop of
- * its caller's connection. Invariant: the end mark is sent only after the decode engine's own end
- * mark, and an answer that was cut is continued from the token where it broke off.
+ * Handling of a completion: prefill, transfer, decode, answer. Confined to the event loop of the
+ * caller's connection. Invariants: the end mark is sent only after the end mark of the decode
+ * engine; a retry of an interrupted answer continues after the last token received.
  */
 public final class CompletionExchange extends RequestExchange {
 
-    /** How often a silent upstream is looked for, milliseconds. */
-    private static final long WATCH_MILLIS = 250;
+    /** Interval at which the upstream is checked for silence. */
+    private static final long SILENCE_CHECK_INTERVAL_MILLIS = 250;
 
-    /** How long a prefill may take beyond what is predicted, nanoseconds. */
-    private static final long PREFILL_SILENCE_NANOS = 4_000_000_000L;
+    /** Maximum duration of a prefill. */
+    private static final long PREFILL_TIMEOUT_NANOS = 4_000_000_000L;
 
-    /** How long a transfer may take up to the first token, nanoseconds. */
-    private static final long TRANSFER_SILENCE_NANOS = 2_000_000_000L;
+    /** Maximum time from the decode request to the first token, including the transfer. */
+    private static final long TRANSFER_TIMEOUT_NANOS = 2_000_000_000L;
 
-    /** How long a decode may be silent between tokens, nanoseconds. */
-    private static final long TOKEN_SILENCE_NANOS = 3_000_000_000L;
+    /** Maximum time between tokens. */
+    private static final long TOKEN_TIMEOUT_NANOS = 3_000_000_000L;
 
-    /** How much may wait for a slow caller, bytes. */
-    private static final long MOST_PENDING = 1024 * 1024;
+    /** Maximum number of bytes buffered for a slow caller. */
+    private static final long MAX_PENDING_BYTES = 1024 * 1024;
 
-    /** The end mark of a stream. */
-    private static final byte[] DONE = "data: [DONE]\n\n".getBytes(StandardCharsets.US_ASCII);
+    /** End mark of an event stream. */
+    private static final byte[] END_MARK = "data: [DONE]\n\n".getBytes(StandardCharsets.US_ASCII);
 
-    /** What was asked. */
-    private final CompletionOrder mOrder;
+    private final CompletionRequest mRequest;
 
-    /** The prompt's prefix blocks. */
     private final List<Long> mBlocks;
 
-    /** The answer so far. */
+    /** Text received so far, over all attempts. */
     private final StringBuilder mText = new StringBuilder();
 
-    /** How many tokens that is. */
+    /** Number of tokens in {@link #mText}. */
     private int mTokens;
 
-    /** How many tokens there were when the current attempt began. */
+    /** Number of tokens when the current attempt started. */
     private int mTokensBefore;
 
-    /** Ends the exchange with the upstream of the current step. */
+    /** Aborts the call to the upstream of the current step. */
     private Engines.Abort mAbort = () -> {};
 
-    /** What the current attempt uses, or null. */
-    private Grant mUsed;
+    private Grant mCurrentGrant;
 
-    /** The current attempt. */
     private String mAttempt = "";
 
-    /** Whether the prefill engine may hold something of the current attempt. */
-    private boolean mPrefillHolds;
+    /** Whether the prefill engine may hold resources of the current attempt. */
+    private boolean mPrefillMayHold;
 
-    /** Whether the decode engine may hold something of the current attempt. */
-    private boolean mDecodeHolds;
+    /** Whether the decode engine may hold resources of the current attempt. */
+    private boolean mDecodeMayHold;
 
-    /** When the current step began or the last token came. */
-    private long mSince;
+    /** Start of the current step or arrival of the last token. */
+    private long mLastProgressNanos;
 
-    /** When the first token came, or 0. */
-    private long mFirstNanos;
+    /** Arrival of the first token; 0 if there is none yet. */
+    private long mFirstTokenNanos;
 
-    /** Looks for a silent upstream. */
-    private Future<?> mWatch;
+    private Future<?> mSilenceTimer;
 
     /**
-     * What a caller asks of a model. Immutable and thread safe.
+     * Parameters of a completion. Immutable and thread safe.
      *
      * @param prompt the prompt
-     * @param maxTokens how many tokens at most
+     * @param maxTokens maximum number of tokens to generate
      * @param stream whether the answer is streamed
      */
-    public record CompletionOrder(String prompt, int maxTokens, boolean stream) {}
+    public record CompletionRequest(String prompt, int maxTokens, boolean stream) {}
 
     /**
      * Creates an exchange.
      *
-     * @param services what it calls on
-     * @param arrival the request as it arrived
-     * @param order what was asked
+     * @param services shared services
+     * @param arrival the request
+     * @param request parameters of the completion
      */
-    public CompletionExchange(ExchangeServices services, Arrival arrival, CompletionOrder order) {
+    public CompletionExchange(
+            ExchangeServices services, Arrival arrival, CompletionRequest request) {
         super(services, arrival);
-        mOrder = order;
-        mBlocks = PromptBlocks.of(order.prompt());
+        mRequest = request;
+        mBlocks = PromptBlocks.blockIds(request.prompt());
     }
 
     /** {@inheritDoc} */
     @Override
-    protected Ticket ticket(long arrivalNanos, Set<UpstreamId> avoid, Ticket.Answer answer) {
+    protected Ticket ticket(
+            long arrivalNanos, Set<UpstreamId> failedUpstreams, Ticket.Listener listener) {
         return new Ticket(
                 id(),
-                declared(),
+                requestClass(),
                 mBlocks,
-                PromptBlocks.tokens(mOrder.prompt()),
+                PromptBlocks.estimateTokens(mRequest.prompt()),
                 arrivalNanos,
-                avoid,
-                answer);
+                failedUpstreams,
+                listener);
     }
 
     /** {@inheritDoc} */
     @Override
-    protected void run(Grant grant, String attempt) {
-        mUsed = grant;
+    protected void runAttempt(Grant grant, String attempt) {
+        mCurrentGrant = grant;
         mAttempt = attempt;
         mTokensBefore = mTokens;
-        stage(Stage.PREFILL);
-        where(grant.prefill().id().value());
-        event("prefill", grant.prefill().id() + " for " + grant.main().id());
-        mSince = now();
-        mPrefillHolds = true;
-        mWatch =
+        setStage(Stage.PREFILL);
+        setUpstream(grant.prefill().id().value());
+        recordEvent("prefill", grant.prefill().id() + " for " + grant.main().id());
+        mLastProgressNanos = now();
+        mPrefillMayHold = true;
+        mSilenceTimer =
                 exchange()
                         .loop()
                         .scheduleWithFixedDelay(
-                                this::watch, WATCH_MILLIS, WATCH_MILLIS, TimeUnit.MILLISECONDS);
+                                this::checkSilence,
+                                SILENCE_CHECK_INTERVAL_MILLIS,
+                                SILENCE_CHECK_INTERVAL_MILLIS,
+                                TimeUnit.MILLISECONDS);
         Engines.PrefillOrder order =
                 new Engines.PrefillOrder(
                         attempt,
                         services().node().incarnation(),
-                        declared().partner().value(),
+                        requestClass().partner().value(),
                         arrival().call(),
-                        mOrder.prompt(),
+                        mRequest.prompt(),
                         mText.toString(),
                         mTokens);
         mAbort =
                 services()
                         .engines()
-                        .prefill(grant.prefill(), order, leftMillis(), new Prefilled(attempt));
+                        .prefill(
+                                grant.prefill(),
+                                order,
+                                remainingMillis(),
+                                new PrefillHandler(attempt));
     }
 
     /**
-     * Receives the prefill engine's answer on any thread and passes on what is still of interest.
+     * Receives the result of the prefill on any thread and ignores it if the attempt is no longer
+     * current.
      */
-    private final class Prefilled implements Engines.PrefillListener {
-
-        /** The attempt that this belongs to. */
-        private final String mOf;
-
-        /**
-         * Creates a listener.
-         *
-         * @param attempt the attempt that this belongs to
-         */
-        Prefilled(String attempt) {
-            mOf = attempt;
+    private final class PrefillHandler implements Engines.PrefillListener {
+
+        private final String mListenedAttempt;
+
+        PrefillHandler(String attempt) {
+            mListenedAttempt = attempt;
         }
 
         /** {@inheritDoc} */
         @Override
         public void onResult(String handle, int lifeMillis) {
-            onLoop(
+            runOnLoop(
                     () -> {
-                        if (current(mOf)) {
-                            decode(handle);
+                        if (isCurrent(mListenedAttempt)) {
+                            startDecode(handle);
                         }
                     });
         }
@@ -182,33 +181,33 @@
         /** {@inheritDoc} */
         @Override
         public void onPrefillEnd(AttemptEnd end) {
-            onLoop(
+            runOnLoop(
                     () -> {
-                        if (current(mOf)) {
-                            mPrefillHolds = !end.notStarted();
-                            attemptEnded(end);
+                        if (isCurrent(mListenedAttempt)) {
+                            mPrefillMayHold = !end.notStarted();
+                            onAttemptEnd(end);
                         }
                     });
         }
     }
 
     /**
-     * Goes on with the decode.
+     * Starts the decode.
      *
-     * @param handle the prefill's result
+     * @param handle handle of the prefill result
      */
-    private void decode(String handle) {
-        Grant grant = mUsed;
-        long took = now() - mSince;
+    private void startDecode(String handle) {
+        Grant grant = mCurrentGrant;
+        long took = now() - mLastProgressNanos;
         services()
                 .node()
                 .control()
-                .execute(() -> services().controller().prefillEnded(grant, took));
-        stage(Stage.TRANSFER);
-        where(grant.main().id().value());
-        event("decode", grant.main().id().value());
-        mSince = now();
-        mDecodeHolds = true;
+                .execute(() -> services().controller().onPrefillEnd(grant, took));
+        setStage(Stage.TRANSFER);
+        setUpstream(grant.main().id().value());
+        recordEvent("decode", grant.main().id().value());
+        mLastProgressNanos = now();
+        mDecodeMayHold = true;
         Engines.DecodeOrder order =
                 new Engines.DecodeOrder(
                         mAttempt,
@@ -216,37 +215,36 @@
                         arrival().call(),
                         grant.prefill().address().toString(),
                         handle,
-                        mOrder.maxTokens() - mTokens);
+                        mRequest.maxTokens() - mTokens);
         mAbort =
                 services()
                         .engines()
-                        .decode(grant.main(), order, leftMillis(), new Decoding(mAttempt));
+                        .decode(
+                                grant.main(),
+                                order,
+                                remainingMillis(),
+                                new DecodeHandler(mAttempt));
     }
 
     /**
-     * Receives the decode engine's events on any thread and passes on what is still of interest.
+     * Receives the events of the decode engine on any thread and ignores those of an attempt that
+     * is no longer current.
      */
-    private final class Decoding implements Engines.DecodeListener {
-
-        /** The attempt that this belongs to. */
-        private final String mOf;
-
-        /**
-         * Creates a listener.
-         *
-         * @param attempt the attempt that this belongs to
-         */
-        Decoding(String attempt) {
-            mOf = attempt;
+    private final class DecodeHandler implements Engines.DecodeListener {
+
+        private final String mListenedAttempt;
+
+        DecodeHandler(String attempt) {
+            mListenedAttempt = attempt;
         }
 
         /** {@inheritDoc} */
         @Override
         public void onToken(TokenEvent event) {
-            onLoop(
+            runOnLoop(
                     () -> {
-                        if (current(mOf)) {
-                            token(event);
+                        if (isCurrent(mListenedAttempt)) {
+                            appendToken(event);
                         }
                     });
         }
@@ -254,10 +252,10 @@
         /** {@inheritDoc} */
         @Override
         public void onWhole() {
-            onLoop(
+            runOnLoop(
                     () -> {
-                        if (current(mOf)) {
-                            whole();
+                        if (isCurrent(mListenedAttempt)) {
+                            onDecodeComplete();
                         }
                     });
         }
@@ -265,81 +263,71 @@
         /** {@inheritDoc} */
         @Override
         public void onDecodeEnd(AttemptEnd end) {
-            onLoop(
+            runOnLoop(
                     () -> {
-                        if (current(mOf)) {
-                            mDecodeHolds = !end.notStarted();
-                            attemptEnded(afterPrefill(end));
+                        if (isCurrent(mListenedAttempt)) {
+                            mDecodeMayHold = !end.notStarted();
+                            onAttemptEnd(endAfterPrefill(end));
                         }
                     });
         }
     }
 
     /**
-     * Corrects how a decode ended by what went before it: the prefill has run and no whole answer
-     * came, so the request ran and failed, whatever became of the decode.
-     *
-     * @param end how the decode ended
-     * @return how the attempt ended
+     * Adjusts the end of a decode for the prefill before it: since the prefill has run and no
+     * complete answer has arrived, the request has run and failed, whatever happened to the decode.
      */
-    private static AttemptEnd afterPrefill(AttemptEnd end) {
-        boolean certain = end.code().family() == ResultCode.Family.RAN_AND_FAILED;
+    private static AttemptEnd endAfterPrefill(AttemptEnd end) {
+        boolean ranAndFailed = end.code().family() == ResultCode.Family.RAN_AND_FAILED;
         return new AttemptEnd(
                 false,
                 end.leaving(),
                 end.unreachable(),
-                certain ? end.code() : ResultCode.UPSTREAM_FAILED,
+                ranAndFailed ? end.code() : ResultCode.UPSTREAM_FAILED,
                 end.detail());
     }
 
-    /**
-     * Takes a token.
-     *
-     * @param event the token
-     */
-    private void token(TokenEvent event) {
+    /** Appends a token and sends it to the caller of a stream. */
+    private void appendToken(TokenEvent event) {
         long now = now();
         if (mTokens == mTokensBefore) {
-            firstOfAttempt(now);
+            onFirstTokenOfAttempt(now);
         }
-        mSince = now;
+        mLastProgressNanos = now;
         mTokens++;
         mText.append(event.text());
-        if (mOrder.stream()) {
-            exchange().write(shown(event));
-            if (exchange().pendingBytes() > MOST_PENDING) {
+        if (mRequest.stream()) {
+            exchange().write(withRequestId(event));
+            if (exchange().pendingBytes() > MAX_PENDING_BYTES) {
                 refuse(ResultCode.CALLER_TOO_SLOW, "the caller reads too slowly");
             }
         }
     }
 
-    /**
-     * Takes note of the first token of an attempt.
-     *
-     * @param now the time
-     */
-    private void firstOfAttempt(long now) {
-        stage(Stage.DECODE);
-        event("first-token", "");
-        mPrefillHolds = false;
-        Grant grant = mUsed;
-        long step = now - mSince;
-        services().node().control().execute(() -> services().controller().firstToken(grant, step));
-        if (mFirstNanos == 0) {
-            mFirstNanos = now;
+    /** Records the first token of an attempt. */
+    private void onFirstTokenOfAttempt(long now) {
+        setStage(Stage.DECODE);
+        recordEvent("first-token", "");
+        mPrefillMayHold = false;
+        Grant grant = mCurrentGrant;
+        long step = now - mLastProgressNanos;
+        services()
+                .node()
+                .control()
+                .execute(() -> services().controller().onFirstToken(grant, step));
+        if (mFirstTokenNanos == 0) {
+            mFirstTokenNanos = now;
         }
-        if (mOrder.stream()) {
+        if (mRequest.stream()) {
             exchange().begin(200, streamHeaders());
         }
     }
 
     /**
-     * Returns an event as the caller sees it: with the request's id, whichever attempt it is of.
-     *
-     * @param event the event
-     * @return its bytes
+     * Returns the bytes of an event with the id of the attempt replaced by that of the request, so
+     * that retries are not visible to the caller.
      */
-    private byte[] shown(TokenEvent event) {
+    private byte[] withRequestId(TokenEvent event) {
         if (mAttempt.equals(id().value())) {
             return event.bytes();
         }
@@ -347,71 +335,73 @@
         return text.replace(mAttempt, id().value()).getBytes(StandardCharsets.UTF_8);
     }
 
-    /** Goes on when the decode engine's end mark has come. */
-    private void whole() {
-        mDecodeHolds = false;
-        mPrefillHolds = false;
+    /** Completes the answer after the end mark of the decode engine. */
+    private void onDecodeComplete() {
+        mDecodeMayHold = false;
+        mPrefillMayHold = false;
         count("tokens", mTokens);
-        goodput();
-        complete(new StoredAnswer(200, Map.of(), mText.toString(), mTokens, null), true);
+        countGoodput();
+        onAnswerComplete(new StoredAnswer(200, Map.of(), mText.toString(), mTokens, null), true);
     }
 
-    /** Counts the request as good if it met both its targets. */
-    private void goodput() {
+    /**
+     * Counts the request as good if it met its targets for the first token and the mean time
+     * between tokens.
+     */
+    private void countGoodput() {
         final long nanosPerMilli = 1_000_000L;
-        long first = (mFirstNanos - arrivalNanos()) / nanosPerMilli;
-        long between = mTokens < 2 ? 0 : (mSince - mFirstNanos) / (mTokens - 1) / nanosPerMilli;
-        boolean firstInTime = !declared().hasTarget() || first <= declared().firstTokenMillis();
+        long first = (mFirstTokenNanos - arrivalNanos()) / nanosPerMilli;
+        long between =
+                mTokens < 2
+                        ? 0
+                        : (mLastProgressNanos - mFirstTokenNanos) / (mTokens - 1) / nanosPerMilli;
+        boolean firstInTime =
+                !requestClass().hasTarget() || first <= requestClass().firstTokenMillis();
         boolean restInTime =
-                declared().perTokenMillis() == 0 || between <= declared().perTokenMillis();
+                requestClass().perTokenMillis() == 0 || between <= requestClass().perTokenMillis();
         count(firstInTime && restInTime ? "good" : "late");
     }
 
-    /**
-     * Counts several.
-     *
-     * @param what what to count
-     * @param many how many
-     */
-    private void count(String what, int many) {
-        String name = "requests." + declared().partner() + "." + what;
-        services().node().metrics().counter(name).inc(many);
+    /** Adds to a counter of the partner. */
+    private void count(String what, int amount) {
+        String name = "requests." + requestClass().partner() + "." + what;
+        services().node().metrics().counter(name).inc(amount);
     }
 
-    /** Gives up an upstream that has been silent for too long. */
-    private void watch() {
-        if (!current(mAttempt)) {
+    /** Ends the attempt if its upstream has been silent for too long. */
+    private void checkSilence() {
+        if (!isCurrent(mAttempt)) {
             return;
         }
-        long silent = now() - mSince;
+        long silent = now() - mLastProgressNanos;
         switch (currentStage()) {
-            case PREFILL -> giveUpAfter(silent, PREFILL_SILENCE_NANOS, "no prefill");
-            case TRANSFER -> giveUpAfter(silent, TRANSFER_SILENCE_NANOS, "no first token");
-            case DECODE -> giveUpAfter(silent, TOKEN_SILENCE_NANOS, "no next token");
+            case PREFILL -> abandonAfter(silent, PREFILL_TIMEOUT_NANOS, "no prefill");
+            case TRANSFER -> abandonAfter(silent, TRANSFER_TIMEOUT_NANOS, "no first token");
+            case DECODE -> abandonAfter(silent, TOKEN_TIMEOUT_NANOS, "no next token");
             default -> {
-                // nothing is waited for
+                // nothing is awaited
             }
         }
     }
 
     /**
-     * Gives up if a silence is too long.
+     * Ends the attempt if the time since the last progress exceeds a timeout.
      *
-     * @param silent how long it has lasted, nanoseconds
-     * @param most how long it may last
-     * @param what what did not come
+     * @param silent time since the last progress, nanoseconds
+     * @param timeout the timeout, nanoseconds
+     * @param missing what has not arrived
      */
-    private void giveUpAfter(long silent, long most, String what) {
-        if (silent > most) {
+    private void abandonAfter(long silent, long timeout, String missing) {
+        if (silent > timeout) {
             count("given-up");
-            AttemptEnd end = AttemptEnd.lost(what + " from " + currentUpstream());
-            attemptEnded(currentStage() == Stage.PREFILL ? end : afterPrefill(end));
+            AttemptEnd end = AttemptEnd.lost(missing + " from " + currentUpstream());
+            onAttemptEnd(currentStage() == Stage.PREFILL ? end : endAfterPrefill(end));
         }
     }
 
     /** {@inheritDoc} */
     @Override
-    protected UpstreamId blamed(Grant grant) {
+    protected UpstreamId failedUpstream(Grant grant) {
         return currentStage() == Stage.PREFILL ? grant.prefill().id() : grant.main().id();
     }
 
@@ -420,20 +410,20 @@
     protected void stopAttempt() {
         mAbort.abort();
         mAbort = () -> {};
-        if (mWatch != null) {
-            mWatch.cancel(false);
+        if (mSilenceTimer != null) {
+            mSilenceTimer.cancel(false);
         }
-        Grant grant = mUsed;
+        Grant grant = mCurrentGrant;
         String attempt = mAttempt;
-        if (mPrefillHolds) {
-            mPrefillHolds = false;
+        if (mPrefillMayHold) {
+            mPrefillMayHold = false;
             services()
                     .node()
                     .control()
                     .execute(() -> services().cancels().cancel(grant.prefill(), attempt));
         }
-        if (mDecodeHolds) {
-            mDecodeHolds = false;
+        if (mDecodeMayHold) {
+            mDecodeMayHold = false;
             services()
                     .node()
                     .control()
@@ -443,33 +433,28 @@
 
     /** {@inheritDoc} */
     @Override
-    protected void sendWhole(StoredAnswer answer) {
-        if (!mOrder.stream()) {
+    protected void sendAnswer(StoredAnswer answer) {
+        if (!mRequest.stream()) {
             exchange().answer(Answers.json(200, body(answer)));
             return;
         }
         if (!exchange().begun()) {
             exchange().begin(200, streamHeaders());
-            exchange().write(wholeEvent(answer));
+            exchange().write(answerEvent(answer));
         }
-        exchange().write(DONE);
+        exchange().write(END_MARK);
         exchange().end();
     }
 
     /** {@inheritDoc} */
     @Override
-    protected void sendCut(ResultCode code, String detail) {
+    protected void sendTruncation(ResultCode code, String detail) {
         String error = new String(Json.bytes(Answers.refusalBody(code, detail)));
         byte[] event = ("data: " + error + "\n\n").getBytes(StandardCharsets.UTF_8);
         exchange().write(event);
         exchange().cut();
     }
 
-    /**
-     * Returns the headers of a streamed answer.
-     *
-     * @return new headers
-     */
     private DefaultHttpHeaders streamHeaders() {
         DefaultHttpHeaders headers = new DefaultHttpHeaders();
         headers.set(HttpHeaderNames.CONTENT_TYPE, "text/event-stream");
@@ -477,23 +462,13 @@
         return headers;
     }
 
-    /**
-     * Returns a kept answer as one event.
-     *
-     * @param answer the answer
-     * @return the event's bytes
-     */
-    private byte[] wholeEvent(StoredAnswer answer) {
+    /** Returns a stored answer as a single event. */
+    private byte[] answerEvent(StoredAnswer answer) {
         String json = new String(Json.bytes(body(answer)), StandardCharsets.UTF_8);
         return ("data: " + json + "\n\n").getBytes(StandardCharsets.UTF_8);
     }
 
-    /**
-     * Returns an answer as JSON.
-     *
-     * @param answer the answer
-     * @return the body, for the JSON library
-     */
+    /** Returns the body of an answer, to be serialised as JSON. */
     private Map<String, Object> body(StoredAnswer answer) {
         Map<String, Object> choice = new LinkedHashMap<>();
         choice.put("index", 0);
@@ -507,11 +482,6 @@
         return body;
     }
 
-    /**
-     * Reads the monotonic clock.
-     *
-     * @return nanoseconds
-     */
     private long now() {
         return services().node().nanos().getAsLong();
     }
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/request/RequestExchange.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/request/RequestExchange.java
@@ -19,72 +19,68 @@
 import org.troutpier.daemon.admission.Ticket;
 import org.troutpier.daemon.claim.Claim;
 import org.troutpier.daemon.claim.ClaimOutcome;
-import org.troutpier.daemon.claim.ClaimStore.Settled;
+import org.troutpier.daemon.claim.ClaimStore.SettlementResult;
 import org.troutpier.daemon.claim.StoredAnswer;
 import org.troutpier.daemon.node.Invariants;
 import org.troutpier.daemon.upstream.AttemptEnd;
 
 /**
- * The handling of one request, from arrival to its one answer. Confined to the event loop of its
- * caller's connection, but for the accessors, which may be read anywhere. Invariants: the caller
- * gets one answer or one refusal; "not run" is said only when no upstream may have run it; whatever
- * the request holds is given back in {@link #over(ResultCode)}, which every way out passes once.
+ * Handling of a request, from arrival to the answer or refusal. Confined to the event loop of the
+ * caller's connection, except for the accessors, which are thread safe. Invariants: the caller
+ * receives exactly one answer or refusal; "not run" is reported only if no upstream may have run
+ * the request; all resources are released in {@link #finish(ResultCode)}, which every accepted
+ * request passes exactly once.
  */
 public abstract class RequestExchange {
 
-    /** How many attempts are made at most, the first included. */
-    private static final int MOST_ATTEMPTS = 4;
+    /** Maximum number of attempts, including the first one. */
+    private static final int MAX_ATTEMPTS = 4;
 
-    /** How long to wait before an outcome is recorded again, milliseconds. */
-    private static final long RECORD_AGAIN_MILLIS = 200;
+    /** Delay before a failed attempt to record an outcome is retried. */
+    private static final long RECORD_RETRY_MILLIS = 200;
 
-    /** How long before its end a lease is no longer trusted, nanoseconds. */
+    /** Time before the end of a lease from which it is no longer relied on. */
     private static final long LEASE_MARGIN_NANOS = 2_000_000_000L;
 
-    /** What this exchange calls on. */
     private final ExchangeServices mServices;
 
-    /** The request as it arrived. */
     private final Arrival mArrival;
 
-    /** When it arrived, by the monotonic clock. */
+    /** Time of arrival on the monotonic clock. */
     private final long mArrivalNanos;
 
-    /** Where the request is in its handling. */
     private volatile Stage mStage = Stage.RECEIVED;
 
-    /** The upstream that has it, for people to see; empty for none. */
-    private volatile String mWhere = "";
+    /** Upstream that has the request, for display; empty for none. */
+    private volatile String mUpstream = "";
 
-    /** Ends the request when its deadline passes. */
-    private Future<?> mDeadline;
+    private Future<?> mDeadlineTimer;
 
-    /** The claim on its key, once granted. */
+    /** Claim on the idempotency key; null if there is none. */
     private Claim mClaim;
 
-    /** The ticket that waits at the admission controller, or null. */
+    /** Ticket that waits for admission, or null. */
     private Ticket mTicket;
 
-    /** What the current attempt may use, or null. */
+    /** Upstreams that the current attempt may use, or null. */
     private Grant mGrant;
 
-    /** How many attempts were started. */
+    /** Number of attempts started. */
     private int mAttempts;
 
-    /** What is known of the work. */
-    private final Knowledge mKnowledge = new Knowledge();
+    private final OutcomeTracker mOutcomeTracker = new OutcomeTracker();
 
-    /** The upstreams that failed it. */
-    private final Set<UpstreamId> mAvoid = new HashSet<>();
+    /** Upstreams that failed this request. */
+    private final Set<UpstreamId> mFailedUpstreams = new HashSet<>();
 
-    /** The complete answer while its outcome is being recorded, or null. */
-    private StoredAnswer mComplete;
+    /** Complete answer while its outcome is being recorded, or null. */
+    private StoredAnswer mPendingAnswer;
 
     /**
      * Creates an exchange.
      *
-     * @param services what it calls on
-     * @param arrival the request as it arrived
+     * @param services shared services
+     * @param arrival the request
      */
     protected RequestExchange(ExchangeServices services, Arrival arrival) {
         mServices = services;
@@ -95,7 +91,7 @@
     /**
      * Starts the exchange.
      *
-     * @param partnerLimit how many requests the partner may have here
+     * @param partnerLimit maximum number of the partner's requests in progress on this router
      */
     public final void start(int partnerLimit) {
         if (!mServices.registry().add(this, partnerLimit)) {
@@ -105,155 +101,146 @@
             return;
         }
         count("accepted");
-        event("accepted", declared().partner() + "/" + declared().name());
-        exchange().onGone(this::callerGone);
-        mDeadline =
+        recordEvent("accepted", requestClass().partner() + "/" + requestClass().name());
+        exchange().onGone(this::onCallerGone);
+        mDeadlineTimer =
                 exchange()
                         .loop()
                         .schedule(
-                                this::deadline, declared().deadlineMillis(), TimeUnit.MILLISECONDS);
+                                this::onDeadline,
+                                requestClass().deadlineMillis(),
+                                TimeUnit.MILLISECONDS);
         if (mArrival.key() == null) {
             enqueue();
         } else {
-            stage(Stage.CLAIMING);
+            setStage(Stage.CLAIMING);
             mServices
                     .claims()
-                    .begin(declared(), mArrival.key(), mArrival.fingerprint())
-                    .thenAccept(outcome -> onLoop(() -> claimed(outcome)));
+                    .acquire(requestClass(), mArrival.key(), mArrival.fingerprint())
+                    .thenAccept(outcome -> runOnLoop(() -> onClaimOutcome(outcome)));
         }
     }
 
-    /**
-     * Goes on after asking for a claim.
-     *
-     * @param outcome what came of it
-     */
-    private void claimed(ClaimOutcome outcome) {
+    /** Continues after the attempt to acquire a claim. */
+    private void onClaimOutcome(ClaimOutcome outcome) {
         if (outcome instanceof ClaimOutcome.Granted granted) {
             mClaim = granted.claim();
             if (isOver()) {
-                mServices.claims().released(mClaim);
+                mServices.claims().release(mClaim);
             } else {
-                event("claimed", "epoch " + mClaim.row().epoch());
+                recordEvent("claimed", "epoch " + mClaim.row().epoch());
                 enqueue();
             }
         } else if (isOver()) {
             return;
         } else if (outcome instanceof ClaimOutcome.Replayed replayed) {
-            event("replayed", "");
+            recordEvent("replayed", "");
             count("replayed");
-            sendWhole(replayed.answer());
-            over(null);
+            sendAnswer(replayed.answer());
+            finish(null);
         } else if (outcome instanceof ClaimOutcome.Refused refused) {
             refuse(refused.code(), refused.detail());
-        } else if (declared().whenTableUnavailable() == TableRule.RUN) {
-            event("run-without-claim", "");
+        } else if (requestClass().whenTableUnavailable() == TableRule.RUN) {
+            recordEvent("run-without-claim", "");
             enqueue();
         } else {
             refuse(ResultCode.TABLE_UNAVAILABLE, "no claim can be made");
         }
     }
 
-    /** Asks the admission controller to start. */
+    /** Submits a ticket to the admission controller. */
     private void enqueue() {
-        stage(Stage.QUEUED);
-        mTicket = ticket(mArrivalNanos, Set.copyOf(mAvoid), new AdmissionAnswer());
+        setStage(Stage.QUEUED);
+        mTicket = ticket(mArrivalNanos, Set.copyOf(mFailedUpstreams), new AdmissionListener());
         Ticket ticket = mTicket;
         mServices.node().control().execute(() -> mServices.controller().submit(ticket));
     }
 
-    /** Receives the admission controller's answer on the control thread and passes it on. */
-    private final class AdmissionAnswer implements Ticket.Answer {
+    /** Receives the admission decision on the control thread and forwards it to the event loop. */
+    private final class AdmissionListener implements Ticket.Listener {
 
         /** {@inheritDoc} */
         @Override
-        public void granted(Grant grant) {
-            onLoop(() -> begin(grant));
+        public void onGranted(Grant grant) {
+            runOnLoop(() -> startAttempt(grant));
         }
 
         /** {@inheritDoc} */
         @Override
-        public void refused(TroutpierException why) {
-            onLoop(() -> refuse(why.code(), why.detail()));
+        public void onRefused(TroutpierException why) {
+            runOnLoop(() -> refuse(why.code(), why.detail()));
         }
     }
 
-    /**
-     * Starts an attempt.
-     *
-     * @param grant what it may use
-     */
-    private void begin(Grant grant) {
+    /** Starts an attempt, or releases the grant if the request is over. */
+    private void startAttempt(Grant grant) {
         if (isOver()) {
-            giveBack(grant);
+            release(grant);
             return;
         }
         mTicket = null;
         mGrant = grant;
         mAttempts++;
         if (mAttempts == 1) {
-            mServices.budget().firstTry(declared().partner());
+            mServices.budget().recordFirstAttempt(requestClass().partner());
             count("first-tries");
         }
-        run(grant, attempt());
+        runAttempt(grant, attemptId());
     }
 
     /**
-     * Makes the ticket for the admission controller.
+     * Creates the ticket for the admission controller.
      *
-     * @param arrivalNanos when the request arrived
-     * @param avoid the upstreams that failed it
-     * @param answer hears the admission controller's answer
+     * @param arrivalNanos time of arrival on the monotonic clock
+     * @param failedUpstreams upstreams that failed this request
+     * @param listener receives the admission decision
      * @return the ticket
      */
     protected abstract Ticket ticket(
-            long arrivalNanos, Set<UpstreamId> avoid, Ticket.Answer answer);
+            long arrivalNanos, Set<UpstreamId> failedUpstreams, Ticket.Listener listener);
 
     /**
-     * Runs one attempt.
+     * Runs an attempt.
      *
-     * @param grant what it may use
-     * @param attempt names the attempt
+     * @param grant upstreams that it may use
+     * @param attempt id of the attempt
      */
-    protected abstract void run(Grant grant, String attempt);
+    protected abstract void runAttempt(Grant grant, String attempt);
 
-    /** Ends the exchanges of the current attempt and cancels what its upstreams may hold. */
+    /** Aborts the calls of the current attempt and cancels what its upstreams may hold. */
     protected abstract void stopAttempt();
 
-    /**
-     * Sends a whole answer, or what is missing of one that has begun.
-     *
-     * @param answer the answer
-     */
-    protected abstract void sendWhole(StoredAnswer answer);
+    /** Sends a complete answer, or the rest of one that has been started. */
+    protected abstract void sendAnswer(StoredAnswer answer);
 
     /**
-     * Tells the caller of an answer that has begun that it will not be whole, and cuts it.
+     * Reports to the caller that an answer that has been started cannot be completed, and truncates
+     * it.
      *
      * @param code why
-     * @param detail what exactly
+     * @param detail detail of the failure
      */
-    protected abstract void sendCut(ResultCode code, String detail);
+    protected abstract void sendTruncation(ResultCode code, String detail);
 
     /**
-     * Ends the current attempt without an answer: the request is tried again or refused.
+     * Ends the current attempt without an answer; the request is retried or refused.
      *
-     * @param end how it ended
+     * @param end how the attempt ended
      */
-    protected final void attemptEnded(AttemptEnd end) {
+    protected final void onAttemptEnd(AttemptEnd end) {
         if (isOver()) {
             return;
         }
-        event("attempt-ended", end.code().label() + " " + end.detail());
+        recordEvent("attempt-ended", end.code().label() + " " + end.detail());
         Grant grant = mGrant;
         mGrant = null;
         stopAttempt();
-        report(grant, end);
-        mKnowledge.learn(end);
-        stage(Stage.QUEUED);
-        if (!declared().repeatable() && mKnowledge.mayHaveRun()) {
+        reportAttemptEnd(grant, end);
+        mOutcomeTracker.recordAttemptEnd(end);
+        setStage(Stage.QUEUED);
+        if (!requestClass().repeatable() && mOutcomeTracker.mayHaveRun()) {
             refuse(end.code(), end.detail());
-        } else if (mAttempts >= MOST_ATTEMPTS) {
+        } else if (mAttempts >= MAX_ATTEMPTS) {
             refuse(end.code(), "tried " + mAttempts + " times; " + end.detail());
         } else if (!end.notStarted() || !end.unreachable()) {
             retryWithinBudget(end);
@@ -262,114 +249,89 @@
         }
     }
 
-    /**
-     * Tries again if the partner's budget allows.
-     *
-     * @param end how the last attempt ended
-     */
+    /** Retries the request if the partner's retry budget allows it, or else refuses it. */
     private void retryWithinBudget(AttemptEnd end) {
-        if (mServices.budget().retry(declared().partner())) {
+        if (mServices.budget().tryAcquire(requestClass().partner())) {
             count("retries");
             enqueue();
         } else {
             ResultCode code =
-                    mKnowledge.mayHaveRun()
+                    mOutcomeTracker.mayHaveRun()
                             ? ResultCode.RETRIES_SPENT
                             : ResultCode.UPSTREAMS_REFUSED;
             refuse(code, end.detail());
         }
     }
 
-    /**
-     * Tells the admission controller how an attempt ended.
-     *
-     * @param grant what it used
-     * @param end how it ended
-     */
-    private void report(Grant grant, AttemptEnd end) {
-        UpstreamId blamed = blamed(grant);
-        mAvoid.add(blamed);
+    /** Reports the end of an attempt to the admission controller. */
+    private void reportAttemptEnd(Grant grant, AttemptEnd end) {
+        UpstreamId failedUpstream = failedUpstream(grant);
+        mFailedUpstreams.add(failedUpstream);
         mServices
                 .node()
                 .control()
                 .execute(
                         () -> {
                             if (end.neverReached()) {
-                                mServices.controller().unreached(blamed);
+                                mServices.controller().onUnreachable(failedUpstream);
                             } else if (end.notStarted()) {
-                                mServices.controller().refusedBy(blamed, end.leaving());
+                                mServices.controller().onRefusal(failedUpstream, end.leaving());
                             }
-                            mServices.controller().ended(grant);
+                            mServices.controller().release(grant);
                         });
     }
 
-    /**
-     * Returns which upstream an attempt ended at.
-     *
-     * @param grant what it used
-     * @return the upstream
-     */
-    protected abstract UpstreamId blamed(Grant grant);
+    /** Returns the upstream at which the current attempt ended. */
+    protected abstract UpstreamId failedUpstream(Grant grant);
 
     /**
-     * Goes on when the answer is complete: its outcome is recorded where the class asks for it, and
-     * the end mark is sent.
+     * Handles a complete answer: its outcome is recorded if the request has a claim, and the end
+     * mark is sent.
      *
      * @param answer the answer
-     * @param keep whether it is small enough to be kept
+     * @param keep whether the answer is small enough to be stored
      */
-    protected final void complete(StoredAnswer answer, boolean keep) {
+    protected final void onAnswerComplete(StoredAnswer answer, boolean keep) {
         Grant grant = mGrant;
         mGrant = null;
-        giveBack(grant);
-        stage(Stage.ANSWERING);
+        release(grant);
+        setStage(Stage.ANSWERING);
         if (mClaim == null) {
-            answered(answer);
+            sendAndFinish(answer);
             return;
         }
-        mComplete = answer;
-        boolean first = declared().answerCommit() == AnswerCommit.AFTER_END_MARK;
-        long left = mClaim.safeUntilNanos() - mServices.node().nanos().getAsLong();
-        if (first && left > LEASE_MARGIN_NANOS) {
-            mServices.claims().answeredInBackground(mClaim, kept(answer, keep));
+        mPendingAnswer = answer;
+        boolean sendBeforeRecording = requestClass().answerCommit() == AnswerCommit.AFTER_END_MARK;
+        long leaseNanos = mClaim.safeUntilNanos() - mServices.node().nanos().getAsLong();
+        if (sendBeforeRecording && leaseNanos > LEASE_MARGIN_NANOS) {
+            mServices.claims().recordAnswerInBackground(mClaim, answerToKeep(answer, keep));
             mClaim = null;
-            answered(answer);
+            sendAndFinish(answer);
         } else {
             recordOutcome(answer, keep);
         }
     }
 
-    /**
-     * Records that the request was answered, as often as it takes, and then sends the end mark.
-     *
-     * @param answer the answer
-     * @param keep whether it is small enough to be kept
-     */
+    /** Records the answer, retrying until the result is known, and then sends the end mark. */
     private void recordOutcome(StoredAnswer answer, boolean keep) {
         if (isOver()) {
             return;
         }
         mServices
                 .claims()
-                .answered(mClaim, kept(answer, keep))
-                .thenAccept(settled -> onLoop(() -> recorded(answer, keep, settled)));
+                .recordAnswer(mClaim, answerToKeep(answer, keep))
+                .thenAccept(settled -> runOnLoop(() -> onRecorded(answer, keep, settled)));
     }
 
-    /**
-     * Goes on after recording.
-     *
-     * @param answer the answer
-     * @param keep whether it is small enough to be kept
-     * @param settled what came of it
-     */
-    private void recorded(StoredAnswer answer, boolean keep, Settled settled) {
+    /** Continues after an attempt to record the answer. */
+    private void onRecorded(StoredAnswer answer, boolean keep, SettlementResult settled) {
         if (isOver()) {
             return;
         }
         switch (settled) {
             case DONE -> {
                 mClaim = null;
-                answered(answer);
+                sendAndFinish(answer);
             }
             case SUPERSEDED -> {
                 mClaim = null;
@@ -381,159 +343,143 @@
                             .loop()
                             .schedule(
                                     () -> recordOutcome(answer, keep),
-                                    RECORD_AGAIN_MILLIS,
+                                    RECORD_RETRY_MILLIS,
                                     TimeUnit.MILLISECONDS);
         }
     }
 
-    /**
-     * Returns what is to be kept of an answer.
-     *
-     * @param answer the answer
-     * @param keep whether it is small enough
-     * @return the answer, or empty
-     */
-    private static Optional<StoredAnswer> kept(StoredAnswer answer, boolean keep) {
+    private static Optional<StoredAnswer> answerToKeep(StoredAnswer answer, boolean keep) {
         return keep ? Optional.of(answer) : Optional.empty();
     }
 
     /**
-     * Sends the end of a complete answer.
-     *
-     * @param answer the answer
+     * Sends the complete answer, or the end of one that has been started, and finishes the request.
      */
-    private void answered(StoredAnswer answer) {
+    private void sendAndFinish(StoredAnswer answer) {
         count("answered");
-        event("answered", "");
-        sendWhole(answer);
-        over(null);
+        recordEvent("answered", "");
+        sendAnswer(answer);
+        finish(null);
     }
 
-    /** Ends the request because its deadline has passed. */
-    private void deadline() {
+    /** Refuses the request because its deadline has passed. */
+    private void onDeadline() {
         if (mStage == Stage.ANSWERING) {
             refuse(ResultCode.OUTCOME_NOT_RECORDED, "the table did not confirm in time");
-        } else if (mKnowledge.mayHaveRun() || mStage.atUpstream()) {
+        } else if (mOutcomeTracker.mayHaveRun() || mStage.isAtUpstream()) {
             refuse(ResultCode.DEADLINE_WHILE_RUNNING, "in stage " + mStage.label());
         } else {
             refuse(ResultCode.DEADLINE_BEFORE_START, "in stage " + mStage.label());
         }
     }
 
-    /** Ends the request because its caller is gone. */
-    private void callerGone() {
+    /**
+     * Finishes the request because the caller has disconnected. A complete answer is still
+     * recorded.
+     */
+    private void onCallerGone() {
         if (isOver()) {
             return;
         }
         count("caller-gone");
-        event("caller-gone", mStage.label());
+        recordEvent("caller-gone", mStage.label());
         if (mStage == Stage.ANSWERING && mClaim != null) {
-            mServices.claims().answeredInBackground(mClaim, Optional.of(mComplete));
+            mServices.claims().recordAnswerInBackground(mClaim, Optional.of(mPendingAnswer));
             mClaim = null;
         }
-        mKnowledge.mayHaveRun(mStage.atUpstream());
-        over(ResultCode.OUTCOME_UNKNOWN);
+        mOutcomeTracker.recordAtUpstream(mStage.isAtUpstream());
+        finish(ResultCode.OUTCOME_UNKNOWN);
     }
 
     /**
-     * Cancels the request for an operator; may be called from any thread.
+     * Cancels the request on behalf of an operator. Thread safe.
      *
-     * @param by who orders it
+     * @param by who cancels it
      */
-    public final void cancelBy(String by) {
-        onLoop(
+    public final void cancel(String by) {
+        runOnLoop(
                 () -> {
-                    boolean run = mKnowledge.mayHaveRun() || mStage.atUpstream();
+                    boolean mayHaveRun = mOutcomeTracker.mayHaveRun() || mStage.isAtUpstream();
                     refuse(
-                            run ? ResultCode.OUTCOME_UNKNOWN : ResultCode.UPSTREAMS_REFUSED,
+                            mayHaveRun ? ResultCode.OUTCOME_UNKNOWN : ResultCode.UPSTREAMS_REFUSED,
                             "cancelled by " + by);
                 });
     }
 
     /**
-     * Refuses the request, or cuts its answer if one has begun. What is said never claims more than
-     * is known.
+     * Refuses the request, or truncates the answer if it has been started. The reported code is
+     * restricted to what is known of all attempts.
      *
-     * @param wished the code that fits the last step
-     * @param detail what exactly
+     * @param preferred code of the last step
+     * @param detail detail of the refusal
      */
-    protected final void refuse(ResultCode wished, String detail) {
+    protected final void refuse(ResultCode preferred, String detail) {
         if (isOver()) {
             return;
         }
-        mKnowledge.mayHaveRun(mStage.atUpstream());
-        ResultCode code = mKnowledge.truthful(wished);
+        mOutcomeTracker.recordAtUpstream(mStage.isAtUpstream());
+        ResultCode code = mOutcomeTracker.reportableCode(preferred);
         Invariants.check(
-                code.family() != Family.NOT_RUN || !mKnowledge.mayHaveRun(),
+                code.family() != Family.NOT_RUN || !mOutcomeTracker.mayHaveRun(),
                 "untruthful-refusal",
                 id());
         count("refused." + code.label());
-        event("refused", code.label() + " " + detail);
+        recordEvent("refused", code.label() + " " + detail);
         if (exchange().begun()) {
-            sendCut(code, detail);
+            sendTruncation(code, detail);
         } else {
             exchange().answer(Answers.refusal(code, detail));
         }
-        over(code);
+        finish(code);
     }
 
     /**
-     * The one way out: gives everything back.
+     * Ends the request and releases all its resources.
      *
-     * @param code how the request ended, or null where it was answered
+     * @param code how the request ended; null if it was answered
      */
-    private void over(ResultCode code) {
+    private void finish(ResultCode code) {
         Invariants.check(mStage != Stage.OVER, "ended-twice", id());
-        boolean ran = mKnowledge.mayHaveRun();
+        boolean mayHaveRun = mOutcomeTracker.mayHaveRun();
         stopAttempt();
         mStage = Stage.OVER;
-        mDeadline.cancel(false);
+        mDeadlineTimer.cancel(false);
         if (mTicket != null) {
             Ticket ticket = mTicket;
             mServices.node().control().execute(() -> mServices.controller().withdraw(ticket));
             mTicket = null;
         }
         if (mGrant != null) {
-            giveBack(mGrant);
+            release(mGrant);
             mGrant = null;
         }
         if (mClaim != null) {
-            if (ran && !declared().repeatable()) {
-                mServices.claims().ended(mClaim, code);
+            if (mayHaveRun && !requestClass().repeatable()) {
+                mServices.claims().recordEnd(mClaim, code);
             } else {
-                mServices.claims().released(mClaim);
+                mServices.claims().release(mClaim);
             }
             mClaim = null;
         }
         mServices.registry().remove(this);
     }
 
-    /**
-     * Gives a grant back.
-     *
-     * @param grant the grant
-     */
-    private void giveBack(Grant grant) {
-        mServices.node().control().execute(() -> mServices.controller().ended(grant));
+    private void release(Grant grant) {
+        mServices.node().control().execute(() -> mServices.controller().release(grant));
     }
 
     /**
-     * Names the current attempt.
-     *
-     * @return the request's id, with the attempt's number from the second on
+     * Returns the id of the current attempt: the id of the request, followed by the number of the
+     * attempt from the second one on.
      */
-    private String attempt() {
+    private String attemptId() {
         return mAttempts == 1
                 ? id().value()
                 : id().value() + ExchangeRegistry.ATTEMPT_SEPARATOR + mAttempts;
     }
 
-    /**
-     * Runs an action on the caller's event loop.
-     *
-     * @param action the action
-     */
-    protected final void onLoop(Runnable action) {
+    /** Runs an action on the event loop of the caller's connection. */
+    protected final void runOnLoop(Runnable action) {
         if (exchange().loop().inEventLoop()) {
             action.run();
         } else {
@@ -541,142 +487,94 @@
         }
     }
 
-    /**
-     * Takes note of where the request is.
-     *
-     * @param stage the stage
-     */
-    protected final void stage(Stage stage) {
+    /** Sets the stage of the request. */
+    protected final void setStage(Stage stage) {
         mStage = stage;
     }
 
-    /**
-     * Takes note of which upstream has the request.
-     *
-     * @param where the upstream
-     */
-    protected final void where(String where) {
-        mWhere = where;
+    /** Sets the upstream that has the request, for display. */
+    protected final void setUpstream(String upstream) {
+        mUpstream = upstream;
     }
 
     /**
-     * Counts one for the request's partner.
+     * Increments a counter of the partner.
      *
-     * @param what what to count
+     * @param what name of the counter
      */
     protected final void count(String what) {
-        mServices.node().count("requests." + declared().partner() + "." + what);
+        mServices.node().count("requests." + requestClass().partner() + "." + what);
     }
 
     /**
-     * Records an event about the request.
+     * Records an event of the request.
      *
-     * @param kind what happened
-     * @param detail what else is worth knowing
+     * @param kind kind of the event
+     * @param detail further details
      */
-    protected final void event(String kind, String detail) {
+    protected final void recordEvent(String kind, String detail) {
         mServices.node().events().record(kind, id().value(), detail);
     }
 
     /**
-     * Returns whether an attempt may still act.
+     * Returns whether an attempt is the current one and the request is not over. Results of other
+     * attempts are ignored.
      *
-     * @param attempt the attempt
-     * @return whether it is the current one of a request that is not over
+     * @param attempt id of the attempt
      */
-    protected final boolean current(String attempt) {
-        return !isOver() && mGrant != null && attempt.equals(attempt());
+    protected final boolean isCurrent(String attempt) {
+        return !isOver() && mGrant != null && attempt.equals(attemptId());
     }
 
-    /**
-     * Returns how much time is left.
-     *
-     * @return milliseconds to the deadline, at least one
-     */
-    protected final int leftMillis() {
+    /** Returns the time until the deadline in milliseconds, at least 1. */
+    protected final int remainingMillis() {
         final long nanosPerMilli = 1_000_000L;
-        long passed = (mServices.node().nanos().getAsLong() - mArrivalNanos) / nanosPerMilli;
-        return (int) Math.max(1, declared().deadlineMillis() - passed);
+        long elapsedMillis = (mServices.node().nanos().getAsLong() - mArrivalNanos) / nanosPerMilli;
+        return (int) Math.max(1, requestClass().deadlineMillis() - elapsedMillis);
     }
 
-    /**
-     * Returns what this exchange calls on.
-     *
-     * @return the services
-     */
+    /** Returns the shared services. */
     protected final ExchangeServices services() {
         return mServices;
     }
 
-    /**
-     * Returns the exchange.
-     *
-     * @return the request and the way to answer it
-     */
+    /** Returns the request and its response. */
     protected final HttpExchange exchange() {
         return mArrival.exchange();
     }
 
-    /**
-     * Returns the request as it arrived.
-     *
-     * @return the arrival
-     */
+    /** Returns the request as parsed and classified. */
     protected final Arrival arrival() {
         return mArrival;
     }
 
-    /**
-     * Returns when the request arrived.
-     *
-     * @return nanoseconds by the monotonic clock
-     */
+    /** Returns the time of arrival on the monotonic clock. */
     public final long arrivalNanos() {
         return mArrivalNanos;
     }
 
-    /**
-     * Returns whether the request is over.
-     *
-     * @return whether it got its one answer or refusal, or its caller is gone
-     */
+    /** Returns whether the request was answered or refused, or its caller has disconnected. */
     public final boolean isOver() {
         return mStage == Stage.OVER;
     }
 
-    /**
-     * Returns the request's id.
-     *
-     * @return the id
-     */
+    /** Returns the id of the request. */
     public final RequestId id() {
         return mArrival.id();
     }
 
-    /**
-     * Returns the request's class.
-     *
-     * @return the class
-     */
-    public final ClassDeclaration declared() {
-        return mArrival.declared();
+    /** Returns the class of the request. */
+    public final ClassDeclaration requestClass() {
+        return mArrival.requestClass();
     }
 
-    /**
-     * Returns where the request is in its handling.
-     *
-     * @return the stage
-     */
+    /** Returns the stage of the request. */
     public final Stage currentStage() {
         return mStage;
     }
 
-    /**
-     * Returns which upstream has the request.
-     *
-     * @return the upstream, empty for none
-     */
+    /** Returns the upstream that has the request; empty for none. */
     public final String currentUpstream() {
-        return mWhere;
+        return mUpstream;
     }
 }
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/request/RetryBudget.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/request/RetryBudget.java
@@ -5,43 +5,41 @@
 import org.troutpier.common.id.PartnerId;
 
 /**
- * Bounds retries to a share of a partner's first tries, so that a fault does not become a storm.
- * Thread safe by its lock. Invariant: at any moment a partner's retries are at most a tenth of its
- * first tries.
+ * Limits the retries of each partner to a fraction of its first attempts, so that failures do not
+ * cause a retry storm. Thread safe by its lock. Invariant: a partner's retries never exceed a tenth
+ * of its first attempts.
  */
 public final class RetryBudget {
 
-    /** How much of a retry each first try earns. */
-    public static final double SHARE = 0.1;
+    /** Number of retries that each first attempt earns. */
+    public static final double EARNED_PER_FIRST_ATTEMPT = 0.1;
 
-    /** How many retries may be saved up. */
-    private static final double MOST_SAVED = 200;
+    /** Maximum number of unused retries that a partner can accumulate. */
+    private static final double MAX_BALANCE = 200;
 
-    /** What each partner has saved up. */
-    private final Map<PartnerId, Double> mSaved = new HashMap<>();
+    /** Unused retries by partner. */
+    private final Map<PartnerId, Double> mBalances = new HashMap<>();
 
-    /**
-     * Takes note of a first try.
-     *
-     * @param partner whose it is
-     */
-    public synchronized void firstTry(PartnerId partner) {
-        mSaved.merge(partner, SHARE, (saved, more) -> Math.min(MOST_SAVED, saved + more));
+    /** Records the first attempt of a request. */
+    public synchronized void recordFirstAttempt(PartnerId partner) {
+        mBalances.merge(
+                partner,
+                EARNED_PER_FIRST_ATTEMPT,
+                (balance, earned) -> Math.min(MAX_BALANCE, balance + earned));
     }
 
     /**
-     * Asks for a retry.
+     * Takes one retry from the budget of a partner.
      *
-     * @param partner whose it is
-     * @return whether it may be made
+     * @return whether the retry is allowed
      */
-    public synchronized boolean retry(PartnerId partner) {
-        final double whole = 1 - 1e-9;
-        double saved = mSaved.getOrDefault(partner, 0.0);
-        if (saved < whole) {
+    public synchronized boolean tryAcquire(PartnerId partner) {
+        final double oneRetry = 1 - 1e-9;
+        double balance = mBalances.getOrDefault(partner, 0.0);
+        if (balance < oneRetry) {
             return false;
         }
-        mSaved.put(partner, Math.max(0, saved - 1));
+        mBalances.put(partner, Math.max(0, balance - 1));
         return true;
     }
 }
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/request/ServiceExchange.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/request/ServiceExchange.java
@@ -26,26 +26,29 @@
 import org.troutpier.daemon.upstream.AttemptEnd;
 
 /**
- * The handling of a call to a plain service. Confined to the event loop of its caller's connection.
- * Invariant: a call that must not be repeated goes out on a connection of its own, so that a
- * connection that the service has just closed can never leave it in doubt.
+ * Handling of a call to a plain service. Confined to the event loop of the caller's connection.
+ * Invariant: a call that is not repeatable is sent on a new connection. On a pooled connection that
+ * the service has just closed, it would be unknown whether the call was received.
  */
 public final class ServiceExchange extends RequestExchange {
 
-    /** Says, with {@code false}, that a refused call was not started. */
+    /**
+     * Response header that, with the value {@code false}, confirms that a refused call was not
+     * started.
+     */
     public static final String STARTED_HEADER = "X-Request-Started";
 
-    /** Carries the attempt's id to the service and back. */
+    /** Carries the id of the attempt to the service and back. */
     public static final String ID_HEADER = "X-Request-Id";
 
-    /** The largest answer that is kept for a key, bytes. */
-    private static final int MOST_KEPT = 1024 * 1024;
+    /** Largest answer that is stored for an idempotency key. */
+    private static final int MAX_KEPT_BYTES = 1024 * 1024;
 
-    /** The status by which a service may say that it did not start. */
+    /** Status with which a service may report that it did not start a call. */
     private static final int UNAVAILABLE = 503;
 
-    /** The headers that belong to one connection and are not passed on. */
-    private static final Set<String> HOP_HEADERS =
+    /** Headers that apply to a single connection and are not forwarded. */
+    private static final Set<String> HOP_BY_HOP_HEADERS =
             Set.of(
                     "connection",
                     "keep-alive",
@@ -57,40 +60,37 @@
                     "transfer-encoding",
                     "upgrade");
 
-    /** The headers that are between the caller and the router. */
+    /** Headers that are exchanged between the caller and the router only. */
     private static final Set<String> ROUTER_HEADERS =
             Set.of("authorization", "troutpier-class", "idempotency-key", "host", "expect");
 
-    /** The path and query to ask the service for, still encoded. */
+    /** Encoded path and query of the call to the service. */
     private final String mPath;
 
-    /** The exchange with the service, or null. */
-    private HttpCalls.Ongoing mOngoing;
+    /** The call to the service, or null. */
+    private HttpCalls.Ongoing mCall;
 
-    /** The current attempt. */
     private String mAttempt = "";
 
-    /** The status of the service's answer. */
     private int mStatus;
 
-    /** The headers of the service's answer. */
     private HttpHeaders mHeaders;
 
-    /** The body so far, while it is kept back. */
+    /** Body received so far, while it is buffered. */
     private final ByteArrayOutputStream mBody = new ByteArrayOutputStream();
 
-    /** Whether the body is kept back until the outcome is recorded. */
-    private boolean mHoldBack;
+    /** Whether the body is buffered until the outcome is recorded. */
+    private boolean mBuffering;
 
-    /** Whether the body grew too large to be kept. */
+    /** Whether the body grew too large to be stored. */
     private boolean mOverflow;
 
     /**
      * Creates an exchange.
      *
-     * @param services what it calls on
-     * @param arrival the request as it arrived
-     * @param path the path and query to ask the service for, still encoded
+     * @param services shared services
+     * @param arrival the request
+     * @param path encoded path and query of the call to the service
      */
     public ServiceExchange(ExchangeServices services, Arrival arrival, String path) {
         super(services, arrival);
@@ -99,74 +99,65 @@
 
     /** {@inheritDoc} */
     @Override
-    protected Ticket ticket(long arrivalNanos, Set<UpstreamId> avoid, Ticket.Answer answer) {
-        return new Ticket(id(), declared(), List.of(), 0, arrivalNanos, avoid, answer);
+    protected Ticket ticket(
+            long arrivalNanos, Set<UpstreamId> failedUpstreams, Ticket.Listener listener) {
+        return new Ticket(
+                id(), requestClass(), List.of(), 0, arrivalNanos, failedUpstreams, listener);
     }
 
     /** {@inheritDoc} */
     @Override
-    protected void run(Grant grant, String attempt) {
+    protected void runAttempt(Grant grant, String attempt) {
         mAttempt = attempt;
-        mHoldBack = arrival().key() != null;
+        mBuffering = arrival().key() != null;
         mBody.reset();
-        stage(Stage.CALLING);
-        where(grant.main().id().value());
-        event("call", grant.main().id().value());
+        setStage(Stage.CALLING);
+        setUpstream(grant.main().id().value());
+        recordEvent("call", grant.main().id().value());
         HttpCall call =
                 HttpCall.of(exchange().method(), grant.main().address().url(mPath))
                         .withBody(exchange().body())
-                        .withTimeout(leftMillis());
-        for (Map.Entry<String, String> header : passedOn().entrySet()) {
+                        .withTimeout(remainingMillis());
+        for (Map.Entry<String, String> header : forwardedHeaders().entrySet()) {
             call = call.withHeader(header.getKey(), header.getValue());
         }
         call = call.withHeader(ID_HEADER, attempt);
-        if (!declared().repeatable()) {
+        if (!requestClass().repeatable()) {
             call = call.withFreshConnection();
         }
-        mOngoing = services().node().calls().send(call, new Answering(attempt));
+        mCall = services().node().calls().send(call, new ReplyHandler(attempt));
     }
 
-    /**
-     * Returns the caller's headers that the service gets.
-     *
-     * @return the headers
-     */
-    private Map<String, String> passedOn() {
+    /** Returns the headers of the caller that are forwarded to the service. */
+    private Map<String, String> forwardedHeaders() {
         Map<String, String> headers = new LinkedHashMap<>();
         for (Map.Entry<String, String> header : exchange().headers()) {
             String name = header.getKey().toLowerCase(Locale.ROOT);
             boolean length = name.equals("content-length");
-            if (!HOP_HEADERS.contains(name) && !ROUTER_HEADERS.contains(name) && !length) {
+            if (!HOP_BY_HOP_HEADERS.contains(name) && !ROUTER_HEADERS.contains(name) && !length) {
                 headers.merge(header.getKey(), header.getValue(), (a, b) -> a + ", " + b);
             }
         }
         return headers;
     }
 
-    /** Receives the service's answer on any thread and passes on what is still of interest. */
-    private final class Answering implements ReplyListener {
+    /**
+     * Receives the service's answer on any thread and ignores it if the attempt is no longer
+     * current.
+     */
+    private final class ReplyHandler implements ReplyListener {
 
-        /** The attempt that this belongs to. */
-        private final String mOf;
+        private final String mListenedAttempt;
 
-        /**
-         * Creates a listener.
-         *
-         * @param attempt the attempt that this belongs to
-         */
-        Answering(String attempt) {
-            mOf = attempt;
+        ReplyHandler(String attempt) {
+            mListenedAttempt = attempt;
         }
 
-        /**
-         * Runs an action if the attempt is still the current one.
-         *
-         * @param action the action
-         */
+        /** Runs an action on the event loop if the attempt is still current. */
         private void ifCurrent(Runnable action) {
-            onLoop(
+            runOnLoop(
                     () -> {
-                        if (current(mOf)) {
+                        if (isCurrent(mListenedAttempt)) {
                             action.run();
                         }
                     });
@@ -175,19 +166,19 @@
         /** {@inheritDoc} */
         @Override
         public void onHead(int status, HttpHeaders headers) {
-            ifCurrent(() -> head(status, headers));
+            ifCurrent(() -> acceptHead(status, headers));
         }
 
         /** {@inheritDoc} */
         @Override
         public void onPart(byte[] part) {
-            ifCurrent(() -> part(part));
+            ifCurrent(() -> acceptPart(part));
         }
 
         /** {@inheritDoc} */
         @Override
         public void onEnd() {
-            ifCurrent(ServiceExchange.this::end);
+            ifCurrent(ServiceExchange.this::finishReply);
         }
 
         /** {@inheritDoc} */
@@ -196,58 +187,48 @@
             String detail = String.valueOf(failure.getMessage());
             ifCurrent(
                     () ->
-                            broken(
+                            onCallFailure(
                                     failure.sent()
                                             ? AttemptEnd.lost(detail)
                                             : AttemptEnd.unreached(detail)));
         }
     }
 
-    /**
-     * Takes the head of the service's answer.
-     *
-     * @param status the HTTP status
-     * @param headers the headers
-     */
-    private void head(int status, HttpHeaders headers) {
+    /** Handles status and headers of the service's answer. */
+    private void acceptHead(int status, HttpHeaders headers) {
         String echoed = headers.get(ID_HEADER);
         if (status == UNAVAILABLE && "false".equals(headers.get(STARTED_HEADER))) {
-            attemptEnded(AttemptEnd.refused(false, "the service says that it did not start"));
+            onAttemptEnd(AttemptEnd.refused(false, "the service says that it did not start"));
         } else if (echoed != null && !echoed.equals(mAttempt)) {
-            attemptEnded(AttemptEnd.failed(ResultCode.UPSTREAM_MISMATCH, "echoed " + echoed));
+            onAttemptEnd(AttemptEnd.failed(ResultCode.UPSTREAM_MISMATCH, "echoed " + echoed));
         } else {
             mStatus = status;
             mHeaders = headers;
         }
     }
 
-    /**
-     * Takes a part of the service's answer.
-     *
-     * @param part the part
-     */
-    private void part(byte[] part) {
-        if (mHoldBack) {
+    /** Buffers or forwards a part of the service's body. */
+    private void acceptPart(byte[] part) {
+        if (mBuffering) {
             mBody.writeBytes(part);
-            if (mBody.size() > MOST_KEPT) {
-                mHoldBack = false;
+            if (mBody.size() > MAX_KEPT_BYTES) {
+                mBuffering = false;
                 mOverflow = true;
-                passOn(mBody.toByteArray());
+                forward(mBody.toByteArray());
                 mBody.reset();
             }
         } else {
-            passOn(part);
+            forward(part);
         }
     }
 
     /**
-     * Sends a part to the caller and holds the service back while the caller is slower.
-     *
-     * @param part the part
+     * Sends a part of the body to the caller and pauses reading from the service while the caller
+     * is slower.
      */
-    private void passOn(byte[] part) {
+    private void forward(byte[] part) {
         if (!exchange().begun()) {
-            HttpHeaders headers = shownHeaders(mHeaders);
+            HttpHeaders headers = callerHeaders(mHeaders);
             if (mOverflow) {
                 headers.remove(HttpHeaderNames.CONTENT_LENGTH);
             }
@@ -255,73 +236,69 @@
             exchange().onWritable(this::resume);
         }
         exchange().write(part);
-        if (!exchange().writable() && mOngoing != null) {
-            mOngoing.pause();
+        if (!exchange().writable() && mCall != null) {
+            mCall.pause();
             if (exchange().writable()) {
-                mOngoing.resume();
+                mCall.resume();
             }
         }
     }
 
-    /** Lets the service go on. */
+    /** Resumes reading from the service. */
     private void resume() {
-        if (mOngoing != null) {
-            mOngoing.resume();
+        if (mCall != null) {
+            mCall.resume();
         }
     }
 
-    /** Goes on when the service's answer is complete. */
-    private void end() {
-        mOngoing = null;
-        boolean good = !declared().hasTarget() || inTime();
+    /** Completes the answer after the end of the service's answer. */
+    private void finishReply() {
+        mCall = null;
+        boolean good = !requestClass().hasTarget() || metTarget();
         count(good ? "good" : "late");
         Map<String, String> headers = new LinkedHashMap<>();
-        shownHeaders(mHeaders).forEach(entry -> headers.put(entry.getKey(), entry.getValue()));
-        complete(new StoredAnswer(mStatus, headers, null, 0, mBody.toByteArray()), !mOverflow);
+        callerHeaders(mHeaders).forEach(entry -> headers.put(entry.getKey(), entry.getValue()));
+        onAnswerComplete(
+                new StoredAnswer(mStatus, headers, null, 0, mBody.toByteArray()), !mOverflow);
     }
 
-    /**
-     * Returns whether the answer met the class's target.
-     *
-     * @return whether it came in time
-     */
-    private boolean inTime() {
+    /** Returns whether the answer arrived within the target of the request class. */
+    private boolean metTarget() {
         final long nanosPerMilli = 1_000_000L;
         long took = services().node().nanos().getAsLong() - arrivalNanos();
-        return took <= declared().firstTokenMillis() * nanosPerMilli;
+        return took <= requestClass().firstTokenMillis() * nanosPerMilli;
     }
 
     /**
-     * Goes on when the exchange with the service broke.
-     *
-     * @param end how it ended
+     * Handles a failed call: an answer that has been started is truncated, otherwise the attempt
+     * ends.
      */
-    private void broken(AttemptEnd end) {
+    private void onCallFailure(AttemptEnd end) {
         if (exchange().begun()) {
             refuse(ResultCode.UPSTREAM_FAILED, end.detail());
         } else {
-            attemptEnded(end);
+            onAttemptEnd(end);
         }
     }
 
     /** {@inheritDoc} */
     @Override
-    protected UpstreamId blamed(Grant grant) {
+    protected UpstreamId failedUpstream(Grant grant) {
         return grant.main().id();
     }
 
     /** {@inheritDoc} */
     @Override
     protected void stopAttempt() {
-        if (mOngoing != null) {
-            mOngoing.abort();
-            mOngoing = null;
+        if (mCall != null) {
+            mCall.abort();
+            mCall = null;
         }
     }
 
     /** {@inheritDoc} */
     @Override
-    protected void sendWhole(StoredAnswer answer) {
+    protected void sendAnswer(StoredAnswer answer) {
         if (exchange().begun()) {
             exchange().end();
             return;
@@ -342,24 +319,19 @@
 
     /** {@inheritDoc} */
     @Override
-    protected void sendCut(ResultCode code, String detail) {
+    protected void sendTruncation(ResultCode code, String detail) {
         exchange().cut();
     }
 
-    /**
-     * Returns the service's headers that the caller gets.
-     *
-     * @param headers the service's headers
-     * @return new headers
-     */
-    private HttpHeaders shownHeaders(HttpHeaders headers) {
-        HttpHeaders shown = new DefaultHttpHeaders();
+    /** Returns the headers of the service's answer that are forwarded to the caller. */
+    private HttpHeaders callerHeaders(HttpHeaders headers) {
+        HttpHeaders callerHeaders = new DefaultHttpHeaders();
         for (Map.Entry<String, String> header : headers) {
-            if (!HOP_HEADERS.contains(header.getKey().toLowerCase(Locale.ROOT))) {
-                shown.add(header.getKey(), header.getValue());
+            if (!HOP_BY_HOP_HEADERS.contains(header.getKey().toLowerCase(Locale.ROOT))) {
+                callerHeaders.add(header.getKey(), header.getValue());
             }
         }
-        shown.set(ID_HEADER, id().value());
-        return shown;
+        callerHeaders.set(ID_HEADER, id().value());
+        return callerHeaders;
     }
 }
