--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/route/RoutingConfiguration.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/route/RoutingConfiguration.java
@@ -74,12 +74,12 @@
 
     private void add(Organisation organisation) {
         if (mOrganisations.put(organisation.id(), organisation) != null) {
-            throw invalid("duplicate organisation " + organisation.id());
+            throw invalid("two organisations are named " + organisation.id());
         }
         for (KeyHash key : organisation.keys()) {
             Organisation other = mKeys.put(key, organisation);
             if (other != null) {
-                throw invalid(key + " belongs to both " + other.id() + " and " + organisation.id());
+                throw invalid(key + " is of " + other.id() + " and of " + organisation.id());
             }
         }
     }
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/EventRelay.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/EventRelay.java
@@ -77,10 +77,7 @@
             if (!inOrder) {
                 throw new TroutpierException(
                         ResultCode.UPSTREAM_FAILED,
-                        "event id "
-                                + id.getAsLong()
-                                + " received after "
-                                + mLastEventId.getAsLong());
+                        "event " + id.getAsLong() + " came after " + mLastEventId.getAsLong());
             }
             mLastEventId = id;
         }
@@ -101,7 +98,7 @@
                     Long.parseLong(text.substring(from + ID_FIELD.length(), end).trim()));
         } catch (NumberFormatException exception) {
             throw new TroutpierException(
-                    ResultCode.UPSTREAM_FAILED, "event id is not a number", exception);
+                    ResultCode.UPSTREAM_FAILED, "an event's id is no number", exception);
         }
     }
 }
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/PlainExecution.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/PlainExecution.java
@@ -93,7 +93,7 @@
         if (candidates.isEmpty()) {
             giveUp(
                     ResultCode.NO_UPSTREAM,
-                    "no untried upstream of " + mService,
+                    "no upstream is left for " + mService,
                     ServingSettings.RETRY_AFTER_MILLIS);
             return;
         }
@@ -224,8 +224,7 @@
                 abort();
                 onAttemptFailed(
                         mUpstream,
-                        AttemptEnd.failed(
-                                ResultCode.UPSTREAM_FAILED, "response body exceeds 16 MiB"));
+                        AttemptEnd.failed(ResultCode.UPSTREAM_FAILED, "the answer is too large"));
             }
         }
 
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/RequestExecution.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/RequestExecution.java
@@ -253,7 +253,7 @@
         }
         mTrace.addFingerprint(mFingerprint.get());
         mTrace.markNotable();
-        String detail = "content quarantined after crashes of upstreams, " + mFingerprint.get();
+        String detail = "upstreams ended under what it asks for, " + mFingerprint.get();
         if (isStreaming()) {
             abortStream(detail);
         } else {
@@ -396,11 +396,11 @@
         if (isStreaming()) {
             abortStream("deadline");
         } else if (isAtUpstream()) {
-            refuse(ResultCode.DEADLINE_WHILE_RUNNING, "deadline exceeded at the upstream", 0);
+            refuse(ResultCode.DEADLINE_WHILE_RUNNING, "deadline at the upstream", 0);
         } else {
             refuse(
                     ResultCode.NO_PLACE,
-                    "deadline exceeded while waiting for an upstream",
+                    "deadline before the start",
                     ServingSettings.RETRY_AFTER_MILLIS);
         }
     }
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/StreamExecution.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/StreamExecution.java
@@ -89,7 +89,7 @@
             return;
         }
         if (promptTokens() > mEngineTraits.memoryTokens()) {
-            refuse(ResultCode.NO_PLACE, "prompt exceeds an engine's memory", 0);
+            refuse(ResultCode.NO_PLACE, "larger than an engine's memory", 0);
             return;
         }
         mReturning = isReturning();
@@ -103,20 +103,20 @@
     /** Searches for a decode engine with room, or refuses at once what cannot start in time. */
     private void search() {
         if (untriedEngines().isEmpty()) {
-            failWithoutRun(ResultCode.NO_PLACE, "no untried decode engine");
+            failWithoutRun(ResultCode.NO_PLACE, "no engine is left");
             return;
         }
         WaitBudget budget = waitBudget();
         WaitBudget.Prediction prediction = prediction();
         if (mContext.admission().backOffMillis(untriedEngines()) > budget.waitMillis(prediction)) {
-            failWithoutRun(ResultCode.NO_PLACE, "decode engines requested a back-off");
+            failWithoutRun(ResultCode.NO_PLACE, "engines asked for a back-off");
             return;
         }
         mPredictedWaitMillis =
                 mReservation.predictedWaitMillis(upstreams(UpstreamEntry.Role.DECODE));
         if (budget.isExceededBy(mPredictedWaitMillis, prediction)) {
             mTrace.addStep("predicted wait for memory " + (long) mPredictedWaitMillis + "ms");
-            failWithoutRun(ResultCode.NO_PLACE, "predicted wait exceeds the time left");
+            failWithoutRun(ResultCode.NO_PLACE, "no place in time");
             return;
         }
         mSearchedBefore = true;
@@ -430,7 +430,7 @@
             mContext.growthMargin().recordRefusal();
             mTrace.addStep(
                     detail + ", prompt read in " + (long) predictedPrefillMillis() + "ms at best");
-            failWithoutRun(ResultCode.NO_PLACE, "no decode engine had room in time");
+            failWithoutRun(ResultCode.NO_PLACE, "no place");
         }
     }
 
@@ -618,9 +618,7 @@
                 return;
             }
             if (!mRelay.atEventBoundary()) {
-                onFailure(
-                        AttemptEnd.failed(
-                                ResultCode.UPSTREAM_FAILED, "stream ended inside an event"));
+                onFailure(AttemptEnd.failed(ResultCode.UPSTREAM_FAILED, "ended inside an event"));
                 return;
             }
             close();
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/table/Table.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/table/Table.java
@@ -195,8 +195,7 @@
             }
             if (!reply.ok()) {
                 throw new TroutpierException(
-                        ResultCode.TABLE_UNAVAILABLE,
-                        "table answered with status " + reply.status());
+                        ResultCode.TABLE_UNAVAILABLE, "the table answers " + reply.status());
             }
         }
     }
@@ -303,8 +302,7 @@
         private static <T> CompletableFuture<T> failed() {
             return CompletableFuture.failedFuture(
                     new TroutpierException(
-                            ResultCode.TABLE_UNAVAILABLE,
-                            "table unavailable: circuit breaker is open"));
+                            ResultCode.TABLE_UNAVAILABLE, "the table was away a moment ago"));
         }
 
         private static CompletableFuture<WriteResult> notSent() {
