--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/UpstreamNotices.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/UpstreamNotices.java
@@ -94,7 +94,7 @@
         if (notice.leaving() == NoticeState.UNREADABLE
                 || notice.backOff().state() == NoticeState.UNREADABLE) {
             count(upstream, "notice-unreadable");
-            LOGGER.debug("upstream notice not readable id={}", upstream.incarnation());
+            LOGGER.debug("cannot parse notice of upstream id={}", upstream.incarnation());
         }
     }
 
