--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/RouterDaemon.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/RouterDaemon.java
@@ -45,9 +45,9 @@
 import org.troutpier.daemon.settings.DaemonSettings;
 import org.troutpier.daemon.table.Table;
 import org.troutpier.daemon.upstream.CancellationRetrier;
-import org.troutpier.daemon.upstream.Engines;
-import org.troutpier.daemon.upstream.HttpEngines;
-import org.troutpier.daemon.upstream.LoadWatcher;
+import org.troutpier.daemon.upstream.EngineClient;
+import org.troutpier.daemon.upstream.EngineLoadPoller;
+import org.troutpier.daemon.upstream.HttpEngineClient;
 import org.troutpier.daemon.upstream.OrphanSweeper;
 
 /**
@@ -136,7 +136,7 @@
         AdmissionController controller = admissionController(coordinator);
         holder.mAdmissionController = controller;
         mConfigurations.listen(controller::apply);
-        Engines engines = new HttpEngines(mNode.calls());
+        EngineClient engines = new HttpEngineClient(mNode.calls());
         mCancels = new CancellationRetrier(mNode, engines);
         ExchangeServices services =
                 new ExchangeServices(
@@ -149,7 +149,7 @@
                         mRegistry);
         ChangeProposer proposer =
                 new ChangeProposer(mNode, mMembership, mConfigurations, mTable, mMesh::send);
-        new LoadWatcher(mNode, mUpstreamRegistry, engines);
+        new EngineLoadPoller(mNode, mUpstreamRegistry, engines);
         new OrphanSweeper(mNode, mUpstreamRegistry, engines, mMembership, mCancels, mRegistry);
         gauges(controller);
         mNode.control()
@@ -346,7 +346,7 @@
      */
     private void gauges(AdmissionController controller) {
         mNode.metrics().register("requests-carried", (Gauge<Integer>) () -> mRegistry.all().size());
-        mNode.metrics().register("cancel.pending", (Gauge<Integer>) mCancels::pending);
+        mNode.metrics().register("cancel.pending", (Gauge<Integer>) mCancels::pendingCount);
         mNode.metrics().register("admission.waiting", (Gauge<Integer>) controller::waiting);
     }
 
@@ -423,7 +423,7 @@
      * @return whether a request, the last bytes of an answer, or a cancel is under way
      */
     private boolean busy() {
-        boolean cancelling = mCancels.pending() > 0;
+        boolean cancelling = mCancels.pendingCount() > 0;
         return !mRegistry.all().isEmpty() || mCallers.busy() > 0 || cancelling;
     }
 
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/request/CompletionExchange.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/request/CompletionExchange.java
@@ -18,7 +18,7 @@
 import org.troutpier.daemon.claim.StoredAnswer;
 import org.troutpier.daemon.placement.PromptBlocks;
 import org.troutpier.daemon.upstream.AttemptEnd;
-import org.troutpier.daemon.upstream.Engines;
+import org.troutpier.daemon.upstream.EngineClient;
 import org.troutpier.daemon.upstream.TokenEvent;
 
 /**
@@ -62,7 +62,7 @@
     private int mTokensBefore;
 
     /** Ends the exchange with the upstream of the current step. */
-    private Engines.Abort mAbort = () -> {};
+    private EngineClient.Abort mAbort = () -> {};
 
     /** What the current attempt uses, or null. */
     private Grant mUsed;
@@ -136,8 +136,8 @@
                         .loop()
                         .scheduleWithFixedDelay(
                                 this::watch, WATCH_MILLIS, WATCH_MILLIS, TimeUnit.MILLISECONDS);
-        Engines.PrefillOrder order =
-                new Engines.PrefillOrder(
+        EngineClient.PrefillRequest order =
+                new EngineClient.PrefillRequest(
                         attempt,
                         services().node().incarnation(),
                         declared().partner().value(),
@@ -147,14 +147,14 @@
                         mTokens);
         mAbort =
                 services()
-                        .engines()
+                        .engineClient()
                         .prefill(grant.prefill(), order, leftMillis(), new Prefilled(attempt));
     }
 
     /**
      * Receives the prefill engine's answer on any thread and passes on what is still of interest.
      */
-    private final class Prefilled implements Engines.PrefillListener {
+    private final class Prefilled implements EngineClient.PrefillListener {
 
         /** The attempt that this belongs to. */
         private final String mOf;
@@ -181,7 +181,7 @@
 
         /** {@inheritDoc} */
         @Override
-        public void onPrefillEnd(AttemptEnd end) {
+        public void onPrefillFailure(AttemptEnd end) {
             onLoop(
                     () -> {
                         if (current(mOf)) {
@@ -209,8 +209,8 @@
         event("decode", grant.main().id().value());
         mSince = now();
         mDecodeHolds = true;
-        Engines.DecodeOrder order =
-                new Engines.DecodeOrder(
+        EngineClient.DecodeRequest order =
+                new EngineClient.DecodeRequest(
                         mAttempt,
                         services().node().incarnation(),
                         arrival().call(),
@@ -219,14 +219,14 @@
                         mOrder.maxTokens() - mTokens);
         mAbort =
                 services()
-                        .engines()
+                        .engineClient()
                         .decode(grant.main(), order, leftMillis(), new Decoding(mAttempt));
     }
 
     /**
      * Receives the decode engine's events on any thread and passes on what is still of interest.
      */
-    private final class Decoding implements Engines.DecodeListener {
+    private final class Decoding implements EngineClient.DecodeListener {
 
         /** The attempt that this belongs to. */
         private final String mOf;
@@ -253,7 +253,7 @@
 
         /** {@inheritDoc} */
         @Override
-        public void onWhole() {
+        public void onComplete() {
             onLoop(
                     () -> {
                         if (current(mOf)) {
@@ -264,7 +264,7 @@
 
         /** {@inheritDoc} */
         @Override
-        public void onDecodeEnd(AttemptEnd end) {
+        public void onDecodeFailure(AttemptEnd end) {
             onLoop(
                     () -> {
                         if (current(mOf)) {
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/request/ExchangeServices.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/request/ExchangeServices.java
@@ -4,7 +4,7 @@
 import org.troutpier.daemon.claim.ClaimStore;
 import org.troutpier.daemon.node.Node;
 import org.troutpier.daemon.upstream.CancellationRetrier;
-import org.troutpier.daemon.upstream.Engines;
+import org.troutpier.daemon.upstream.EngineClient;
 
 /**
  * What the handling of every request calls on. Immutable and thread safe.
@@ -12,7 +12,7 @@
  * @param node the router's identity, threads, clock and metrics
  * @param controller decides who starts; control thread only
  * @param claims takes and settles claims
- * @param engines the model engines
+ * @param engineClient the model engines
  * @param cancels cancels attempts; control thread only
  * @param budget bounds retries
  * @param registry the requests that this router carries
@@ -21,7 +21,7 @@
         Node node,
         AdmissionController controller,
         ClaimStore claims,
-        Engines engines,
+        EngineClient engineClient,
         CancellationRetrier cancels,
         RetryBudget budget,
         ExchangeRegistry registry) {}
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/EventRelay.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/EventRelay.java
@@ -4,7 +4,7 @@
 import java.util.OptionalLong;
 import org.troutpier.common.result.ResultCode;
 import org.troutpier.common.result.TroutpierException;
-import org.troutpier.daemon.upstream.EventFrames;
+import org.troutpier.daemon.upstream.ServerSentEventSplitter;
 
 /**
  * Relays a stream's events to a caller, complete and in order, across all runs that produce the
@@ -18,7 +18,7 @@
     private final CallerChannel mCaller;
 
     /** Splits the bytes of the current run into events. */
-    private EventFrames mParser = new EventFrames();
+    private ServerSentEventSplitter mParser = new ServerSentEventSplitter();
 
     /** The id of the last event that the caller has, if any. */
     private OptionalLong mLastEventId;
@@ -37,7 +37,7 @@
 
     /** Starts with the bytes of another run; an incomplete event of the run before is dropped. */
     void startRun() {
-        mParser = new EventFrames();
+        mParser = new ServerSentEventSplitter();
     }
 
     /**
@@ -51,7 +51,7 @@
 
     /** Returns whether the bytes so far end between two events, so that the stream may end here. */
     boolean atEventBoundary() {
-        return !mParser.insideEvent();
+        return !mParser.hasPartialEvent();
     }
 
     /** Returns the id of the last event that the caller has, if any. */
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/upstream/CancellationRetrier.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/upstream/CancellationRetrier.java
@@ -29,7 +29,7 @@
     private final Node mNode;
 
     /** The engines. */
-    private final Engines mEngines;
+    private final EngineClient mEngines;
 
     /** What is not confirmed yet. */
     private final Map<Key, Pending> mPending = new HashMap<>();
@@ -61,7 +61,7 @@
      * @param node the router's identity, threads, clock and metrics
      * @param engines the engines
      */
-    public CancellationRetrier(Node node, Engines engines) {
+    public CancellationRetrier(Node node, EngineClient engines) {
         mNode = node;
         mEngines = engines;
     }
@@ -86,7 +86,7 @@
      * @param attempt the attempt
      * @return whether it is not confirmed yet
      */
-    public boolean cancelling(UpstreamId engine, String attempt) {
+    public boolean isCancelling(UpstreamId engine, String attempt) {
         return mPending.containsKey(new Key(engine, attempt));
     }
 
@@ -95,7 +95,7 @@
      *
      * @return the count
      */
-    public int pending() {
+    public int pendingCount() {
         return mPending.size();
     }
 
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/upstream/Engines.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/upstream/EngineClient.java
@@ -9,7 +9,7 @@
  * What the router asks of model engines. Implementations are thread safe and answer on an event
  * loop of their own choosing.
  */
-public interface Engines {
+public interface EngineClient {
 
     /**
      * Asks for a prefill.
@@ -22,7 +22,7 @@
      */
     Abort prefill(
             UpstreamDeclaration engine,
-            PrefillOrder order,
+            PrefillRequest order,
             int timeoutMillis,
             PrefillListener listener);
 
@@ -37,7 +37,7 @@
      */
     Abort decode(
             UpstreamDeclaration engine,
-            DecodeOrder order,
+            DecodeRequest order,
             int timeoutMillis,
             DecodeListener listener);
 
@@ -56,7 +56,7 @@
      * @param engine the engine
      * @return the attempts and their owners
      */
-    CompletableFuture<List<Held>> holding(UpstreamDeclaration engine);
+    CompletableFuture<List<HeldAttempt>> heldAttempts(UpstreamDeclaration engine);
 
     /**
      * Asks for the load that an engine publishes.
@@ -92,7 +92,7 @@
      * @param resumeText what was generated before, empty for a new answer
      * @param resumeTokens how many tokens that is
      */
-    record PrefillOrder(
+    record PrefillRequest(
             String attempt,
             Incarnation owner,
             String partner,
@@ -107,16 +107,16 @@
      * @param attempt names this attempt
      * @param owner the router that asks
      * @param call the caller's own mark, empty for none
-     * @param source where the prefill's result is fetched, IP number and port
-     * @param handle the prefill's result
+     * @param kvSource where the prefill's result is fetched, IP number and port
+     * @param kvHandle the prefill's result
      * @param maxTokens how many tokens at most
      */
-    record DecodeOrder(
+    record DecodeRequest(
             String attempt,
             Incarnation owner,
             String call,
-            String source,
-            String handle,
+            String kvSource,
+            String kvHandle,
             int maxTokens) {}
 
     /** Receives what came of a prefill: one of the two, once. */
@@ -135,7 +135,7 @@
          *
          * @param end how it ended
          */
-        void onPrefillEnd(AttemptEnd end);
+        void onPrefillFailure(AttemptEnd end);
     }
 
     /** Receives a decode stream: events, then one of the two ends, once. */
@@ -149,14 +149,14 @@
         void onToken(TokenEvent event);
 
         /** Called when the answer is whole. */
-        void onWhole();
+        void onComplete();
 
         /**
          * Called when it will not be whole.
          *
          * @param end how it ended
          */
-        void onDecodeEnd(AttemptEnd end);
+        void onDecodeFailure(AttemptEnd end);
     }
 
     /**
@@ -165,7 +165,7 @@
      * @param attempt the attempt
      * @param owner the router that asked
      */
-    record Held(String attempt, String owner) {}
+    record HeldAttempt(String attempt, String owner) {}
 
     /**
      * A published load. Immutable and thread safe.
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/upstream/LoadWatcher.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/upstream/EngineLoadPoller.java
@@ -13,7 +13,7 @@
  * Asks the engines for the load and the cache events that they publish. Confined to the control
  * thread. An engine that does not answer is passed over for a while.
  */
-public final class LoadWatcher {
+public final class EngineLoadPoller {
 
     /** How often engines are asked, milliseconds. */
     private static final long ASK_MILLIS = 250;
@@ -25,7 +25,7 @@
     private final UpstreamRegistry mUpstreamRegistry;
 
     /** The engines. */
-    private final Engines mEngines;
+    private final EngineClient mEngines;
 
     /**
      * Creates and starts a watcher.
@@ -34,7 +34,7 @@
      * @param registry all upstreams
      * @param engines the engines
      */
-    public LoadWatcher(Node node, UpstreamRegistry registry, Engines engines) {
+    public EngineLoadPoller(Node node, UpstreamRegistry registry, EngineClient engines) {
         mNode = node;
         mUpstreamRegistry = registry;
         mEngines = engines;
@@ -68,7 +68,7 @@
      * @param id the engine
      * @param load its load, or null where it did not answer
      */
-    private void heard(UpstreamId id, Engines.Load load) {
+    private void heard(UpstreamId id, EngineClient.Load load) {
         UpstreamState state = mUpstreamRegistry.get(id);
         if (state == null) {
             return;
@@ -91,12 +91,12 @@
      * @param id the engine
      * @param events its events
      */
-    private void cached(UpstreamId id, List<Engines.CacheEvent> events) {
+    private void cached(UpstreamId id, List<EngineClient.CacheEvent> events) {
         UpstreamState state = mUpstreamRegistry.get(id);
         if (state == null) {
             return;
         }
-        for (Engines.CacheEvent event : events) {
+        for (EngineClient.CacheEvent event : events) {
             state.cached(event.block());
             state.lastEvent(Math.max(state.lastEvent(), event.number()));
         }
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/upstream/HttpEngines.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/upstream/HttpEngineClient.java
@@ -20,7 +20,7 @@
 import org.troutpier.common.result.TroutpierException;
 
 /** Model engines over HTTP with server-sent events. Thread safe. */
-public final class HttpEngines implements Engines {
+public final class HttpEngineClient implements EngineClient {
 
     /** How long a question about state may take, milliseconds. */
     private static final int QUESTION_MILLIS = 700;
@@ -33,7 +33,7 @@
      *
      * @param calls sends the requests
      */
-    public HttpEngines(HttpCalls calls) {
+    public HttpEngineClient(HttpCalls calls) {
         mCalls = calls;
     }
 
@@ -41,7 +41,7 @@
     @Override
     public Abort prefill(
             UpstreamDeclaration engine,
-            PrefillOrder order,
+            PrefillRequest order,
             int timeoutMillis,
             PrefillListener listener) {
         HttpCall call =
@@ -55,7 +55,7 @@
                         return;
                     }
                     if (failure != null) {
-                        listener.onPrefillEnd(failure(failure));
+                        listener.onPrefillFailure(failure(failure));
                     } else {
                         prefilled(order, reply, listener);
                     }
@@ -70,10 +70,10 @@
      * @param reply the answer
      * @param listener hears what came of it
      */
-    private static void prefilled(PrefillOrder order, HttpReply reply, PrefillListener listener) {
+    private static void prefilled(PrefillRequest order, HttpReply reply, PrefillListener listener) {
         try {
             if (!reply.ok()) {
-                listener.onPrefillEnd(refusal(reply.status(), reply.body()));
+                listener.onPrefillFailure(refusal(reply.status(), reply.body()));
                 return;
             }
             JsonNode result = reply.as(JsonNode.class);
@@ -82,11 +82,11 @@
                 listener.onResult(
                         result.path("kv_handle").asText(), result.path("expires_millis").asInt());
             } else {
-                listener.onPrefillEnd(
+                listener.onPrefillFailure(
                         AttemptEnd.failed(ResultCode.UPSTREAM_MISMATCH, "echoed " + echoed));
             }
         } catch (TroutpierException exception) {
-            listener.onPrefillEnd(
+            listener.onPrefillFailure(
                     AttemptEnd.failed(ResultCode.UPSTREAM_FAILED, exception.getMessage()));
         }
     }
@@ -129,7 +129,7 @@
     @Override
     public Abort decode(
             UpstreamDeclaration engine,
-            DecodeOrder order,
+            DecodeRequest order,
             int timeoutMillis,
             DecodeListener listener) {
         HttpCall call =
@@ -152,14 +152,14 @@
 
     /** {@inheritDoc} */
     @Override
-    public CompletableFuture<List<Held>> holding(UpstreamDeclaration engine) {
+    public CompletableFuture<List<HeldAttempt>> heldAttempts(UpstreamDeclaration engine) {
         return question(engine, "/v1/holding")
                 .thenApply(
                         reply -> {
-                            List<Held> held = new ArrayList<>();
+                            List<HeldAttempt> held = new ArrayList<>();
                             for (JsonNode node : reply.as(JsonNode.class)) {
                                 held.add(
-                                        new Held(
+                                        new HeldAttempt(
                                                 node.path("request_id").asText(),
                                                 node.path("owner").asText()));
                             }
@@ -170,14 +170,14 @@
     /** {@inheritDoc} */
     @Override
     public CompletableFuture<Load> load(UpstreamDeclaration engine) {
-        return question(engine, "/v1/load").thenApply(HttpEngines::load);
+        return question(engine, "/v1/load").thenApply(HttpEngineClient::load);
     }
 
     /** {@inheritDoc} */
     @Override
     public CompletableFuture<List<CacheEvent>> cacheEvents(UpstreamDeclaration engine, long since) {
         return question(engine, "/v1/cache-events?since=" + since)
-                .thenApply(HttpEngines::cacheEvents);
+                .thenApply(HttpEngineClient::cacheEvents);
     }
 
     /**
@@ -214,7 +214,7 @@
         private final DecodeListener mListener;
 
         /** Cuts the stream into events. */
-        private final EventFrames mFrames = new EventFrames();
+        private final ServerSentEventSplitter mFrames = new ServerSentEventSplitter();
 
         /** The body of an answer that is no stream. */
         private final ByteArrayOutputStream mRefusal = new ByteArrayOutputStream();
@@ -269,7 +269,7 @@
          * @param bytes the event as it came
          */
         private void take(byte[] bytes) {
-            TokenEvent event = TokenEvent.read(bytes);
+            TokenEvent event = TokenEvent.parse(bytes);
             if (event == null || mOver || mDone) {
                 return;
             }
@@ -291,14 +291,14 @@
                 end(AttemptEnd.failed(ResultCode.UPSTREAM_FAILED, "no end mark came"));
             } else if (!mOver) {
                 mOver = true;
-                mListener.onWhole();
+                mListener.onComplete();
             }
         }
 
         /** {@inheritDoc} */
         @Override
         public void onFailure(CallFailedException failure) {
-            end(HttpEngines.failure(failure));
+            end(HttpEngineClient.failure(failure));
         }
 
         /**
@@ -309,7 +309,7 @@
         private void end(AttemptEnd end) {
             if (!mOver) {
                 mOver = true;
-                mListener.onDecodeEnd(end);
+                mListener.onDecodeFailure(end);
             }
         }
     }
@@ -320,7 +320,7 @@
      * @param order what to prefill
      * @return the body
      */
-    private static Map<String, Object> prefillBody(PrefillOrder order) {
+    private static Map<String, Object> prefillBody(PrefillRequest order) {
         Map<String, Object> body = new LinkedHashMap<>();
         body.put("request_id", order.attempt());
         body.put("owner", order.owner().value());
@@ -338,13 +338,13 @@
      * @param order what to decode
      * @return the body
      */
-    private static Map<String, Object> decodeBody(DecodeOrder order) {
+    private static Map<String, Object> decodeBody(DecodeRequest order) {
         Map<String, Object> body = new LinkedHashMap<>();
         body.put("request_id", order.attempt());
         body.put("owner", order.owner().value());
         body.put("call", order.call());
-        body.put("kv_source", order.source());
-        body.put("kv_handle", order.handle());
+        body.put("kv_source", order.kvSource());
+        body.put("kv_handle", order.kvHandle());
         body.put("max_tokens", order.maxTokens());
         return body;
     }
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/upstream/OrphanSweeper.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/upstream/OrphanSweeper.java
@@ -29,7 +29,7 @@
     private final UpstreamRegistry mUpstreamRegistry;
 
     /** The engines. */
-    private final Engines mEngines;
+    private final EngineClient mEngines;
 
     /** Who is gone. */
     private final Membership mMembership;
@@ -53,7 +53,7 @@
     public OrphanSweeper(
             Node node,
             UpstreamRegistry upstreamRegistry,
-            Engines engines,
+            EngineClient engines,
             Membership membership,
             CancellationRetrier cancels,
             ExchangeRegistry registry) {
@@ -75,7 +75,7 @@
                     CoordinatorSelector.select("sweep " + declared.id(), members)
                             .equals(mNode.incarnation());
             if (declared.role() != Role.SERVICE && mine) {
-                mEngines.holding(declared)
+                mEngines.heldAttempts(declared)
                         .thenAccept(held -> mNode.control().execute(() -> examine(declared, held)));
             }
         }
@@ -87,9 +87,9 @@
      * @param engine the engine
      * @param held what it holds
      */
-    private void examine(UpstreamDeclaration engine, List<Engines.Held> held) {
-        for (Engines.Held one : held) {
-            if (orphan(one) && !mCancels.cancelling(engine.id(), one.attempt())) {
+    private void examine(UpstreamDeclaration engine, List<EngineClient.HeldAttempt> held) {
+        for (EngineClient.HeldAttempt one : held) {
+            if (orphan(one) && !mCancels.isCancelling(engine.id(), one.attempt())) {
                 mNode.count("orphans.cancelled");
                 mNode.events().record("orphan", one.attempt(), engine.id() + " " + one.owner());
                 mCancels.cancel(engine, one.attempt());
@@ -103,7 +103,7 @@
      * @param held the attempt
      * @return whether its router is gone, or is this one and no longer carries the request
      */
-    private boolean orphan(Engines.Held held) {
+    private boolean orphan(EngineClient.HeldAttempt held) {
         if (held.owner().equals(mNode.incarnation().value())) {
             return !mRegistry.carries(held.attempt());
         }
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/upstream/EventFrames.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/upstream/ServerSentEventSplitter.java
@@ -12,7 +12,7 @@
  * Cuts a stream of server-sent events into single events with Netty's frame decoder. Confined to
  * one event loop.
  */
-public final class EventFrames extends DelimiterBasedFrameDecoder {
+public final class ServerSentEventSplitter extends DelimiterBasedFrameDecoder {
 
     /** The longest event, bytes. */
     private static final int LONGEST = 65_536;
@@ -24,7 +24,7 @@
     private final ByteBuf mArrived = Unpooled.buffer();
 
     /** Creates an empty cutter. */
-    public EventFrames() {
+    public ServerSentEventSplitter() {
         super(LONGEST, false, false, Unpooled.wrappedBuffer(END));
     }
 
@@ -57,7 +57,7 @@
      *
      * @return whether an end now would be in the middle of an event
      */
-    public boolean insideEvent() {
+    public boolean hasPartialEvent() {
         return mArrived.isReadable();
     }
 }
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/upstream/TokenEvent.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/upstream/TokenEvent.java
@@ -35,7 +35,7 @@
      * @param bytes the event as it came
      * @return the event, or null for one without data
      */
-    static TokenEvent read(byte[] bytes) {
+    static TokenEvent parse(byte[] bytes) {
         if (!startsWith(bytes, 0, DATA)) {
             return null;
         }
