--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/RouterDaemon.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/RouterDaemon.java
@@ -22,7 +22,7 @@
 import org.troutpier.daemon.admission.AdmissionController;
 import org.troutpier.daemon.admission.CoordinatorPermits;
 import org.troutpier.daemon.admission.DecodePermits;
-import org.troutpier.daemon.caller.CallerFront;
+import org.troutpier.daemon.caller.CallerHandler;
 import org.troutpier.daemon.claim.ClaimStore;
 import org.troutpier.daemon.configuration.ChangeProposer;
 import org.troutpier.daemon.configuration.ConfigurationRegistry;
@@ -31,8 +31,8 @@
 import org.troutpier.daemon.node.Node;
 import org.troutpier.daemon.node.Readiness;
 import org.troutpier.daemon.objectstore.ObjectStore;
-import org.troutpier.daemon.operator.OperatorFront;
-import org.troutpier.daemon.operator.Operators;
+import org.troutpier.daemon.operator.CommandHandlerFactory;
+import org.troutpier.daemon.operator.OperatorHandler;
 import org.troutpier.daemon.peer.Membership;
 import org.troutpier.daemon.peer.PeerController;
 import org.troutpier.daemon.peer.PeerMesh;
@@ -135,7 +135,7 @@
         Optional<CoordinatorPermits> coordinator = coordinatorPermits(holder);
         AdmissionController controller = admissionController(coordinator);
         holder.mAdmissionController = controller;
-        mConfigurations.listen(controller::apply);
+        mConfigurations.addListener(controller::apply);
         EngineClient engines = new HttpEngineClient(mNode.calls());
         mCancels = new CancellationRetrier(mNode, engines);
         ExchangeServices services =
@@ -160,7 +160,7 @@
                         mNode.loops(),
                         settings.callerLimits(),
                         ServerRefusals.AsJson.INSTANCE,
-                        new CallerFront(services, mConfigurations, mReadiness, mPeers));
+                        new CallerHandler(services, mConfigurations, mReadiness, mPeers));
         mOperators =
                 new HttpServer(
                         settings.operator(),
@@ -264,15 +264,15 @@
      * @param proposer carries changes through
      * @return the handler
      */
-    private OperatorFront operatorFront(ChangeProposer proposer) {
-        return new OperatorFront(
+    private OperatorHandler operatorFront(ChangeProposer proposer) {
+        return new OperatorHandler(
                 mNode,
                 mReadiness,
                 mConfigurations,
                 proposer,
                 mMembership,
                 mPeers,
-                Operators.commands(
+                CommandHandlerFactory.create(
                         mNode, mRegistry, mUpstreamRegistry, mMembership, mConfigurations, mPeers),
                 mSettings.administratorTokenHash());
     }
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/caller/CallerFront.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/caller/CallerHandler.java
@@ -32,7 +32,7 @@
  * Reads, checks and classifies what callers send. Thread safe: it keeps no state of its own.
  * Invariant: nothing that fails a check reaches an upstream.
  */
-public final class CallerFront implements HttpHandler {
+public final class CallerHandler implements HttpHandler {
 
     /** Names the request class. */
     public static final String CLASS_HEADER = "Troutpier-Class";
@@ -78,7 +78,7 @@
      * @param readiness whether new work is taken
      * @param peers knows whether the process was just woken
      */
-    public CallerFront(
+    public CallerHandler(
             ExchangeServices services,
             ConfigurationRegistry configurations,
             Readiness readiness,
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/configuration/ChangeProposer.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/configuration/ChangeProposer.java
@@ -160,7 +160,7 @@
     public CompletableFuture<Declarations> propose(UnaryOperator<Declarations> edit) {
         CompletableFuture<Declarations> told = new CompletableFuture<>();
         mConfigurations
-                .row()
+                .readRow()
                 .whenComplete(
                         (row, failure) ->
                                 mNode.control().execute(() -> start(edit, row, failure, told)));
@@ -242,7 +242,7 @@
      * @param from the member
      * @param answer the answer
      */
-    public void prepared(Incarnation from, PeerMessage.Prepared answer) {
+    public void onPrepared(Incarnation from, PeerMessage.Prepared answer) {
         Change change = mChanges.get(answer.change());
         if (change == null || change.mStep != Step.PREPARING) {
             return;
@@ -308,7 +308,7 @@
      */
     private void readBack(Change change) {
         mConfigurations
-                .row()
+                .readRow()
                 .whenComplete(
                         (row, failure) ->
                                 mNode.control().execute(() -> readBack(change, row, failure)));
@@ -414,7 +414,7 @@
      * @param from the member
      * @param answer what it says
      */
-    public void activated(Incarnation from, PeerMessage.Activated answer) {
+    public void onActivated(Incarnation from, PeerMessage.Activated answer) {
         Change change = mChanges.get(answer.change());
         if (change == null || answer.version() < change.mNext.version()) {
             return;
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/configuration/ConfigurationRegistry.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/configuration/ConfigurationRegistry.java
@@ -57,7 +57,7 @@
      *
      * @param listener hears of them on the control thread
      */
-    public void listen(Consumer<Declarations> listener) {
+    public void addListener(Consumer<Declarations> listener) {
         mListeners.add(listener);
     }
 
@@ -91,7 +91,7 @@
      *
      * @param source who says so
      */
-    public void validated(String source) {
+    public void onValidated(String source) {
         mReadiness.configured();
         mReadiness.lift();
     }
@@ -101,7 +101,7 @@
      *
      * @return whether the table answered; the row, where there is one, is then in force
      */
-    public CompletableFuture<Boolean> pull() {
+    public CompletableFuture<Boolean> refresh() {
         return mTable.read(ROW)
                 .handle(
                         (row, failure) -> {
@@ -121,7 +121,7 @@
      *
      * @return the row, or empty where there is none; fails where the table is away
      */
-    public CompletableFuture<Optional<Table.Row>> row() {
+    public CompletableFuture<Optional<Table.Row>> readRow() {
         return mTable.read(ROW);
     }
 
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/operator/ClassEdit.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/operator/ClassFieldEditor.java
@@ -8,10 +8,10 @@
 import org.troutpier.common.result.TroutpierException;
 
 /** Changes one field of a class by its name. Stateless and thread safe. */
-final class ClassEdit {
+final class ClassFieldEditor {
 
     /** Not to be instantiated. */
-    private ClassEdit() {}
+    private ClassFieldEditor() {}
 
     /**
      * Returns a class with one field changed; every check of the declaration applies.
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/operator/CommandHandler.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/operator/CommandHandler.java
@@ -80,7 +80,7 @@
      * @param rights whose operator asks
      * @return the reply, or a {@link TroutpierException}
      */
-    public CompletableFuture<Reply> run(String text, Rights rights) {
+    public CompletableFuture<Reply> execute(String text, Rights rights) {
         CommandParser.CommandContext command = parse(text);
         CompletableFuture<Reply> reply = new CompletableFuture<>();
         mNode.control()
@@ -158,11 +158,11 @@
         /** {@inheritDoc} */
         @Override
         public Reply visitShow(CommandParser.ShowContext show) {
-            Shown shown = mInventory.show(show.thing().getText(), mRights);
-            List<Shown.Condition> conditions = new ArrayList<>();
+            ResultTable shown = mInventory.show(show.thing().getText(), mRights);
+            List<ResultTable.Condition> conditions = new ArrayList<>();
             for (CommandParser.ConditionContext condition : show.condition()) {
                 conditions.add(
-                        new Shown.Condition(
+                        new ResultTable.Condition(
                                 condition.field().getText(),
                                 condition.operator().getText(),
                                 value(condition.value())));
@@ -187,8 +187,8 @@
             return new Edit(
                     whole -> {
                         ClassDeclaration declared = ownClass(whole, name);
-                        return ShareEdit.withClass(
-                                whole, ClassEdit.with(declared, field, value), mRights);
+                        return DeclarationAccess.withClass(
+                                whole, ClassFieldEditor.with(declared, field, value), mRights);
                     });
         }
 
@@ -199,7 +199,7 @@
             Role role = role(assign.role.getText());
             return new Edit(
                     whole ->
-                            ShareEdit.withUpstream(
+                            DeclarationAccess.withUpstream(
                                     whole, upstream(whole, id).withRole(role), mRights));
         }
 
@@ -210,7 +210,7 @@
             boolean draining = drain.DRAIN() != null;
             return new Edit(
                     whole ->
-                            ShareEdit.withUpstream(
+                            DeclarationAccess.withUpstream(
                                     whole, upstream(whole, id).withDraining(draining), mRights));
         }
 
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/operator/Operators.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/operator/CommandHandlerFactory.java
@@ -8,10 +8,10 @@
 import org.troutpier.daemon.request.ExchangeRegistry;
 
 /** Puts the operators' parts together. Stateless and thread safe. */
-public final class Operators {
+public final class CommandHandlerFactory {
 
     /** Not to be instantiated. */
-    private Operators() {}
+    private CommandHandlerFactory() {}
 
     /**
      * Makes the handler of queries and commands.
@@ -24,7 +24,7 @@
      * @param peers knows the versions of the other routers
      * @return the handler
      */
-    public static CommandHandler commands(
+    public static CommandHandler create(
             Node node,
             ExchangeRegistry registry,
             UpstreamRegistry upstreamRegistry,
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/operator/ShareEdit.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/operator/DeclarationAccess.java
@@ -20,10 +20,10 @@
  * What an operator may see and change. Pure decision, stateless and thread safe. Invariant: a
  * partner's operators never change another partner's declarations, nor their own share.
  */
-public final class ShareEdit {
+public final class DeclarationAccess {
 
     /** Not to be instantiated. */
-    private ShareEdit() {}
+    private DeclarationAccess() {}
 
     /**
      * Returns what an operator may see.
@@ -33,7 +33,7 @@
      * @return the operator's part
      */
     public static Declarations visible(Declarations whole, Rights rights) {
-        if (rights.everything()) {
+        if (rights.isAdministrator()) {
             return whole;
         }
         return new Declarations(
@@ -52,8 +52,8 @@
      * @param rights whose operator asks
      * @return the whole as it would be
      */
-    public static Declarations replaced(Declarations whole, DeclarationPart part, Rights rights) {
-        if (rights.everything()) {
+    public static Declarations withPart(Declarations whole, DeclarationPart part, Rights rights) {
+        if (rights.isAdministrator()) {
             return replacedByAdministrator(whole, part);
         }
         part.partners().forEach(partner -> requireOwn(rights, partner.id(), whole, partner));
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/operator/Inventory.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/operator/Inventory.java
@@ -81,7 +81,7 @@
      * @param rights whose operator asks
      * @return the rows
      */
-    Shown show(String thing, Rights rights) {
+    ResultTable show(String thing, Rights rights) {
         return switch (thing) {
             case "requests" -> requests(rights);
             case "upstreams" -> upstreams(rights);
@@ -106,7 +106,7 @@
      * @param rights whose operator asks
      * @return the rows
      */
-    private Shown requests(Rights rights) {
+    private ResultTable requests(Rights rights) {
         List<Map<String, String>> rows = new ArrayList<>();
         long now = mNode.nanos().getAsLong();
         for (RequestExchange running : mRegistry.all()) {
@@ -121,7 +121,8 @@
                                 "age_ms", (now - running.arrivalNanos()) / NANOS));
             }
         }
-        return new Shown(List.of("id", "partner", "class", "state", "upstream", "age_ms"), rows);
+        return new ResultTable(
+                List.of("id", "partner", "class", "state", "upstream", "age_ms"), rows);
     }
 
     /**
@@ -130,7 +131,7 @@
      * @param rights whose operator asks
      * @return the rows
      */
-    private Shown upstreams(Rights rights) {
+    private ResultTable upstreams(Rights rights) {
         List<Map<String, String>> rows = new ArrayList<>();
         long now = mNode.nanos().getAsLong();
         for (UpstreamState state : mUpstreamRegistry.all()) {
@@ -148,7 +149,7 @@
                                 "state", condition(state, now)));
             }
         }
-        return new Shown(
+        return new ResultTable(
                 List.of(
                         "id", "owner", "role", "serves", "hall", "slots", "mine", "running",
                         "state"),
@@ -178,7 +179,7 @@
      * @param rights whose operator asks
      * @return the rows
      */
-    private Shown capacity(Rights rights) {
+    private ResultTable capacity(Rights rights) {
         Map<String, int[]> sums = new LinkedHashMap<>();
         long now = mNode.nanos().getAsLong();
         for (UpstreamState state : mUpstreamRegistry.all()) {
@@ -201,7 +202,7 @@
                                         "upstreams", sum[0],
                                         "slots", sum[1],
                                         "running", sum[2])));
-        return new Shown(List.of("serves", "role", "upstreams", "slots", "running"), rows);
+        return new ResultTable(List.of("serves", "role", "upstreams", "slots", "running"), rows);
     }
 
     /**
@@ -209,7 +210,7 @@
      *
      * @return the rows
      */
-    private Shown routers() {
+    private ResultTable routers() {
         Map<Incarnation, Long> versions = mPeers.configurationVersions();
         List<Map<String, String>> rows = new ArrayList<>();
         for (Membership.Member member : mMembership.live()) {
@@ -223,7 +224,7 @@
                             "leaving", member.leaving(),
                             "heard", heard));
         }
-        return new Shown(List.of("id", "hall", "version", "leaving", "heard"), rows);
+        return new ResultTable(List.of("id", "hall", "version", "leaving", "heard"), rows);
     }
 
     /**
@@ -232,7 +233,7 @@
      * @param rights whose operator asks
      * @return the rows
      */
-    private Shown classes(Rights rights) {
+    private ResultTable classes(Rights rights) {
         List<Map<String, String>> rows = new ArrayList<>();
         for (ClassDeclaration declared : mConfigurations.current().classes()) {
             if (rights.covers(declared.partner())) {
@@ -248,7 +249,7 @@
                                 "deadline_ms", declared.deadlineMillis()));
             }
         }
-        return new Shown(
+        return new ResultTable(
                 List.of(
                         "name",
                         "partner",
@@ -267,8 +268,8 @@
      * @param rights whose operator asks
      * @return the rows
      */
-    private Shown partners(Rights rights) {
-        Declarations visible = ShareEdit.visible(mConfigurations.current(), rights);
+    private ResultTable partners(Rights rights) {
+        Declarations visible = DeclarationAccess.visible(mConfigurations.current(), rights);
         List<Map<String, String>> rows =
                 visible.partners().stream()
                         .map(
@@ -279,7 +280,7 @@
                                                 "queue_limit", partner.queueLimit(),
                                                 "in_flight_limit", partner.inFlightLimit()))
                         .toList();
-        return new Shown(List.of("id", "share", "queue_limit", "in_flight_limit"), rows);
+        return new ResultTable(List.of("id", "share", "queue_limit", "in_flight_limit"), rows);
     }
 
     /**
@@ -287,7 +288,7 @@
      *
      * @return the rows
      */
-    private Shown changes() {
+    private ResultTable changes() {
         List<Map<String, String>> rows = new ArrayList<>();
         for (Event event : mNode.events().about("")) {
             if (event.kind().startsWith("change-") || event.kind().equals("version")) {
@@ -298,7 +299,7 @@
                                 "detail", event.detail()));
             }
         }
-        return new Shown(List.of("change", "step", "detail"), rows);
+        return new ResultTable(List.of("change", "step", "detail"), rows);
     }
 
     /**
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/operator/OperatorFront.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/operator/OperatorHandler.java
@@ -35,7 +35,7 @@
  * Serves operators: health, counters, events, declarations and commands. Thread safe: it keeps no
  * state of its own. Invariant: an operator sees and changes its own partner's things only.
  */
-public final class OperatorFront implements HttpHandler {
+public final class OperatorHandler implements HttpHandler {
 
     /** Starts the names of counters that belong to a partner. */
     private static final String PARTNER_COUNTERS = "requests.";
@@ -82,7 +82,7 @@
      * @param commands answers queries and commands
      * @param administratorHash the hash of the administrator's token, or null
      */
-    public OperatorFront(
+    public OperatorHandler(
             Node node,
             Readiness readiness,
             ConfigurationRegistry configurations,
@@ -214,12 +214,12 @@
     private void declarations(HttpExchange exchange) {
         Rights rights = rights(exchange);
         if (exchange.method().equals("GET")) {
-            Declarations visible = ShareEdit.visible(mConfigurations.current(), rights);
+            Declarations visible = DeclarationAccess.visible(mConfigurations.current(), rights);
             exchange.answer(Answers.json(200, visible));
             return;
         }
         DeclarationPart part = Json.read(exchange.body(), DeclarationPart.class);
-        propose(exchange, whole -> ShareEdit.replaced(whole, part, rights));
+        propose(exchange, whole -> DeclarationAccess.withPart(whole, part, rights));
     }
 
     /**
@@ -281,7 +281,7 @@
         Rights rights = rights(exchange);
         String text = Json.read(exchange.body(), CommandText.class).text();
         mCommands
-                .run(text, rights)
+                .execute(text, rights)
                 .whenComplete(
                         (reply, why) ->
                                 exchange.loop().execute(() -> carryOut(exchange, reply, why)));
@@ -326,7 +326,7 @@
      * @return the rights; fails where the token is unknown
      */
     private Rights rights(HttpExchange exchange) {
-        return Rights.of(
+        return Rights.forAuthorization(
                 exchange.header("Authorization"), mAdministratorHash, mConfigurations.current());
     }
 
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/operator/Shown.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/operator/ResultTable.java
@@ -14,7 +14,7 @@
  * @param columns the names of the columns, in order
  * @param rows the rows; each has a value for every column
  */
-record Shown(List<String> columns, List<Map<String, String>> rows) {
+record ResultTable(List<String> columns, List<Map<String, String>> rows) {
 
     /**
      * A condition on a column.
@@ -48,9 +48,9 @@
      * @param conditions the conditions
      * @return new rows
      */
-    Shown where(List<Condition> conditions) {
+    ResultTable where(List<Condition> conditions) {
         conditions.forEach(condition -> requireColumn(condition.column()));
-        return new Shown(
+        return new ResultTable(
                 columns,
                 rows.stream()
                         .filter(row -> conditions.stream().allMatch(one -> one.met(row)))
@@ -64,12 +64,12 @@
      * @param descending whether the largest comes first
      * @return new rows
      */
-    Shown orderedBy(String column, boolean descending) {
+    ResultTable orderedBy(String column, boolean descending) {
         requireColumn(column);
         Comparator<Map<String, String>> order = (a, b) -> compare(a.get(column), b.get(column));
         List<Map<String, String>> ordered = new ArrayList<>(rows);
         ordered.sort(descending ? order.reversed() : order);
-        return new Shown(columns, ordered);
+        return new ResultTable(columns, ordered);
     }
 
     /**
@@ -78,8 +78,8 @@
      * @param most how many
      * @return new rows
      */
-    Shown limited(int most) {
-        return new Shown(columns, rows.stream().limit(most).toList());
+    ResultTable limited(int most) {
+        return new ResultTable(columns, rows.stream().limit(most).toList());
     }
 
     /**
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/operator/Rights.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/operator/Rights.java
@@ -27,7 +27,7 @@
      * @param declarations the declarations in force
      * @return the rights; fails with {@link ResultCode#UNKNOWN_TOKEN}
      */
-    public static Rights of(
+    public static Rights forAuthorization(
             String authorization, String administratorHash, Declarations declarations) {
         Optional<String> token = Tokens.bearer(authorization);
         if (token.isPresent()) {
@@ -49,7 +49,7 @@
      *
      * @return whether the administrator asks
      */
-    public boolean everything() {
+    public boolean isAdministrator() {
         return partner.isEmpty();
     }
 
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/peer/PeerController.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/peer/PeerController.java
@@ -241,7 +241,7 @@
 
     private void pull() {
         mConfigurations
-                .pull()
+                .refresh()
                 .thenAccept(
                         answered -> {
                             if (answered) {
@@ -263,7 +263,7 @@
     /** Requests the latest version from the table or, if that does not answer, from all peers. */
     private void revalidateNow() {
         mConfigurations
-                .pull()
+                .refresh()
                 .thenAccept(
                         answered ->
                                 mNode.control()
@@ -271,7 +271,7 @@
                                                 () -> {
                                                     if (answered) {
                                                         recordPlatformAnswer();
-                                                        mConfigurations.validated("table");
+                                                        mConfigurations.onValidated("table");
                                                     } else {
                                                         pullFromPeers();
                                                     }
@@ -305,11 +305,11 @@
         } else if (message instanceof PeerMessage.Prepare prepare) {
             mMesh.send(sender, new PeerMessage.Prepared(prepare.change(), obstacle(prepare)));
         } else if (message instanceof PeerMessage.Prepared prepared) {
-            mProposer.prepared(sender, prepared);
+            mProposer.onPrepared(sender, prepared);
         } else if (message instanceof PeerMessage.Activate activate) {
             onActivate(sender, activate);
         } else if (message instanceof PeerMessage.Activated activated) {
-            mProposer.activated(sender, activated);
+            mProposer.onActivated(sender, activated);
         } else if (message instanceof PeerMessage.Pull pull) {
             answerPull(sender, pull);
         }
@@ -349,7 +349,7 @@
         mConfigurations.adopt(activate.next(), "peer " + from.instance());
         boolean answersPull = activate.change().isEmpty();
         if (answersPull) {
-            mConfigurations.validated("peer " + from.instance());
+            mConfigurations.onValidated("peer " + from.instance());
         } else {
             long version = mConfigurations.current().version();
             mMesh.send(from, new PeerMessage.Activated(activate.change(), version));
--- a/troutpier-daemon/src/test/java/org/troutpier/daemon/operator/ShareEditTest.java
+++ b/troutpier-daemon/src/test/java/org/troutpier/daemon/operator/DeclarationAccessTest.java
@@ -18,7 +18,7 @@
 import org.troutpier.common.result.TroutpierException;
 import org.troutpier.common.settings.Address;
 
-public class ShareEditTest {
+public class DeclarationAccessTest {
 
     private static final PartnerId ASSOCIATION = new PartnerId("association");
     private static final PartnerId TRUST = new PartnerId("trust");
@@ -53,7 +53,8 @@
     private static void refused(DeclarationPart part, ResultCode code) {
         TroutpierException why =
                 expectThrows(
-                        TroutpierException.class, () -> ShareEdit.replaced(whole(), part, TRUSTS));
+                        TroutpierException.class,
+                        () -> DeclarationAccess.withPart(whole(), part, TRUSTS));
         assertEquals(why.code(), code);
     }
 
@@ -61,7 +62,7 @@
     public void replacesTheOwnPartOnly() {
         DeclarationPart part =
                 new DeclarationPart(List.of(), List.of(upstream("t-2", TRUST)), List.of());
-        Declarations next = ShareEdit.replaced(whole(), part, TRUSTS);
+        Declarations next = DeclarationAccess.withPart(whole(), part, TRUSTS);
         assertEquals(
                 next.upstreams().stream().map(one -> one.id().value()).toList(),
                 List.of("a-1", "t-2"));
@@ -86,12 +87,13 @@
         DeclarationPart part =
                 new DeclarationPart(List.of(), List.of(upstream("a-1", TRUST)), List.of());
         expectThrows(
-                IllegalArgumentException.class, () -> ShareEdit.replaced(whole(), part, TRUSTS));
+                IllegalArgumentException.class,
+                () -> DeclarationAccess.withPart(whole(), part, TRUSTS));
     }
 
     @Test
     public void showsTheOwnPartOnly() {
-        Declarations visible = ShareEdit.visible(whole(), TRUSTS);
+        Declarations visible = DeclarationAccess.visible(whole(), TRUSTS);
         assertEquals(visible.upstreams().size(), 1);
         assertEquals(visible.partners().size(), 1);
     }
