--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/DaemonMain.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/DaemonMain.java
@@ -21,7 +21,7 @@
 public final class DaemonMain implements Callable<Integer> {
 
     /** The exit code for wrong settings. */
-    public static final int WRONG_SETTINGS = 2;
+    public static final int INVALID_SETTINGS_EXIT_CODE = 2;
 
     /** The settings. */
     @Parameters(paramLabel = "SETTINGS", description = "YAML file with the daemon's settings")
@@ -47,16 +47,17 @@
     /** {@inheritDoc} */
     @Override
     public Integer call() throws InterruptedException {
-        Optional<DaemonSettings> settings = DaemonProcess.settings(mSettings, DaemonSettings.class);
+        Optional<DaemonSettings> settings =
+                DaemonProcess.readSettings(mSettings, DaemonSettings.class);
         if (settings.isEmpty()) {
-            return DaemonProcess.WRONG_SETTINGS;
+            return DaemonProcess.INVALID_SETTINGS_EXIT_CODE;
         }
         if (mCheck) {
             System.out.println("the settings are valid");
             return 0;
         }
         RouterDaemon daemon = new RouterDaemon(settings.get());
-        DaemonProcess.onEnd(daemon::stop);
+        DaemonProcess.onShutdown(daemon::stop);
         new CountDownLatch(1).await();
         return 0;
     }
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/RouterDaemon.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/RouterDaemon.java
@@ -386,7 +386,7 @@
      * else. Waits for it.
      */
     public void stop() {
-        mReadiness.stopping();
+        mReadiness.setStopping();
         LOGGER.info("stopping {}", mNode.incarnation());
         long start = System.nanoTime();
         await(start, NOTICE_MILLIS, false);
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/admission/AdmissionController.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/admission/AdmissionController.java
@@ -89,7 +89,7 @@
         mSelector = selector;
         mShed = shed;
         mPredictionError = node.metrics().histogram("admission.prediction-error-micros");
-        node.control().every(this::sweep, SWEEP_MILLIS);
+        node.control().scheduleWithFixedDelay(this::sweep, SWEEP_MILLIS);
     }
 
     /**
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/admission/CoordinatorPermits.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/admission/CoordinatorPermits.java
@@ -194,8 +194,8 @@
         mUpstreamRegistry = registry;
         mSender = sender;
         mPump = pump;
-        node.control().every(this::tick, TICK_MILLIS);
-        node.control().every(this::report, REPORT_MILLIS);
+        node.control().scheduleWithFixedDelay(this::tick, TICK_MILLIS);
+        node.control().scheduleWithFixedDelay(this::report, REPORT_MILLIS);
     }
 
     /** {@inheritDoc} */
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/claim/ClaimSettling.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/claim/ClaimSettling.java
@@ -178,7 +178,7 @@
      */
     private void goOn(Claim claim, Settled settled, Runnable again) {
         if (settled == Settled.UNKNOWN && worthSettling(claim)) {
-            mNode.control().later(again, SETTLE_MILLIS);
+            mNode.control().schedule(again, SETTLE_MILLIS);
         } else {
             mForget.accept(claim);
         }
@@ -192,7 +192,7 @@
      */
     void giveUpLater(Claim wished) {
         mForget.accept(wished);
-        mNode.control().later(() -> giveUp(wished), SETTLE_MILLIS);
+        mNode.control().schedule(() -> giveUp(wished), SETTLE_MILLIS);
     }
 
     /**
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/cluster/LoadRelay.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/cluster/LoadRelay.java
@@ -169,7 +169,7 @@
         if (!mRelaying) {
             mRelaying = true;
             long left = RELAY_MILLIS - (mNode.millis() - mRelayedAt);
-            mNode.control().later(this::relay, Math.max(GATHER_MILLIS, left));
+            mNode.control().schedule(this::relay, Math.max(GATHER_MILLIS, left));
         }
     }
 
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/cluster/LoadReporter.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/cluster/LoadReporter.java
@@ -3,7 +3,7 @@
 import java.util.HashMap;
 import java.util.Map;
 import org.troutpier.common.id.UpstreamIncarnation;
-import org.troutpier.daemon.node.Control;
+import org.troutpier.daemon.node.ControlExecutor;
 import org.troutpier.daemon.organisation.OrganisationLimiter;
 import org.troutpier.daemon.role.RoleController;
 import org.troutpier.daemon.route.CurrentConfiguration;
@@ -46,7 +46,7 @@
     private final RoleController mRoles;
 
     /** The control thread, where reports are sent. */
-    private final Control mControl;
+    private final ControlExecutor mControl;
 
     /** Sends reports. */
     private final PeerExchange mExchange;
@@ -80,7 +80,7 @@
             UpstreamRates rates,
             CurrentConfiguration configuration,
             RoleController roles,
-            Control control,
+            ControlExecutor control,
             PeerExchange exchange) {
         mLoop = loop;
         mLoads = loads;
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/cluster/MemberRegistry.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/cluster/MemberRegistry.java
@@ -143,7 +143,7 @@
                 mVersion = write.version();
                 register();
             }
-            default -> mNode.control().later(this::register, RETRY_MILLIS);
+            default -> mNode.control().schedule(this::register, RETRY_MILLIS);
         }
     }
 
@@ -195,7 +195,7 @@
         if (!current) {
             long millis = TablePollTimings.restoreMillis();
             LOGGER.info("router registers again inMillis={}", millis);
-            mNode.control().later(this::register, millis);
+            mNode.control().schedule(this::register, millis);
         }
     }
 
@@ -217,7 +217,7 @@
         if (instance.equals(mNode.incarnation().instance())) {
             mVersion = row.deleted() ? 0 : row.version();
             if (mRead && member.isEmpty()) {
-                mNode.control().later(this::register, RETRY_MILLIS);
+                mNode.control().schedule(this::register, RETRY_MILLIS);
             }
         }
         if (row.deleted()) {
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/cluster/PeerExchange.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/cluster/PeerExchange.java
@@ -153,7 +153,7 @@
         mLinks = opener.open(new PeerMesh.Peers(mMembership, () -> mPlan.wanted()), this);
         mRelay = new LoadRelay(node, mLinks, loads, () -> mPlan);
         mTables = new TableExchange(node.hall(), mLinks, () -> mPlan, mRelay::locals);
-        node.control().every(this::tick, TICK_MILLIS);
+        node.control().scheduleWithFixedDelay(this::tick, TICK_MILLIS);
     }
 
     /**
@@ -189,7 +189,7 @@
     private void planSoon() {
         if (!mPlanning) {
             mPlanning = true;
-            mNode.control().later(this::plan, LoadRelay.GATHER_MILLIS);
+            mNode.control().schedule(this::plan, LoadRelay.GATHER_MILLIS);
         }
     }
 
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/cluster/QuarantineTable.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/cluster/QuarantineTable.java
@@ -126,7 +126,7 @@
                 new TableExchange.RequestingSharer(pages));
         mQuarantine.onLocalChange(report -> mNode.control().execute(() -> found(report)));
         mQuarantine.onMergedChange(report -> mNode.control().execute(() -> store(report)));
-        mNode.control().every(this::clean, CLEAN_MILLIS);
+        mNode.control().scheduleWithFixedDelay(this::clean, CLEAN_MILLIS);
     }
 
     /**
@@ -217,7 +217,7 @@
     /** Tries a write again after a while. */
     private void writeLater() {
         mNode.control()
-                .later(
+                .schedule(
                         () -> {
                             mWriting = false;
                             write();
@@ -261,7 +261,7 @@
                             mWanted.merge(request, stored.record(), CrashRecord::merge));
         }
         mStored.clear();
-        mNode.control().later(this::write, TablePollTimings.restoreMillis());
+        mNode.control().schedule(this::write, TablePollTimings.restoreMillis());
     }
 
     /**
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/configuration/ChangeProposer.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/configuration/ChangeProposer.java
@@ -232,7 +232,7 @@
         } else {
             waiting.forEach(
                     to -> mSender.send(to, new PeerMessage.Prepare(change.mId, change.mNext)));
-            mNode.control().later(() -> prepare(change), AGAIN_MILLIS);
+            mNode.control().schedule(() -> prepare(change), AGAIN_MILLIS);
         }
     }
 
@@ -328,7 +328,7 @@
             if (change.age() > READ_BACK_MILLIS) {
                 refuse(change, ResultCode.CHANGE_IN_DOUBT, "the table does not say");
             } else {
-                mNode.control().later(() -> readBack(change), AGAIN_MILLIS);
+                mNode.control().schedule(() -> readBack(change), AGAIN_MILLIS);
             }
             return;
         }
@@ -361,7 +361,7 @@
                     if (outcome == Outcome.WRITTEN) {
                         activate(change);
                     } else {
-                        mNode.control().later(() -> readBack(change), AGAIN_MILLIS);
+                        mNode.control().schedule(() -> readBack(change), AGAIN_MILLIS);
                     }
                 });
     }
@@ -405,7 +405,7 @@
             return;
         }
         waiting.forEach(to -> mSender.send(to, new PeerMessage.Activate(change.mId, change.mNext)));
-        mNode.control().later(() -> carryOn(change), AGAIN_MILLIS);
+        mNode.control().schedule(() -> carryOn(change), AGAIN_MILLIS);
     }
 
     /**
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/configuration/ConfigurationRegistry.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/configuration/ConfigurationRegistry.java
@@ -92,8 +92,8 @@
      * @param source who says so
      */
     public void onValidated(String source) {
-        mReadiness.configured();
-        mReadiness.lift();
+        mReadiness.setConfigured();
+        mReadiness.liftFence();
     }
 
     /**
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/directory/UpstreamDirectory.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/directory/UpstreamDirectory.java
@@ -18,7 +18,7 @@
 import org.troutpier.common.collection.AgingMap;
 import org.troutpier.common.id.UpstreamId;
 import org.troutpier.common.id.UpstreamIncarnation;
-import org.troutpier.daemon.node.Control;
+import org.troutpier.daemon.node.ControlExecutor;
 
 /**
  * Holds the upstreams that the platform lists. Changes are confined to the control thread; {@link
@@ -54,7 +54,7 @@
 
     private static final Logger LOGGER = LogManager.getLogger(UpstreamDirectory.class);
 
-    private final Control mControl;
+    private final ControlExecutor mControl;
 
     private final LongSupplier mMillis;
 
@@ -111,7 +111,7 @@
      * @param control the control thread
      * @param millis the monotonic clock, milliseconds
      */
-    public UpstreamDirectory(Control control, LongSupplier millis) {
+    public UpstreamDirectory(ControlExecutor control, LongSupplier millis) {
         mControl = control;
         mMillis = millis;
         mConfirmedAt = mMillis.getAsLong();
@@ -382,7 +382,7 @@
 
     private void scheduleExpiry() {
         if (!mMissing.isEmpty()) {
-            mControl.later(this::expireMissing, Math.max(0, mGraceUntil - mMillis.getAsLong()));
+            mControl.schedule(this::expireMissing, Math.max(0, mGraceUntil - mMillis.getAsLong()));
         }
     }
 
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/node/Control.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/node/ControlExecutor.java
@@ -6,7 +6,7 @@
  * Runs the tasks that touch control state: one at a time, in the order in which they were given.
  * Implementations are thread safe.
  */
-public interface Control extends Executor, AutoCloseable {
+public interface ControlExecutor extends Executor, AutoCloseable {
 
     /**
      * Runs a task later.
@@ -14,7 +14,7 @@
      * @param task the task
      * @param millis how much later
      */
-    void later(Runnable task, long millis);
+    void schedule(Runnable task, long millis);
 
     /**
      * Runs a task again and again.
@@ -22,7 +22,7 @@
      * @param task the task
      * @param millis how long from one end to the next start
      */
-    void every(Runnable task, long millis);
+    void scheduleWithFixedDelay(Runnable task, long millis);
 
     /** Stops; tasks that wait are dropped. */
     @Override
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/node/ControlThread.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/node/ControlThread.java
@@ -9,7 +9,7 @@
  * The one thread that owns control state. Thread safe. Invariant: tasks run one at a time, in the
  * order in which they were given; a task that throws is logged and ends no other.
  */
-public final class ControlThread implements Control {
+public final class ControlThread implements ControlExecutor {
 
     /** Logs tasks that threw. */
     private static final Logger LOGGER = LogManager.getLogger(ControlThread.class);
@@ -41,7 +41,7 @@
 
     /** {@inheritDoc} */
     @Override
-    public void later(Runnable task, long millis) {
+    public void schedule(Runnable task, long millis) {
         if (!mExecutor.isShutdown()) {
             mExecutor.schedule(guarded(task), millis, TimeUnit.MILLISECONDS);
         }
@@ -49,7 +49,7 @@
 
     /** {@inheritDoc} */
     @Override
-    public void every(Runnable task, long millis) {
+    public void scheduleWithFixedDelay(Runnable task, long millis) {
         mExecutor.scheduleWithFixedDelay(guarded(task), millis, millis, TimeUnit.MILLISECONDS);
     }
 
@@ -65,7 +65,7 @@
                 task.run();
             } catch (RuntimeException exception) {
                 LOGGER.error("control task failed", exception);
-                Invariants.broken("control-task", exception.toString());
+                Invariants.recordViolation("control-task", exception.toString());
             }
         };
     }
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/node/DaemonProcess.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/node/DaemonProcess.java
@@ -10,7 +10,7 @@
 public final class DaemonProcess {
 
     /** The exit code for wrong settings. */
-    public static final int WRONG_SETTINGS = 2;
+    public static final int INVALID_SETTINGS_EXIT_CODE = 2;
 
     /** Not to be instantiated. */
     private DaemonProcess() {}
@@ -23,7 +23,7 @@
      * @param type the settings' type
      * @return the settings, or empty where they are wrong
      */
-    public static <T> Optional<T> settings(Path file, Class<T> type) {
+    public static <T> Optional<T> readSettings(Path file, Class<T> type) {
         try {
             return Optional.of(CheckedYaml.read(file, type));
         } catch (TroutpierException exception) {
@@ -38,7 +38,7 @@
      *
      * @param stop stops the daemon without cutting requests; blocks
      */
-    public static void onEnd(Runnable stop) {
+    public static void onShutdown(Runnable stop) {
         Thread hook =
                 new Thread(
                         () -> {
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/node/DroppedLines.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/node/DroppedLines.java
@@ -8,7 +8,7 @@
 
 /**
  * Tells of dropped log lines: as a gauge, and by a line once there is room again. Confined to the
- * thread that calls {@link #look()}; the gauge is thread safe.
+ * thread that calls {@link #logNewDrops()}; the gauge is thread safe.
  */
 public final class DroppedLines {
 
@@ -36,7 +36,7 @@
     }
 
     /** Writes a line if more were dropped since the last look. */
-    public void look() {
+    public void logNewDrops() {
         long now = mDropped.getAsLong();
         if (now > mTold) {
             LOGGER.warn("log lines dropped count={} total={}", now - mTold, now);
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/node/Invariants.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/node/Invariants.java
@@ -28,7 +28,7 @@
      */
     public static void check(boolean holds, String name, Object detail) {
         if (!holds) {
-            broken(name, detail);
+            recordViolation(name, detail);
         }
     }
 
@@ -38,7 +38,7 @@
      * @param name the invariant
      * @param detail the offending values
      */
-    public static void broken(String name, Object detail) {
+    public static void recordViolation(String name, Object detail) {
         BROKEN.incrementAndGet();
         LOGGER.fatal("invariant broken: {} {}", name, detail);
         if ("fatal".equals(System.getProperty("troutpier.invariants"))) {
@@ -51,7 +51,7 @@
      *
      * @return the count, 0 in a sound router
      */
-    public static long count() {
+    public static long violationCount() {
         return BROKEN.get();
     }
 }
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/node/Node.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/node/Node.java
@@ -26,7 +26,7 @@
         Incarnation incarnation,
         HallId hall,
         EventLoopGroup loops,
-        Control control,
+        ControlExecutor control,
         HttpCalls calls,
         MetricRegistry metrics,
         EventRing events,
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/node/Readiness.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/node/Readiness.java
@@ -46,12 +46,12 @@
     }
 
     /** Takes note that a configuration is there. */
-    public void configured() {
+    public void setConfigured() {
         mConfigured = true;
     }
 
     /** Takes note that a stop was ordered. */
-    public void stopping() {
+    public void setStopping() {
         mStopping = true;
         mEvents.record("stopping", "", "");
     }
@@ -78,7 +78,7 @@
     }
 
     /** Lifts the fence. */
-    public void lift() {
+    public void liftFence() {
         if (mFence != null) {
             mEvents.record("fence-lifted", "", mFence);
         }
@@ -90,7 +90,7 @@
      *
      * @return whether it waits for revalidation
      */
-    public boolean fenced() {
+    public boolean isFenced() {
         return mFence != null;
     }
 }
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/operator/OperatorHandler.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/operator/OperatorHandler.java
@@ -166,7 +166,7 @@
             metrics.put(entry.getKey() + ".p99", snapshot.get99thPercentile());
         }
         mNode.metrics().getGauges().forEach((name, gauge) -> metrics.put(name, gauge.getValue()));
-        metrics.put("invariant", Invariants.count());
+        metrics.put("invariant", Invariants.violationCount());
         metrics.put("configuration.version", mConfigurations.current().version());
         return metrics;
     }
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/peer/PeerController.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/peer/PeerController.java
@@ -131,11 +131,11 @@
         mProposer = proposer;
         mPermits = permits;
         mLeavingListener = leaving;
-        mNode.control().every(this::tick, TICK_INTERVAL_MILLIS);
-        mNode.control().every(this::sendHeartbeat, HEARTBEAT_INTERVAL_MILLIS);
-        mNode.control().every(this::requestInstanceList, LIST_INTERVAL_MILLIS);
-        mNode.control().every(this::pull, PULL_INTERVAL_MILLIS);
-        mNode.control().every(this::revalidate, REVALIDATE_INTERVAL_MILLIS);
+        mNode.control().scheduleWithFixedDelay(this::tick, TICK_INTERVAL_MILLIS);
+        mNode.control().scheduleWithFixedDelay(this::sendHeartbeat, HEARTBEAT_INTERVAL_MILLIS);
+        mNode.control().scheduleWithFixedDelay(this::requestInstanceList, LIST_INTERVAL_MILLIS);
+        mNode.control().scheduleWithFixedDelay(this::pull, PULL_INTERVAL_MILLIS);
+        mNode.control().scheduleWithFixedDelay(this::revalidate, REVALIDATE_INTERVAL_MILLIS);
         mNode.control().execute(this::requestInstanceList);
     }
 
@@ -209,7 +209,7 @@
                         mNode.events().clock().next(),
                         mConfigurations.current().version(),
                         mReadiness.isStopping(),
-                        mReadiness.fenced()));
+                        mReadiness.isFenced()));
     }
 
     private void requestInstanceList() {
@@ -255,7 +255,7 @@
     }
 
     private void revalidate() {
-        if (mInitialPullSent && (mReadiness.fenced() || mReadiness.obstacle().isPresent())) {
+        if (mInitialPullSent && (mReadiness.isFenced() || mReadiness.obstacle().isPresent())) {
             revalidateNow();
         }
     }
@@ -331,7 +331,7 @@
     /** Returns why a change cannot be put in force here, or an empty text if it can. */
     private String obstacle(PeerMessage.Prepare prepare) {
         Declarations current = mConfigurations.current();
-        if (mReadiness.fenced()) {
+        if (mReadiness.isFenced()) {
             return "fenced";
         }
         if (prepare.next().version() <= current.version()
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/role/RoleController.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/role/RoleController.java
@@ -173,7 +173,7 @@
 
     /** Starts the periodic control. */
     public void start() {
-        mNode.control().every(this::tick, TICK_INTERVAL_MILLIS);
+        mNode.control().scheduleWithFixedDelay(this::tick, TICK_INTERVAL_MILLIS);
     }
 
     /** Returns whether this router decides the roles of engines. */
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/rows/TableFollower.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/rows/TableFollower.java
@@ -10,7 +10,7 @@
 import java.util.function.LongSupplier;
 import org.apache.logging.log4j.LogManager;
 import org.apache.logging.log4j.Logger;
-import org.troutpier.daemon.node.Control;
+import org.troutpier.daemon.node.ControlExecutor;
 import org.troutpier.daemon.rows.RowStore.Row;
 import org.troutpier.daemon.rows.RowStore.RowPage;
 
@@ -39,7 +39,7 @@
 
     private static final Logger LOGGER = LogManager.getLogger(TableFollower.class);
 
-    private final Control mControl;
+    private final ControlExecutor mControl;
 
     private final RowStore mStore;
 
@@ -185,7 +185,7 @@
      * @param millis the monotonic clock, milliseconds
      */
     public TableFollower(
-            Control control,
+            ControlExecutor control,
             RowStore store,
             String table,
             PollTiming timing,
@@ -283,7 +283,7 @@
     /** Schedules the next poll, replacing any scheduled earlier. */
     private void schedule(long millis) {
         int number = ++mScheduled;
-        mControl.later(
+        mControl.schedule(
                 () -> {
                     if (number == mScheduled) {
                         poll();
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/GracefulShutdown.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/GracefulShutdown.java
@@ -50,7 +50,7 @@
     /** Shuts the router down; returns when the process may end. */
     public void run() {
         long start = System.nanoTime();
-        mReadiness.stopping();
+        mReadiness.setStopping();
         mServer.drain();
         LOGGER.info("shutdown started busy={} graceMillis={}", mServer.busy(), mGraceMillis);
         waitUntil(() -> elapsedMillis(start) >= READINESS_DELAY_MILLIS, start);
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/upstream/CancellationRetrier.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/upstream/CancellationRetrier.java
@@ -141,7 +141,7 @@
             mNode.count("cancel.engine-gone");
             return;
         }
-        mNode.control().later(() -> attempt(engine, key), pending.mWait);
+        mNode.control().schedule(() -> attempt(engine, key), pending.mWait);
         pending.mWait = Math.min(LONGEST_WAIT, pending.mWait * 2);
     }
 }
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/upstream/EngineLoadPoller.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/upstream/EngineLoadPoller.java
@@ -38,7 +38,7 @@
         mNode = node;
         mUpstreamRegistry = registry;
         mEngines = engines;
-        node.control().every(this::ask, ASK_MILLIS);
+        node.control().scheduleWithFixedDelay(this::ask, ASK_MILLIS);
     }
 
     /** Asks every engine once. */
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/upstream/OrphanSweeper.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/upstream/OrphanSweeper.java
@@ -63,7 +63,7 @@
         mMembership = membership;
         mCancels = cancels;
         mRegistry = registry;
-        node.control().every(this::sweep, SWEEP_MILLIS);
+        node.control().scheduleWithFixedDelay(this::sweep, SWEEP_MILLIS);
     }
 
     /** Sweeps the engines that this router looks after. */
--- a/troutpier-daemon/src/test/java/org/troutpier/daemon/ChangeUnderFailureTest.java
+++ b/troutpier-daemon/src/test/java/org/troutpier/daemon/ChangeUnderFailureTest.java
@@ -27,7 +27,7 @@
 /** What must hold for changes of the declarations, under the failures they are meant for. */
 public class ChangeUnderFailureTest {
 
-    private Rig mRig;
+    private RouterTestRig mRig;
 
     @AfterMethod(alwaysRun = true)
     public void close() {
@@ -37,8 +37,13 @@
         }
     }
 
-    private Rig rig(int routers) {
-        mRig = new Rig().withEngines(1, 1).withServices(1).withRouters(routers).declared();
+    private RouterTestRig rig(int routers) {
+        mRig =
+                new RouterTestRig()
+                        .withEngines(1, 1)
+                        .withServices(1)
+                        .withRouters(routers)
+                        .declared();
         return mRig;
     }
 
@@ -46,19 +51,21 @@
         return "set class repair-note deadlineMillis = " + millis;
     }
 
-    private static CompletableFuture<HttpReply> propose(Rig rig, int router, int millis) {
+    private static CompletableFuture<HttpReply> propose(RouterTestRig rig, int router, int millis) {
         return rig.mCalls.call(
                 HttpCall.of("POST", rig.operatorUrl(router, "/v1/command"))
-                        .withHeader("Authorization", "Bearer " + Rig.OPERATOR)
+                        .withHeader("Authorization", "Bearer " + RouterTestRig.OPERATOR)
                         .withJson(Map.of("text", set(millis)))
                         .withTimeout(20_000));
     }
 
-    private static int inForce(Rig rig, int router) {
+    private static int inForce(RouterTestRig rig, int router) {
         JsonNode declarations =
                 rig.call(
                                 HttpCall.of("GET", rig.operatorUrl(router, "/v1/declarations"))
-                                        .withHeader("Authorization", "Bearer " + Rig.OPERATOR))
+                                        .withHeader(
+                                                "Authorization",
+                                                "Bearer " + RouterTestRig.OPERATOR))
                         .as(JsonNode.class);
         for (JsonNode declared : declarations.path("classes")) {
             if (declared.path("name").asText().equals("repair-note")) {
@@ -74,7 +81,7 @@
 
     @Test
     public void anAcceptedChangeIsInForceEverywhereWhenItIsTold() {
-        Rig rig = rig(4);
+        RouterTestRig rig = rig(4);
         for (int change = 0; change < 20; change++) {
             int value = 30_000 + change;
             assertEquals(code(propose(rig, change % 4, value).join()), "accepted");
@@ -86,7 +93,7 @@
 
     @Test
     public void ofTwoChangesAtOneMomentOneIsRefusedOrBothAreInOrder() {
-        Rig rig = rig(2);
+        RouterTestRig rig = rig(2);
         for (int round = 0; round < 10; round++) {
             CompletableFuture<HttpReply> first = propose(rig, 0, 40_000 + round);
             CompletableFuture<HttpReply> second = propose(rig, 1, 50_000 + round);
@@ -107,9 +114,9 @@
 
     @Test
     public void aChangeIsRefusedWhileTheTableIsAway() {
-        Rig rig = rig(2);
+        RouterTestRig rig = rig(2);
         int before = inForce(rig, 0);
-        Rig.fault(rig.mTable.server(), Fault.OUTAGE, 60_000, 0);
+        RouterTestRig.fault(rig.mTable.server(), Fault.OUTAGE, 60_000, 0);
         assertEquals(code(propose(rig, 0, 33_333).join()), "TP-124");
         assertEquals(inForce(rig, 0), before);
         assertEquals(inForce(rig, 1), before);
@@ -117,8 +124,8 @@
 
     @Test
     public void aCommitWhoseAcknowledgementIsLostIsAccepted() {
-        Rig rig = rig(2);
-        Rig.fault(rig.mTable.server(), Fault.LOST_ACK, 60_000, 0);
+        RouterTestRig rig = rig(2);
+        RouterTestRig.fault(rig.mTable.server(), Fault.LOST_ACK, 60_000, 0);
         HttpReply reply = propose(rig, 0, 34_444).join();
         assertEquals(code(reply), "accepted", reply.text());
         assertEquals(inForce(rig, 1), 34_444);
@@ -126,14 +133,15 @@
 
     @Test
     public void aChangeCutByAnOutageIsNeverInForceInPart() throws Exception {
-        Rig rig = rig(3);
+        RouterTestRig rig = rig(3);
         for (int round = 0; round < 6; round++) {
             int value = 60_000 + round;
             CompletableFuture<HttpReply> told = propose(rig, round % 3, value);
-            Rig.fault(rig.mTable.server(), round % 2 == 0 ? Fault.OUTAGE : Fault.HANG, 700, 0);
+            RouterTestRig.fault(
+                    rig.mTable.server(), round % 2 == 0 ? Fault.OUTAGE : Fault.HANG, 700, 0);
             HttpReply reply = told.join();
             boolean refused = "not-run".equals(reply.headers().get("Troutpier-Family"));
-            Rig.await(
+            RouterTestRig.await(
                     () -> inForce(rig, 0) == inForce(rig, 1) && inForce(rig, 1) == inForce(rig, 2),
                     "all routers agree");
             if (reply.ok()) {
@@ -146,22 +154,22 @@
 
     @Test
     public void aMemberThatDoesNotAnswerIsNamedAndLeftOutOnceItIsGone() {
-        Rig rig = rig(3);
-        Rig.fault(rig.mInstances.server(), Fault.OUTAGE, 60_000, 0);
+        RouterTestRig rig = rig(3);
+        RouterTestRig.fault(rig.mInstances.server(), Fault.OUTAGE, 60_000, 0);
         rig.mRouters.get(2).close();
         HttpReply refused = propose(rig, 0, 35_555).join();
         assertEquals(code(refused), "TP-402", refused.text());
         assertTrue(refused.text().contains("router-3"), refused.text());
         assertEquals(inForce(rig, 0), 20_000);
         assertEquals(inForce(rig, 1), 20_000);
-        Rig.fault(rig.mInstances.server(), Fault.OUTAGE, 0, 0);
-        Rig.await(() -> propose(rig, 0, 36_666).join().ok(), "the member is left out");
+        RouterTestRig.fault(rig.mInstances.server(), Fault.OUTAGE, 0, 0);
+        RouterTestRig.await(() -> propose(rig, 0, 36_666).join().ok(), "the member is left out");
         assertEquals(inForce(rig, 1), 36_666);
     }
 
     @Test
     public void aRouterThatJoinsDuringChangesHasTheLatest() {
-        Rig rig = rig(2);
+        RouterTestRig rig = rig(2);
         rig.addRouter();
         int value = 70_000;
         int accepted = 0;
@@ -179,52 +187,59 @@
 
     @Test
     public void aWrongChangeIsRefusedAndNamesTheFault() {
-        Rig rig = rig(1);
-        assertEquals(code(rig.command(0, Rig.OPERATOR, "set class nothing x = 1")), "TP-104");
-        assertEquals(code(rig.command(0, Rig.OPERATOR, "set class repair-note x = 1")), "TP-100");
-        HttpReply range = rig.command(0, Rig.OPERATOR, "set class repair-note deadlineMillis = 0");
+        RouterTestRig rig = rig(1);
+        assertEquals(
+                code(rig.command(0, RouterTestRig.OPERATOR, "set class nothing x = 1")), "TP-104");
+        assertEquals(
+                code(rig.command(0, RouterTestRig.OPERATOR, "set class repair-note x = 1")),
+                "TP-100");
+        HttpReply range =
+                rig.command(0, RouterTestRig.OPERATOR, "set class repair-note deadlineMillis = 0");
         assertEquals(code(range), "TP-400", range.text());
-        HttpReply syntax = rig.command(0, Rig.OPERATOR, "show requests were class = x");
+        HttpReply syntax = rig.command(0, RouterTestRig.OPERATOR, "show requests were class = x");
         assertTrue(syntax.text().contains("column 15"), syntax.text());
-        HttpReply others = rig.command(0, Rig.TRUST_OPERATOR, "drain decode-1");
+        HttpReply others = rig.command(0, RouterTestRig.TRUST_OPERATOR, "drain decode-1");
         assertEquals(code(others), "TP-103", others.text());
-        assertEquals(code(rig.command(0, Rig.CALLER, "show routers")), "TP-102");
+        assertEquals(code(rig.command(0, RouterTestRig.CALLER, "show routers")), "TP-102");
     }
 
     @Test
     public void anOperatorSeesItsOwnPartnersThingsOnly() {
-        Rig rig = rig(1);
-        rig.complete(0, Rig.TRUST_CALLER, null, "minutes", 2000);
-        Rig.await(
+        RouterTestRig rig = rig(1);
+        rig.complete(0, RouterTestRig.TRUST_CALLER, null, "minutes", 2000);
+        RouterTestRig.await(
                 () ->
-                        rig.command(0, Rig.TRUST_OPERATOR, "show requests where state = decode")
+                        rig.command(
+                                        0,
+                                        RouterTestRig.TRUST_OPERATOR,
+                                        "show requests where state = decode")
                                 .text()
                                 .contains("summary"),
                 "the trust sees its request");
-        HttpReply seen = rig.command(0, Rig.OPERATOR, "show requests");
+        HttpReply seen = rig.command(0, RouterTestRig.OPERATOR, "show requests");
         assertEquals(seen.as(JsonNode.class).path("rows").size(), 0, seen.text());
-        String upstreams = rig.command(0, Rig.TRUST_OPERATOR, "show upstreams").text();
+        String upstreams = rig.command(0, RouterTestRig.TRUST_OPERATOR, "show upstreams").text();
         assertFalse(upstreams.contains("decode-1"), upstreams);
         HttpReply events =
                 rig.call(
                         HttpCall.of("GET", rig.operatorUrl(0, "/events"))
-                                .withHeader("Authorization", "Bearer " + Rig.OPERATOR));
+                                .withHeader("Authorization", "Bearer " + RouterTestRig.OPERATOR));
         assertFalse(events.text().contains("trust/summary"), events.text());
     }
 
     @Test
     public void aDrainedUpstreamGetsNoNewWork() {
-        Rig rig = rig(2);
-        assertTrue(rig.command(0, Rig.OPERATOR, "drain service-2").ok());
-        Rig.Outcome outcome = rig.service(1, "machine-status", null, "/m", "m").get();
+        RouterTestRig rig = rig(2);
+        assertTrue(rig.command(0, RouterTestRig.OPERATOR, "drain service-2").ok());
+        RouterTestRig.Outcome outcome = rig.service(1, "machine-status", null, "/m", "m").get();
         assertEquals(outcome.mCode, "TP-122", outcome.toString());
-        assertTrue(rig.command(1, Rig.OPERATOR, "undrain service-2").ok());
+        assertTrue(rig.command(1, RouterTestRig.OPERATOR, "undrain service-2").ok());
         assertEquals(rig.service(0, "machine-status", null, "/m", "m").get().mStatus, 200);
     }
 
     @Test
     public void aStrangersFramesAreRefusedAndCounted() throws IOException {
-        Rig rig = rig(1);
+        RouterTestRig rig = rig(1);
         try (Socket socket = new Socket("127.0.0.1", rig.mPeerPorts.get(0))) {
             send(socket, "not a message".getBytes(StandardCharsets.UTF_8));
             assertClosed(socket);
@@ -234,7 +249,7 @@
 
     @Test
     public void aStrangerWithoutTheSecretIsRefusedAndNeverAMember() throws IOException {
-        Rig rig = rig(1);
+        RouterTestRig rig = rig(1);
         ObjectMapper mapper = new ObjectMapper(new MessagePackFactory());
         try (Socket socket = new Socket("127.0.0.1", rig.mPeerPorts.get(0))) {
             PeerMessage hello =
@@ -246,7 +261,8 @@
             assertClosed(socket);
         }
         assertEquals(rig.metrics(0).path("peer.refused").asInt(), 1);
-        assertFalse(rig.command(0, Rig.OPERATOR, "show routers").text().contains("router-9"));
+        assertFalse(
+                rig.command(0, RouterTestRig.OPERATOR, "show routers").text().contains("router-9"));
     }
 
     private static void send(Socket socket, byte[] frame) throws IOException {
--- a/troutpier-daemon/src/test/java/org/troutpier/daemon/Rig.java
+++ b/troutpier-daemon/src/test/java/org/troutpier/daemon/RouterTestRig.java
@@ -54,7 +54,7 @@
 import org.troutpier.standins.service.PlainService;
 
 /** Routers and stand-ins in one process, for tests of what they do together. */
-final class Rig implements AutoCloseable {
+final class RouterTestRig implements AutoCloseable {
 
     static final String ADMINISTRATOR = "administrator";
     static final String CALLER = "association-caller";
@@ -89,16 +89,16 @@
         }
     }
 
-    Rig withPermits(PermitRule permits) {
+    RouterTestRig withPermits(PermitRule permits) {
         mPermits = permits;
         return this;
     }
 
-    Rig withEngines(int prefills, int decodes) {
+    RouterTestRig withEngines(int prefills, int decodes) {
         return withEngines(prefills, decodes, new DecodeModel(20, 8000, 100, 100, false));
     }
 
-    Rig withEngines(int prefills, int decodes, DecodeModel model) {
+    RouterTestRig withEngines(int prefills, int decodes, DecodeModel model) {
         mSlots = model.slots();
         for (int number = 1; number <= prefills; number++) {
             mPrefills.add(
@@ -110,14 +110,14 @@
         return this;
     }
 
-    Rig withServices(int services) {
+    RouterTestRig withServices(int services) {
         for (int number = 1; number <= services; number++) {
             mServices.add(new PlainService("status-" + number, local(0), 5, 100, mLoop));
         }
         return this;
     }
 
-    Rig withRouters(int routers) {
+    RouterTestRig withRouters(int routers) {
         for (int number = 0; number < routers; number++) {
             addRouter();
         }
@@ -169,11 +169,11 @@
         return call(HttpCall.of("GET", router.operatorAddress().url("/readyz"))).ok();
     }
 
-    Rig declared() {
+    RouterTestRig declared() {
         return declared(part(classes()));
     }
 
-    Rig declared(DeclarationPart part) {
+    RouterTestRig declared(DeclarationPart part) {
         await(
                 () -> {
                     HttpReply reply = declare(0, ADMINISTRATOR, part);
--- a/troutpier-daemon/src/test/java/org/troutpier/daemon/SessionGoldenTest.java
+++ b/troutpier-daemon/src/test/java/org/troutpier/daemon/SessionGoldenTest.java
@@ -19,11 +19,11 @@
 @UseReporter(QuietReporter.class)
 public class SessionGoldenTest {
 
-    private Rig mRig;
+    private RouterTestRig mRig;
 
     @BeforeClass
     public void start() {
-        mRig = new Rig().withEngines(1, 1).withServices(1).withRouters(1).declared();
+        mRig = new RouterTestRig().withEngines(1, 1).withServices(1).withRouters(1).declared();
     }
 
     @AfterClass(alwaysRun = true)
@@ -77,19 +77,23 @@
 
     @Test
     public void streamedAnswer() throws IOException {
-        verify(completion(Rig.CALLER, "", "{\"prompt\":\"log\",\"max_tokens\":3,\"stream\":true}"));
+        verify(
+                completion(
+                        RouterTestRig.CALLER,
+                        "",
+                        "{\"prompt\":\"log\",\"max_tokens\":3,\"stream\":true}"));
     }
 
     @Test
     public void plainAnswer() throws IOException {
-        verify(completion(Rig.CALLER, "", "{\"prompt\":\"log\",\"max_tokens\":3}"));
+        verify(completion(RouterTestRig.CALLER, "", "{\"prompt\":\"log\",\"max_tokens\":3}"));
     }
 
     @Test
     public void keyedAnswerGivenAgain() throws IOException {
         String request =
                 completion(
-                        Rig.TRUST_CALLER,
+                        RouterTestRig.TRUST_CALLER,
                         "Idempotency-Key: golden\n",
                         "{\"prompt\":\"minutes\",\"max_tokens\":3}");
         String first = session(request);
@@ -102,7 +106,7 @@
                 call(
                         "GET",
                         "status/machines/14?detail=full",
-                        Rig.CALLER,
+                        RouterTestRig.CALLER,
                         "Troutpier-Class: machine-status\n"));
     }
 
@@ -112,18 +116,20 @@
                 call(
                         "GET",
                         "status/transcripts/7?bytes=300",
-                        Rig.CALLER,
+                        RouterTestRig.CALLER,
                         "Troutpier-Class: machine-status\n"));
     }
 
     @Test
     public void refusedMalformedBody() throws IOException {
-        verify(completion(Rig.CALLER, "", "{\"prompt\":"));
+        verify(completion(RouterTestRig.CALLER, "", "{\"prompt\":"));
     }
 
     @Test
     public void refusedWrongType() throws IOException {
-        verify(completion(Rig.CALLER, "", "{\"prompt\":\"log\",\"max_tokens\":\"many\"}"));
+        verify(
+                completion(
+                        RouterTestRig.CALLER, "", "{\"prompt\":\"log\",\"max_tokens\":\"many\"}"));
     }
 
     @Test
@@ -133,7 +139,7 @@
 
     @Test
     public void refusedOversizedBody() throws IOException {
-        verify(completion(Rig.CALLER, "", "x".repeat(100_001)).substring(0, 300));
+        verify(completion(RouterTestRig.CALLER, "", "x".repeat(100_001)).substring(0, 300));
     }
 
     @Test
@@ -142,7 +148,7 @@
                 new StringBuilder(
                         "POST /v1/completions HTTP/1.1\nHost: router\nConnection: close\n"
                                 + "Authorization: Bearer "
-                                + Rig.CALLER
+                                + RouterTestRig.CALLER
                                 + "\nTransfer-Encoding: chunked\n\n");
         for (int chunk = 0; chunk < 30; chunk++) {
             request.append("2000\n").append("x".repeat(0x2000)).append("\n");
@@ -152,7 +158,11 @@
 
     @Test
     public void refusedUnknownClass() throws IOException {
-        verify(completion(Rig.CALLER, "Troutpier-Class: no-such\n", "{\"prompt\":\"log\"}"));
+        verify(
+                completion(
+                        RouterTestRig.CALLER,
+                        "Troutpier-Class: no-such\n",
+                        "{\"prompt\":\"log\"}"));
     }
 
     @Test
@@ -162,22 +172,25 @@
 
     @Test
     public void refusedOperatorsToken() throws IOException {
-        verify(completion(Rig.OPERATOR, "", "{\"prompt\":\"log\"}"));
+        verify(completion(RouterTestRig.OPERATOR, "", "{\"prompt\":\"log\"}"));
     }
 
     @Test
     public void refusedWrongPartner() throws IOException {
-        verify(call("GET", "status/machines/14", Rig.TRUST_CALLER, ""));
+        verify(call("GET", "status/machines/14", RouterTestRig.TRUST_CALLER, ""));
     }
 
     @Test
     public void refusedUnknownService() throws IOException {
-        verify(call("GET", "weather/today", Rig.CALLER, ""));
+        verify(call("GET", "weather/today", RouterTestRig.CALLER, ""));
     }
 
     @Test
     public void refusedUnknownPath() throws IOException {
-        verify("GET /etc/passwd HTTP/1.1\nHost: r\nAuthorization: Bearer " + Rig.CALLER + "\n\n");
+        verify(
+                "GET /etc/passwd HTTP/1.1\nHost: r\nAuthorization: Bearer "
+                        + RouterTestRig.CALLER
+                        + "\n\n");
     }
 
     @Test
@@ -187,21 +200,22 @@
 
     @Test
     public void refusedSlowBody() throws IOException {
-        String whole = completion(Rig.CALLER, "", "{\"prompt\":\"log\",\"max_tokens\":3}");
+        String whole =
+                completion(RouterTestRig.CALLER, "", "{\"prompt\":\"log\",\"max_tokens\":3}");
         verify(whole.substring(0, whole.length() - 5));
     }
 
     @Test
     public void unansweredCallIsOutcomeUnknown() throws IOException {
-        Rig.fault(mRig.mServices.get(0).server(), Fault.HANG, 4000, 0);
+        RouterTestRig.fault(mRig.mServices.get(0).server(), Fault.HANG, 4000, 0);
         String answer =
                 session(
                         call(
                                 "POST",
                                 "status/orders",
-                                Rig.CALLER,
+                                RouterTestRig.CALLER,
                                 "Troutpier-Class: parts-status\n"));
-        Rig.fault(mRig.mServices.get(0).server(), Fault.HANG, 0, 0);
+        RouterTestRig.fault(mRig.mServices.get(0).server(), Fault.HANG, 0, 0);
         verify("(a call that the service does not answer)", answer);
     }
 
@@ -209,10 +223,10 @@
     public void refusedTooManyConnections() throws IOException {
         Address address = mRig.mRouters.get(0).callerAddress();
         List<Socket> open = new ArrayList<>();
-        for (int socket = 0; socket < Rig.LIMITS.connections(); socket++) {
+        for (int socket = 0; socket < RouterTestRig.LIMITS.connections(); socket++) {
             open.add(new Socket(address.host(), address.port()));
         }
-        verify(completion(Rig.CALLER, "", "{\"prompt\":\"log\"}"));
+        verify(completion(RouterTestRig.CALLER, "", "{\"prompt\":\"log\"}"));
         for (Socket socket : open) {
             socket.close();
         }
@@ -220,7 +234,7 @@
 
     @Test(priority = 2)
     public void nothingRefusedReachedAnUpstream() {
-        Rig.await(() -> mRig.heldByAll() == 0, "nothing is held");
+        RouterTestRig.await(() -> mRig.heldByAll() == 0, "nothing is held");
         long runs = mRig.mDecodes.get(0).server().ran().all().stream().count();
         Approvals.verify(
                 "decode steps for streamed, plain and keyed sessions: " + runs,
--- a/troutpier-daemon/src/test/java/org/troutpier/daemon/admission/ManualControl.java
+++ b/troutpier-daemon/src/test/java/org/troutpier/daemon/admission/ManualControl.java
@@ -4,10 +4,10 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Queue;
-import org.troutpier.daemon.node.Control;
+import org.troutpier.daemon.node.ControlExecutor;
 
 /** A control thread that a test drives: tasks run when they are told to. */
-final class ManualControl implements Control {
+final class ManualControl implements ControlExecutor {
 
     private final Queue<Runnable> mTasks = new ArrayDeque<>();
     private final List<Runnable> mRepeated = new ArrayList<>();
@@ -18,12 +18,12 @@
     }
 
     @Override
-    public void later(Runnable task, long millis) {
+    public void schedule(Runnable task, long millis) {
         mTasks.add(task);
     }
 
     @Override
-    public void every(Runnable task, long millis) {
+    public void scheduleWithFixedDelay(Runnable task, long millis) {
         mRepeated.add(task);
     }
 
--- a/troutpier-daemon/src/test/java/org/troutpier/daemon/cluster/LoadViewTest.java
+++ b/troutpier-daemon/src/test/java/org/troutpier/daemon/cluster/LoadViewTest.java
@@ -7,12 +7,12 @@
 import java.util.List;
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
-import org.troutpier.daemon.node.ManualTime;
+import org.troutpier.daemon.node.ManualClock;
 
 /** When a decision is made by what the others have under way now. */
 public final class LoadViewTest {
 
-    private ManualTime mTime;
+    private ManualClock mTime;
     private List<Runnable> mQuestions;
     private int mDecisions;
     private LoadView mView;
@@ -20,7 +20,7 @@
 
     @BeforeMethod
     void start() {
-        mTime = new ManualTime();
+        mTime = new ManualClock();
         mQuestions = new ArrayList<>();
         mDecisions = 0;
         mMetrics = new MetricRegistry();
@@ -36,11 +36,11 @@
     @Test
     public void decisionsWaitForOneAnswer() {
         decide(3);
-        mTime.pass(1);
+        mTime.advance(1);
         assertEquals(mDecisions, 0);
         assertEquals(mQuestions.size(), 1);
         mQuestions.get(0).run();
-        mTime.pass(1);
+        mTime.advance(1);
         assertEquals(mDecisions, 3);
     }
 
@@ -52,7 +52,7 @@
                 });
         decide(1);
         mQuestions.get(0).run();
-        mTime.pass(1);
+        mTime.advance(1);
         assertEquals(mDecisions, 1);
     }
 
@@ -60,10 +60,10 @@
     public void aFreshViewIsNotAskedForAgain() {
         decide(1);
         mQuestions.get(0).run();
-        mTime.pass(LoadView.Refreshing.FRESH_MILLIS);
+        mTime.advance(LoadView.Refreshing.FRESH_MILLIS);
         decide(1);
         assertEquals(mDecisions, 2);
-        mTime.pass(1);
+        mTime.advance(1);
         decide(1);
         assertEquals(mQuestions.size(), 2);
     }
@@ -71,7 +71,7 @@
     @Test
     public void withoutAnAnswerADecisionIsMadeInTime() {
         decide(1);
-        mTime.pass(LoadView.Refreshing.MOST_MILLIS);
+        mTime.advance(LoadView.Refreshing.MOST_MILLIS);
         assertEquals(mDecisions, 1);
         assertEquals(mMetrics.counter("view.unanswered").getCount(), 1);
     }
@@ -79,13 +79,13 @@
     @Test
     public void anAnswerThatComesTooLateEndsNoLaterQuestion() {
         decide(1);
-        mTime.pass(LoadView.Refreshing.MOST_MILLIS + LoadView.Refreshing.FRESH_MILLIS + 1);
+        mTime.advance(LoadView.Refreshing.MOST_MILLIS + LoadView.Refreshing.FRESH_MILLIS + 1);
         decide(1);
         mQuestions.get(0).run();
-        mTime.pass(1);
+        mTime.advance(1);
         assertEquals(mDecisions, 1);
         mQuestions.get(1).run();
-        mTime.pass(1);
+        mTime.advance(1);
         assertEquals(mDecisions, 2);
     }
 }
--- a/troutpier-daemon/src/test/java/org/troutpier/daemon/cluster/MemberRegistryTest.java
+++ b/troutpier-daemon/src/test/java/org/troutpier/daemon/cluster/MemberRegistryTest.java
@@ -13,7 +13,7 @@
 import org.troutpier.common.http.Json;
 import org.troutpier.common.id.HallId;
 import org.troutpier.common.id.Incarnation;
-import org.troutpier.daemon.node.ManualTime;
+import org.troutpier.daemon.node.ManualClock;
 import org.troutpier.daemon.node.Node;
 import org.troutpier.daemon.node.TestNode;
 import org.troutpier.daemon.peer.Membership.Member;
@@ -29,7 +29,7 @@
 
     private static final String TABLE = "troutpier_members";
 
-    private ManualTime mTime;
+    private ManualClock mTime;
     private VersionedRows mRows;
     private List<Integer> mCounts;
     private LoneRouter mRouter;
@@ -69,7 +69,7 @@
 
     @BeforeMethod
     void start() {
-        mTime = new ManualTime();
+        mTime = new ManualClock();
         mRows = new VersionedRows();
         mCounts = new ArrayList<>();
         join();
@@ -90,7 +90,7 @@
                         mCounts::add,
                         () -> mFirstStarts++)
                 .start();
-        mTime.pass(1000);
+        mTime.advance(1000);
     }
 
     @Test
@@ -104,7 +104,7 @@
     public void aRowThatACopyLacksIsWrittenAgain() {
         VersionedRows.Copy empty = new VersionedRows().copy();
         mRows.restore(empty);
-        mTime.pass(8000);
+        mTime.advance(8000);
         assertTrue(mRows.row(new Key(TABLE, "", "self")).isPresent());
         assertEquals(mWrites, 2);
     }
@@ -113,9 +113,9 @@
     public void aRowThatACopyHasIsNotWrittenAgain() {
         VersionedRows.Copy copy = mRows.copy();
         put("other", member("other"));
-        mTime.pass(6000);
+        mTime.advance(6000);
         mRows.restore(copy);
-        mTime.pass(8000);
+        mTime.advance(8000);
         assertEquals(mWrites, 1);
     }
 
@@ -149,7 +149,7 @@
                                     false));
             SharedPage page = new SharedPage(TABLE, before, mRows.version(), 0, rows);
             mRouter.mExchange.onMessage(reader, new PeerMessage.Page(page));
-            mTime.pass(400);
+            mTime.advance(400);
             assertTrue(mRouter.mConnected.contains(name), "connected to " + mRouter.mConnected);
         }
         assertTrue(mReads <= 1, "calls " + mReads);
@@ -186,7 +186,7 @@
     public void aRowOfAnotherWriterNamesNoRouterAndTheOthersAreFound(String key, String value) {
         put(key, value);
         put("third", member("third"));
-        mTime.pass(2000);
+        mTime.advance(2000);
         assertTrue(mRouter.mConnected.contains("third"), "connected to " + mRouter.mConnected);
         assertTrue(!mRouter.mConnected.contains("other"), "connected to " + mRouter.mConnected);
         assertEquals(mCounts.get(mCounts.size() - 1), Integer.valueOf(2));
@@ -195,11 +195,11 @@
     @Test
     public void aRouterThatIsKnownStaysSoWhenItsRowIsOverwritten() {
         put("other", member("other"));
-        mTime.pass(2000);
+        mTime.advance(2000);
         put("other", "no JSON");
-        mTime.pass(2000);
+        mTime.advance(2000);
         mRouter.mConnected.clear();
-        mTime.pass(5000);
+        mTime.advance(5000);
         assertTrue(mRouter.mConnected.contains("other"), "connected to " + mRouter.mConnected);
     }
 
@@ -208,10 +208,10 @@
         Key self = new Key(TABLE, "", "self");
         String own = mRows.row(self).orElseThrow().value();
         put("self", "no JSON");
-        mTime.pass(2000);
+        mTime.advance(2000);
         assertEquals(mRows.row(self).orElseThrow().value(), own);
         mRows.drop(self);
-        mTime.pass(2000);
+        mTime.advance(2000);
         assertEquals(mRows.row(self).orElseThrow().value(), own);
     }
 }
--- a/troutpier-daemon/src/test/java/org/troutpier/daemon/cluster/PeerExchangeTest.java
+++ b/troutpier-daemon/src/test/java/org/troutpier/daemon/cluster/PeerExchangeTest.java
@@ -24,7 +24,7 @@
 import org.troutpier.daemon.limit.LastAnnouncedRate;
 import org.troutpier.daemon.limit.RateReport;
 import org.troutpier.daemon.limit.RecentUsage;
-import org.troutpier.daemon.node.ManualTime;
+import org.troutpier.daemon.node.ManualClock;
 import org.troutpier.daemon.node.Node;
 import org.troutpier.daemon.node.TestNode;
 import org.troutpier.daemon.organisation.UsageReport;
@@ -53,7 +53,7 @@
     private static final UpstreamIncarnation ENGINE = UpstreamIncarnation.of("engine");
     private static final long SETTLED_MILLIS = 8000;
 
-    private ManualTime mTime;
+    private ManualClock mTime;
     private static final RoutingConfiguration VERSION_ONE =
             new RoutingConfiguration(
                     1, List.of(), List.of(), List.of(), ServerLimits.DEFAULT, new byte[] {1});
@@ -99,7 +99,7 @@
         int mHandedOn;
 
         final Member mSelf;
-        final ManualTime.PausableControl mControl = mTime.control();
+        final ManualClock.PausableControlExecutor mControl = mTime.control();
         final PeerLoads mLoads = new PeerLoads();
         final Set<Incarnation> mConnected = new HashSet<>();
         final List<SharedPage> mPages = new ArrayList<>();
@@ -152,7 +152,7 @@
                                     mLeaving.addAll(upstreams);
                                 }
                             });
-            mControl.every(this::report, 100);
+            mControl.scheduleWithFixedDelay(this::report, 100);
         }
 
         int mCalls = 1;
@@ -255,7 +255,7 @@
 
     @BeforeMethod
     void start() {
-        mTime = new ManualTime();
+        mTime = new ManualClock();
         mRouters = new LinkedHashMap<>();
         mCuts = new HashSet<>();
     }
@@ -298,7 +298,7 @@
     @Test
     public void fewRoutersKnowOfEachOther() {
         routers(8);
-        mTime.pass(1000);
+        mTime.advance(1000);
         assertAllKnowAll();
     }
 
@@ -309,27 +309,27 @@
     @Test
     public void aVersionThatAllReadThemselvesIsHandedOnToNobody() {
         routers(8);
-        mTime.pass(1000);
+        mTime.advance(1000);
         int apart = 0;
         for (Router router : mRouters.values()) {
-            mTime.pass(apart++ % 3 * 10L);
+            mTime.advance(apart++ % 3 * 10L);
             router.mConfiguration.adoptIfNewer(VERSION_ONE, "store");
         }
-        mTime.pass(2000);
+        mTime.advance(2000);
         assertEquals(handedOn(), 0);
     }
 
     @Test
     public void aRouterThatDoesNotReadTheStoreIsHandedTheVersionWithinASecond() {
         routers(8);
-        mTime.pass(1000);
+        mTime.advance(1000);
         Router last = mRouters.values().stream().skip(7).findFirst().orElseThrow();
         for (Router router : mRouters.values()) {
             if (router != last) {
                 router.mConfiguration.adoptIfNewer(VERSION_ONE, "store");
             }
         }
-        mTime.pass(1000);
+        mTime.advance(1000);
         assertEquals(last.mConfiguration.version(), 1);
         assertTrue(handedOn() <= 7, "handed on " + handedOn());
     }
@@ -337,16 +337,16 @@
     @Test
     public void manyRoutersKnowOfEachOtherOverRelays() {
         routers(MANY);
-        mTime.pass(2000);
+        mTime.advance(2000);
         assertAllKnowAll();
     }
 
     @Test
     public void aRoutersMessagesDoNotGrowWithAllOthers() {
         routers(MANY);
-        mTime.pass(2000);
+        mTime.advance(2000);
         mRouters.values().forEach(router -> router.mSent = 0);
-        mTime.pass(1000);
+        mTime.advance(1000);
         List<Integer> sent =
                 mRouters.values().stream().map(router -> router.mSent).sorted().toList();
         assertTrue(sent.get(MANY / 2) <= 12, "messages a second at most routers " + sent);
@@ -356,9 +356,9 @@
     @Test
     public void anUnchangedLoadIsHandedOnSeldom() {
         routers(MANY);
-        mTime.pass(2000);
+        mTime.advance(2000);
         mRouters.values().forEach(router -> router.mSent = 0);
-        mTime.pass(1000);
+        mTime.advance(1000);
         int most = mRouters.values().stream().mapToInt(router -> router.mSent).max().orElseThrow();
         assertTrue(most <= 80, "messages a second at a relay though nothing changed: " + most);
     }
@@ -370,11 +370,11 @@
     @Test
     public void aRouterThatDecidesNothingHearsFewReports() {
         routers(MANY);
-        mTime.pass(2000);
+        mTime.advance(2000);
         mRouters.values().forEach(router -> router.mHeardMessages = 0);
         for (int round = 0; round < 20; round++) {
             mRouters.values().forEach(router -> router.mCalls++);
-            mTime.pass(100);
+            mTime.advance(100);
         }
         List<Integer> heard =
                 mRouters.values().stream().map(router -> router.mHeardMessages).sorted().toList();
@@ -383,7 +383,7 @@
 
     private Router oneOfManyThatChanges() {
         routers(MANY);
-        mTime.pass(2000);
+        mTime.advance(2000);
         Router changed = List.copyOf(mRouters.values()).get(MANY - 1);
         changed.mCalls = 5;
         changed.report();
@@ -395,14 +395,14 @@
         for (Router router : routers) {
             router.mControl.execute(() -> router.mExchange.refreshLoads(() -> answers[0]++));
         }
-        mTime.pass(2 * ROUND_TRIP_MILLIS);
+        mTime.advance(2 * ROUND_TRIP_MILLIS);
         return answers[0];
     }
 
     @Test
     public void aChangedLoadIsKnownAtOnceToWhoAsks() {
         Router changed = oneOfManyThatChanges();
-        mTime.pass(60);
+        mTime.advance(60);
         assertEquals(asked(living()), MANY);
         for (Router router : living()) {
             int calls = router == changed ? MANY - 1 : MANY - 2 + changed.mCalls;
@@ -414,7 +414,7 @@
     @Test
     public void aLoadIsKnownAtOnceToRoutersOfTheSameHallThatAsk() {
         Router changed = oneOfManyThatChanges();
-        mTime.pass(ROUND_TRIP_MILLIS / 2);
+        mTime.advance(ROUND_TRIP_MILLIS / 2);
         List<Router> mates = new ArrayList<>(living());
         mates.removeIf(router -> !router.mSelf.hall().equals(changed.mSelf.hall()));
         mates.remove(changed);
@@ -429,13 +429,13 @@
     @Test
     public void aRelayThatDiesOrStandsStillIsReplaced() {
         routers(MANY);
-        mTime.pass(2000);
+        mTime.advance(2000);
         List<Router> all = List.copyOf(mRouters.values());
         all.get(0).mDead = true;
         all.get(1).mControl.pause(true);
-        mTime.pass(SETTLED_MILLIS);
+        mTime.advance(SETTLED_MILLIS);
         all.get(1).mDead = true;
-        mTime.pass(SETTLED_MILLIS);
+        mTime.advance(SETTLED_MILLIS);
         assertAllKnowAll();
     }
 
@@ -443,10 +443,10 @@
     private <T> void assertReachesAllAtOnce(
             T notice, BiConsumer<PeerExchange, T> report, Function<Router, List<T>> received) {
         routers(MANY);
-        mTime.pass(2000);
+        mTime.advance(2000);
         List<Router> all = List.copyOf(mRouters.values());
         report.accept(all.get(MANY - 1).mExchange, notice);
-        mTime.pass(20);
+        mTime.advance(20);
         for (Router router : all.subList(0, MANY - 1)) {
             assertEquals(received.apply(router), List.of(notice), "reported to " + router.mSelf);
         }
@@ -469,18 +469,18 @@
     @Test
     public void aRateThatOneRouterHeardAndWhatAllSentIsKnownToAllOnce() {
         routers(MANY);
-        mTime.pass(2000);
+        mTime.advance(2000);
         List<Router> all = List.copyOf(mRouters.values());
         RecentUsage one = new RecentUsage(1, 1, 2);
         RateReport sent = new RateReport(LastAnnouncedRate.NEVER, one, List.of(2L));
         all.forEach(router -> router.mRates = Map.of(ENGINE, sent));
         all.get(MANY - 1).mRates =
                 Map.of(ENGINE, new RateReport(new LastAnnouncedRate(3.6, 100), one, List.of(2L)));
-        mTime.pass(1000);
+        mTime.advance(1000);
         for (Router router : all) {
             router.mExchange.refreshLoads(() -> {});
         }
-        mTime.pass(20);
+        mTime.advance(20);
         for (Router router : all.subList(0, MANY - 1)) {
             RateReport rate = router.mLoads.rate(ENGINE, mTime.millis());
             assertEquals(rate.named().perSecond(), 3.6, "named at " + router.mSelf);
@@ -494,10 +494,10 @@
     @Test
     public void aRefusalIsToldToAll() {
         routers(MANY);
-        mTime.pass(2000);
+        mTime.advance(2000);
         List<Router> all = List.copyOf(mRouters.values());
         all.get(MANY - 1).mExchange.announceRefusal("key");
-        mTime.pass(500);
+        mTime.advance(500);
         for (Router router : all.subList(0, MANY - 1)) {
             assertTrue(router.mRefused.contains("key"), "told to " + router.mSelf);
         }
@@ -506,14 +506,14 @@
     @Test
     public void theReaderOfAHallSharesWithItsHallOnly() {
         routers(MANY);
-        mTime.pass(2000);
+        mTime.advance(2000);
         List<Router> all = List.copyOf(mRouters.values());
         List<Row> rows = List.of(new Row(TABLE, "", "k", new byte[0], 2, false));
         all.forEach(
                 router ->
                         new TableExchange.PageSharer(router.mExchange.tables(), TABLE)
                                 .publish(1, 2, 0, rows));
-        mTime.pass(100);
+        mTime.advance(100);
         for (int number = 0; number < MANY; number++) {
             int expected = number < HALLS ? 0 : 1;
             assertEquals(all.get(number).mPages.size(), expected, "pages at " + number);
@@ -524,12 +524,12 @@
     private VersionedRows followed() {
         VersionedRows rows = new VersionedRows();
         rows.put(new Key(TABLE, "", "leaving"), "");
-        mTime.pass(2000);
+        mTime.advance(2000);
         for (Router router : mRouters.values()) {
             router.follow(rows);
-            mTime.pass(90);
+            mTime.advance(90);
         }
-        mTime.pass(3000);
+        mTime.advance(3000);
         return rows;
     }
 
@@ -551,11 +551,11 @@
         List<Router> all = List.copyOf(mRouters.values());
         all.subList(0, 3).forEach(router -> router.mStore.mSilent = true);
         rows.drop(new Key(TABLE, "", "leaving"));
-        mTime.pass(1900);
+        mTime.advance(1900);
         assertKnown(all);
         rows.put(new Key(TABLE, "", "coming"), "");
         rows.forget();
-        mTime.pass(1900);
+        mTime.advance(1900);
         assertKnown(all, "coming");
     }
 
@@ -565,10 +565,10 @@
         VersionedRows rows = followed();
         Router unanswered = List.copyOf(mRouters.values()).get(2);
         unanswered.mStore.mSilent = true;
-        mTime.pass(5000);
+        mTime.advance(5000);
         unanswered.mStore.mSilent = false;
         rows.drop(new Key(TABLE, "", "leaving"));
-        mTime.pass(800);
+        mTime.advance(800);
         assertKnown(List.of(unanswered));
         assertTrue(mTime.millis() - unanswered.mKeys.mSince > 5800, "there was no break");
     }
@@ -582,7 +582,7 @@
             all.get(number).mStore.mSilent = true;
         }
         rows.drop(new Key(TABLE, "", "leaving"));
-        mTime.pass(4000);
+        mTime.advance(4000);
         assertKnown(all);
     }
 
@@ -592,10 +592,10 @@
         VersionedRows rows = followed();
         List<Router> all = List.copyOf(mRouters.values());
         all.forEach(router -> router.mStore.mSilent = true);
-        mTime.pass(10_000);
+        mTime.advance(10_000);
         all.forEach(router -> router.mStore.mSilent = false);
         rows.drop(new Key(TABLE, "", "leaving"));
-        mTime.pass(1200);
+        mTime.advance(1200);
         assertKnown(all);
         for (Router router : all) {
             assertTrue(mTime.millis() - router.mKeys.mSince < 1300, "a break at " + router.mSelf);
@@ -612,7 +612,7 @@
     private void disturb(long seed) {
         Random random = new Random(seed);
         routers(MANY);
-        mTime.pass(2000);
+        mTime.advance(2000);
         for (int round = 0; round < 12; round++) {
             List<Router> living = living();
             Router frozen = living.get(random.nextInt(living.size()));
@@ -624,11 +624,11 @@
                 mCuts.add(Set.of(one.mSelf.incarnation(), other.mSelf.incarnation()));
             }
             killed.mDead = true;
-            mTime.pass(random.nextInt(3000));
+            mTime.advance(random.nextInt(3000));
             frozen.mControl.pause(false);
-            mTime.pass(random.nextInt(3000));
+            mTime.advance(random.nextInt(3000));
             mCuts.clear();
-            mTime.pass(SETTLED_MILLIS);
+            mTime.advance(SETTLED_MILLIS);
             assertAllKnowAll();
         }
     }
--- a/troutpier-daemon/src/test/java/org/troutpier/daemon/cluster/QuarantineTableTest.java
+++ b/troutpier-daemon/src/test/java/org/troutpier/daemon/cluster/QuarantineTableTest.java
@@ -9,7 +9,7 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 import org.troutpier.common.id.UpstreamIncarnation;
-import org.troutpier.daemon.node.ManualTime;
+import org.troutpier.daemon.node.ManualClock;
 import org.troutpier.daemon.node.Node;
 import org.troutpier.daemon.node.TestNode;
 import org.troutpier.daemon.quarantine.CrashRecord;
@@ -28,7 +28,7 @@
     private static final RequestFingerprint GUILTY =
             RequestFingerprint.of("host", "/guilty", new byte[0]);
 
-    private ManualTime mTime;
+    private ManualClock mTime;
     private VersionedRows mRows;
 
     /** A router that no other reaches. */
@@ -37,7 +37,7 @@
         final FakeRowStore mStore = new FakeRowStore(mRows);
         final Quarantine mQuarantine =
                 new Quarantine(SETTINGS, mTime::millis, new MetricRegistry());
-        final ManualTime.PausableControl mControl = mTime.control();
+        final ManualClock.PausableControlExecutor mControl = mTime.control();
         final QuarantineTable mTable;
 
         Router(String name) {
@@ -62,13 +62,13 @@
 
     @BeforeMethod
     void start() {
-        mTime = new ManualTime();
+        mTime = new ManualClock();
         mRows = new VersionedRows();
     }
 
     private Router router(String name) {
         Router router = new Router(name);
-        mTime.pass(100);
+        mTime.advance(100);
         return router;
     }
 
@@ -81,7 +81,7 @@
         Router one = router("one");
         Router other = router("other");
         one.crash(1, 2, 3);
-        mTime.pass(SETTINGS.knownMillis());
+        mTime.advance(SETTINGS.knownMillis());
         assertTrue(other.holds());
     }
 
@@ -91,7 +91,7 @@
         Router other = router("other");
         one.crash(1, 2);
         other.crash(3, 4);
-        mTime.pass(SETTINGS.knownMillis());
+        mTime.advance(SETTINGS.knownMillis());
         assertTrue(one.holds() && other.holds());
         assertEquals(one.mQuarantine.records(), other.mQuarantine.records());
         assertEquals(one.mQuarantine.records().get(GUILTY).ended().size(), 4);
@@ -100,7 +100,7 @@
     @Test
     public void aRouterThatStartsAfterAllHaveLostTheirMemoryKnows() {
         router("one").crash(1, 2, 3);
-        mTime.pass(SETTINGS.knownMillis());
+        mTime.advance(SETTINGS.knownMillis());
         assertTrue(router("later").holds());
     }
 
@@ -109,11 +109,11 @@
         Router one = router("one");
         VersionedRows.Copy copy = mRows.copy();
         one.crash(1, 2, 3);
-        mTime.pass(2L * SETTINGS.knownMillis());
+        mTime.advance(2L * SETTINGS.knownMillis());
         assertEquals(rows(), 1);
         mRows.restore(copy);
         assertEquals(rows(), 0);
-        mTime.pass(3L * SETTINGS.knownMillis());
+        mTime.advance(3L * SETTINGS.knownMillis());
         assertTrue(one.holds());
         assertEquals(rows(), 1);
         assertTrue(router("later").holds());
@@ -125,10 +125,10 @@
         Router still = router("still");
         still.mControl.pause(true);
         one.crash(1, 2, 3);
-        mTime.pass(10_000);
+        mTime.advance(10_000);
         assertFalse(still.holds());
         still.mControl.pause(false);
-        mTime.pass(SETTINGS.knownMillis());
+        mTime.advance(SETTINGS.knownMillis());
         assertTrue(still.holds());
     }
 
@@ -137,10 +137,10 @@
         Router one = router("one");
         one.mStore.mAway = true;
         one.crash(1, 2, 3);
-        mTime.pass(10_000);
+        mTime.advance(10_000);
         assertEquals(rows(), 0);
         one.mStore.mAway = false;
-        mTime.pass(1000);
+        mTime.advance(1000);
         assertTrue(router("later").holds());
     }
 
@@ -149,13 +149,13 @@
         Router one = router("one");
         one.mStore.mCarrier = (work, answer) -> answer.run();
         one.crash(1, 2, 3);
-        mTime.pass(1000);
+        mTime.advance(1000);
         one.mStore.mCarrier =
                 (work, answer) -> {
                     work.run();
                     answer.run();
                 };
-        mTime.pass(1000);
+        mTime.advance(1000);
         assertTrue(router("later").holds());
     }
 
@@ -170,7 +170,7 @@
             CrashRecord found = router.mQuarantine.records().get(GUILTY);
             routers.forEach(each -> each.mQuarantine.merge(new CrashReport(GUILTY, found)));
         }
-        mTime.pass(SETTINGS.knownMillis());
+        mTime.advance(SETTINGS.knownMillis());
         assertTrue(router("later").holds());
     }
 
@@ -179,7 +179,7 @@
     public void aTableFromBeforeTheRowWasWrittenForgetsNothing() {
         Router one = router("one");
         one.crash(1, 2, 3);
-        mTime.pass(SETTINGS.knownMillis() / 10);
+        mTime.advance(SETTINGS.knownMillis() / 10);
         assertEquals(rows(), 1);
         one.mTable.onSnapshot(List.of());
         assertTrue(one.holds());
@@ -189,10 +189,10 @@
     public void aSingleEndIsNoRow() {
         Router one = router("one");
         one.crash(1);
-        mTime.pass(1000);
+        mTime.advance(1000);
         assertEquals(rows(), 0);
         one.crash(2);
-        mTime.pass(1000);
+        mTime.advance(1000);
         assertEquals(rows(), 1);
     }
 
@@ -201,9 +201,9 @@
         Router one = router("one");
         Router other = router("other");
         one.crash(1, 2, 3);
-        mTime.pass(SETTINGS.knownMillis());
+        mTime.advance(SETTINGS.knownMillis());
         assertEquals(other.mQuarantine.clear(GUILTY.shortName()), 1);
-        mTime.pass(SETTINGS.knownMillis());
+        mTime.advance(SETTINGS.knownMillis());
         assertFalse(one.holds());
         assertFalse(router("later").holds());
     }
@@ -212,18 +212,18 @@
     public void aRowThatAnOperatorDeletesClearsIt() {
         Router one = router("one");
         one.crash(1, 2, 3);
-        mTime.pass(SETTINGS.knownMillis());
+        mTime.advance(SETTINGS.knownMillis());
         mRows.drop(new Key(QuarantineTable.TABLE, "", GUILTY.value()));
-        mTime.pass(SETTINGS.knownMillis());
+        mTime.advance(SETTINGS.knownMillis());
         assertFalse(one.holds());
     }
 
     @Test
     public void rowsAreDeletedWhenTheirTimeIsOver() {
         router("one").crash(1, 2, 3);
-        mTime.pass(55_000);
+        mTime.advance(55_000);
         assertEquals(rows(), 1);
-        mTime.pass(12_000);
+        mTime.advance(12_000);
         assertEquals(rows(), 0);
     }
 
@@ -234,7 +234,7 @@
         Router one = router("one");
         assertTrue(one.mQuarantine.isEmpty());
         one.crash(1, 2, 3);
-        mTime.pass(SETTINGS.knownMillis());
+        mTime.advance(SETTINGS.knownMillis());
         assertTrue(router("later").holds());
     }
 }
--- a/troutpier-daemon/src/test/java/org/troutpier/daemon/cluster/ReportPaceTest.java
+++ b/troutpier-daemon/src/test/java/org/troutpier/daemon/cluster/ReportPaceTest.java
@@ -4,18 +4,18 @@
 
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
-import org.troutpier.daemon.node.ManualTime;
+import org.troutpier.daemon.node.ManualClock;
 
 /** How often a router tells its load. */
 public final class ReportPaceTest {
 
-    private ManualTime mTime;
+    private ManualClock mTime;
     private int mReports;
     private ReportPace mPace;
 
     @BeforeMethod
     void start() {
-        mTime = new ManualTime();
+        mTime = new ManualClock();
         mReports = 0;
         mPace = new ReportPace(mTime.loop(), this::report);
         mPace.reported();
@@ -31,27 +31,27 @@
     public void aStreamOfTokensIsToldFiveTimesASecond() {
         for (int token = 0; token < 200; token++) {
             mPace.grown();
-            mTime.pass(5);
+            mTime.advance(5);
         }
         assertEquals(mReports, 5, 1);
     }
 
     @Test
     public void aCallThatBeginsIsToldAtOnceWhereTheLastReportIsOld() {
-        mTime.pass(ReportPace.CHANGED_MILLIS);
+        mTime.advance(ReportPace.CHANGED_MILLIS);
         mPace.changed();
-        mTime.pass(1);
+        mTime.advance(1);
         assertEquals(mReports, 1);
     }
 
     @Test
     public void aCallThatEndsDoesNotWaitForAReportOfGrowth() {
         mPace.grown();
-        mTime.pass(10);
+        mTime.advance(10);
         mPace.changed();
-        mTime.pass(ReportPace.CHANGED_MILLIS - 10);
+        mTime.advance(ReportPace.CHANGED_MILLIS - 10);
         assertEquals(mReports, 1);
-        mTime.pass(ReportPace.GROWN_MILLIS);
+        mTime.advance(ReportPace.GROWN_MILLIS);
         assertEquals(mReports, 1);
     }
 
@@ -59,7 +59,7 @@
     public void growthDoesNotDelayAReportOfACall() {
         mPace.changed();
         mPace.grown();
-        mTime.pass(ReportPace.CHANGED_MILLIS);
+        mTime.advance(ReportPace.CHANGED_MILLIS);
         assertEquals(mReports, 1);
     }
 
@@ -67,7 +67,7 @@
     public void callsThatBeginAllTheTimeAreToldTwentyTimesASecond() {
         for (int call = 0; call < 1000; call++) {
             mPace.changed();
-            mTime.pass(1);
+            mTime.advance(1);
         }
         assertEquals(mReports, 20, 1);
     }
--- a/troutpier-daemon/src/test/java/org/troutpier/daemon/directory/UpstreamDirectoryTest.java
+++ b/troutpier-daemon/src/test/java/org/troutpier/daemon/directory/UpstreamDirectoryTest.java
@@ -14,12 +14,12 @@
 import org.troutpier.common.id.UpstreamId;
 import org.troutpier.common.id.UpstreamIncarnation;
 import org.troutpier.common.settings.Address;
-import org.troutpier.daemon.node.ManualTime;
+import org.troutpier.daemon.node.ManualClock;
 
 /** Which upstreams are usable. */
 public final class UpstreamDirectoryTest {
 
-    private ManualTime mTime;
+    private ManualClock mTime;
     private UpstreamDirectory mDirectory;
 
     private static UpstreamEntry entry(String id, boolean draining) {
@@ -39,7 +39,7 @@
 
     @BeforeMethod
     void start() {
-        mTime = new ManualTime();
+        mTime = new ManualClock();
         mDirectory = new UpstreamDirectory(mTime.control(), mTime::millis);
     }
 
@@ -106,7 +106,7 @@
 
     @Test
     public void aRemovedUpstreamThatARestoredStoreListsIsNotUsableUntilItsEntryChanges() {
-        mTime.pass(10_000);
+        mTime.advance(10_000);
         mDirectory.replaceAll(List.of(entry("a", false), entry("b", false)));
         mDirectory.update(new UpstreamId("a"), Optional.empty());
         assertEquals(usable(), 1);
@@ -126,7 +126,7 @@
     /** No router reads the store for a while, then reading resumes. */
     private void interruptFor(long millis) {
         mDirectory.onStoreUnavailable();
-        mTime.pass(millis);
+        mTime.advance(millis);
         confirmFromNowOn();
     }
 
@@ -137,10 +137,10 @@
         interruptFor(5000);
         mDirectory.replaceAll(List.of(entry("a", false)));
         assertEquals(usable(), 2);
-        mTime.pass(UpstreamDirectory.MISSING_GRACE_MILLIS - 1);
+        mTime.advance(UpstreamDirectory.MISSING_GRACE_MILLIS - 1);
         assertEquals(usable(), 2);
         assertEquals(mDirectory.missingCount(), 1);
-        mTime.pass(1);
+        mTime.advance(1);
         assertEquals(usable(), 1);
         assertEquals(mDirectory.missingCount(), 0);
     }
@@ -152,7 +152,7 @@
         mDirectory.replaceAll(List.of(entry("a", false)));
         interruptFor(5000);
         mDirectory.replaceAll(List.of());
-        mTime.pass(UpstreamDirectory.MISSING_GRACE_MILLIS);
+        mTime.advance(UpstreamDirectory.MISSING_GRACE_MILLIS);
         assertEquals(usable(), 0);
     }
 
@@ -162,7 +162,7 @@
         long since = mTime.millis();
         mDirectory.replaceAll(List.of(entry("a", false)));
         mDirectory.onStoreUnavailable();
-        mTime.pass(5000);
+        mTime.advance(5000);
         mDirectory.onConfirmed(false, since);
         mDirectory.replaceAll(List.of());
         assertEquals(usable(), 0);
@@ -174,11 +174,11 @@
         mDirectory.replaceAll(List.of(entry("a", false)));
         interruptFor(5000);
         mDirectory.replaceAll(List.of());
-        mTime.pass(300);
+        mTime.advance(300);
         mDirectory.onConfirmed(false, mTime.millis() - 1800);
-        mTime.pass(199);
+        mTime.advance(199);
         assertEquals(usable(), 1);
-        mTime.pass(1);
+        mTime.advance(1);
         assertEquals(usable(), 0);
     }
 
@@ -188,10 +188,10 @@
         mDirectory.replaceAll(List.of(entry("a", false)));
         interruptFor(5000);
         mDirectory.replaceAll(List.of());
-        mTime.pass(500);
+        mTime.advance(500);
         interruptFor(4000);
         assertEquals(usable(), 1);
-        mTime.pass(UpstreamDirectory.MISSING_GRACE_MILLIS);
+        mTime.advance(UpstreamDirectory.MISSING_GRACE_MILLIS);
         assertEquals(usable(), 0);
     }
 
@@ -202,7 +202,7 @@
         interruptFor(5000);
         mDirectory.update(new UpstreamId("a"), Optional.empty());
         mDirectory.update(new UpstreamId("a"), Optional.of(entry("a", false)));
-        mTime.pass(10_000);
+        mTime.advance(10_000);
         assertEquals(usable(), 1);
     }
 
--- a/troutpier-daemon/src/test/java/org/troutpier/daemon/node/DaemonProcessTest.java
+++ b/troutpier-daemon/src/test/java/org/troutpier/daemon/node/DaemonProcessTest.java
@@ -16,7 +16,7 @@
         Path file = Files.createTempFile("settings", ".yaml");
         try {
             Files.writeString(file, "instance: one\nunknown: 1\n");
-            assertTrue(DaemonProcess.settings(file, DaemonSettings.class).isEmpty());
+            assertTrue(DaemonProcess.readSettings(file, DaemonSettings.class).isEmpty());
         } finally {
             Files.delete(file);
         }
--- a/troutpier-daemon/src/test/java/org/troutpier/daemon/node/ManualTime.java
+++ b/troutpier-daemon/src/test/java/org/troutpier/daemon/node/ManualClock.java
@@ -6,7 +6,7 @@
 import org.troutpier.daemon.serving.TrafficLoop;
 
 /** A clock that tests move, and the tasks that wait for it. Confined to the test's thread. */
-public final class ManualTime {
+public final class ManualClock {
 
     private final PriorityQueue<Task> mTasks =
             new PriorityQueue<>(Comparator.comparingLong(Task::at).thenComparingLong(Task::number));
@@ -51,7 +51,7 @@
     }
 
     /** Moves the clock and runs what is due. */
-    public void pass(long millis) {
+    public void advance(long millis) {
         long until = mMillis + millis;
         if (mRunning) {
             throw new IllegalStateException("the clock is moved by its own task");
@@ -82,18 +82,18 @@
 
             @Override
             public long nanos() {
-                return ManualTime.this.nanos();
+                return ManualClock.this.nanos();
             }
         };
     }
 
     /** Returns a control thread on this clock, which may be paused. */
-    public PausableControl control() {
-        return new PausableControl();
+    public PausableControlExecutor control() {
+        return new PausableControlExecutor();
     }
 
     /** A control thread that may stand still. */
-    public final class PausableControl implements Control {
+    public final class PausableControlExecutor implements ControlExecutor {
 
         private boolean mPaused;
 
@@ -118,17 +118,17 @@
         }
 
         @Override
-        public void later(Runnable task, long millis) {
+        public void schedule(Runnable task, long millis) {
             add(whenAwake(task), millis);
         }
 
         @Override
-        public void every(Runnable task, long millis) {
+        public void scheduleWithFixedDelay(Runnable task, long millis) {
             add(
                     whenAwake(
                             () -> {
                                 task.run();
-                                every(task, millis);
+                                scheduleWithFixedDelay(task, millis);
                             }),
                     millis);
         }
--- a/troutpier-daemon/src/test/java/org/troutpier/daemon/node/TestNode.java
+++ b/troutpier-daemon/src/test/java/org/troutpier/daemon/node/TestNode.java
@@ -17,13 +17,13 @@
     private TestNode() {}
 
     /** A start of a router, in a hall that does not matter. */
-    public static Node of(String name, Control control, LongSupplier nanos) {
+    public static Node of(String name, ControlExecutor control, LongSupplier nanos) {
         return of(Incarnation.start(new InstanceId(name)), new HallId("hall"), control, nanos);
     }
 
     /** A known start of a router in a hall. */
     public static Node of(
-            Incarnation incarnation, HallId hall, Control control, LongSupplier nanos) {
+            Incarnation incarnation, HallId hall, ControlExecutor control, LongSupplier nanos) {
         return new Node(
                 incarnation,
                 hall,
--- a/troutpier-daemon/src/test/java/org/troutpier/daemon/role/RoleControllerTest.java
+++ b/troutpier-daemon/src/test/java/org/troutpier/daemon/role/RoleControllerTest.java
@@ -19,7 +19,7 @@
 import org.troutpier.daemon.cluster.PeerLoads;
 import org.troutpier.daemon.directory.UpstreamDirectory;
 import org.troutpier.daemon.directory.UpstreamEntry;
-import org.troutpier.daemon.node.ManualTime;
+import org.troutpier.daemon.node.ManualClock;
 import org.troutpier.daemon.node.Node;
 import org.troutpier.daemon.node.TestNode;
 import org.troutpier.daemon.route.CurrentConfiguration;
@@ -37,7 +37,7 @@
     private static final int SWITCH = 2000;
     private static final long CHANGE_AT_MOST = SWITCH + 20_000;
 
-    private ManualTime mTime;
+    private ManualClock mTime;
     private FakeRowStore mStore;
     private UpstreamDirectory mDirectory;
     private FakeRoleClient mClient;
@@ -80,7 +80,7 @@
 
     @BeforeMethod
     void start() {
-        mTime = new ManualTime();
+        mTime = new ManualClock();
         mStore = new FakeRowStore(new VersionedRows());
         mDirectory = new UpstreamDirectory(mTime.control(), mTime::millis);
         mClient = new FakeRoleClient();
@@ -133,7 +133,7 @@
     }
 
     private void orderOne() {
-        mTime.pass(4 * TERM);
+        mTime.advance(4 * TERM);
         assertEquals(mClient.mOrdered, List.of(UpstreamIncarnation.of("e1")));
         assertEquals(mController.changingEngines(), Set.of(UpstreamIncarnation.of("e1")));
     }
@@ -142,7 +142,7 @@
     public void aChangingEngineIsReportedUntilListedInItsNewRole() {
         orderOne();
         list(UpstreamEntry.Role.DECODE);
-        mTime.pass(1000);
+        mTime.advance(1000);
         assertTrue(mController.changingEngines().isEmpty());
     }
 
@@ -150,11 +150,11 @@
     public void aChangingEngineIsStillReportedAfterTheLeaseIsLost() {
         orderOne();
         mStore.mAway = true;
-        mTime.pass(2 * TERM);
+        mTime.advance(2 * TERM);
         assertFalse(mController.holdsLease());
         assertEquals(mController.changingEngines(), Set.of(UpstreamIncarnation.of("e1")));
         list(UpstreamEntry.Role.DECODE);
-        mTime.pass(1000);
+        mTime.advance(1000);
         assertTrue(mController.changingEngines().isEmpty());
         assertEquals(mClient.mOrdered.size(), 1);
     }
@@ -163,7 +163,7 @@
     public void aChangeThatNeverCompletesTimesOut() {
         orderOne();
         mStore.mAway = true;
-        mTime.pass(CHANGE_AT_MOST);
+        mTime.advance(CHANGE_AT_MOST);
         assertTrue(mController.changingEngines().isEmpty());
     }
 
@@ -176,9 +176,9 @@
         UpstreamEntry again = engine("e1~2", UpstreamEntry.Role.PREFILL);
         mDirectory.update(again.id(), Optional.of(engine("e1~1", UpstreamEntry.Role.PREFILL)));
         mDirectory.update(again.id(), Optional.of(again));
-        mTime.pass(1000);
+        mTime.advance(1000);
         assertTrue(mController.changingEngines().isEmpty());
-        mTime.pass(4 * TERM);
+        mTime.advance(4 * TERM);
         assertEquals(mClient.mOrdered.get(1), again.incarnation());
         assertEquals(mClient.mExpected, List.of(0L, 0L));
     }
@@ -188,10 +188,10 @@
         mClient.mReportsAs = UpstreamIncarnation.of("e1~1");
         UpstreamEntry again = engine("e1~2", UpstreamEntry.Role.PREFILL);
         mDirectory.update(again.id(), Optional.of(again));
-        mTime.pass(4 * TERM);
+        mTime.advance(4 * TERM);
         assertTrue(mClient.mOrdered.isEmpty());
         mClient.mReportsAs = null;
-        mTime.pass(1000);
+        mTime.advance(1000);
         assertEquals(mClient.mOrdered, List.of(again.incarnation()));
     }
 }
--- a/troutpier-daemon/src/test/java/org/troutpier/daemon/role/RoleLeaseTest.java
+++ b/troutpier-daemon/src/test/java/org/troutpier/daemon/role/RoleLeaseTest.java
@@ -12,7 +12,7 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 import org.troutpier.common.time.ElapsedClock;
-import org.troutpier.daemon.node.ManualTime;
+import org.troutpier.daemon.node.ManualClock;
 import org.troutpier.daemon.node.Node;
 import org.troutpier.daemon.node.TestNode;
 import org.troutpier.daemon.rows.FakeRowStore;
@@ -25,12 +25,12 @@
     private static final long TERM = 3000;
     private static final long TICK = 500;
 
-    private ManualTime mTime;
+    private ManualClock mTime;
     private VersionedRows mRows;
 
     /** A router that competes for the lease. */
     private final class Contender {
-        final ManualTime.PausableControl mControl = mTime.control();
+        final ManualClock.PausableControlExecutor mControl = mTime.control();
         final FakeRowStore mStore = new FakeRowStore(mRows);
         final RoleLease mLease;
         boolean mOtherHolds;
@@ -41,7 +41,7 @@
             LongSupplier clock = new ElapsedClock(this::monotonicNanos, mTime::millis);
             Node node = TestNode.of(name, mControl, clock);
             mLease = new RoleLease(node, mStore, TERM);
-            mControl.every(() -> mLease.tick(mOtherHolds, mEligible), TICK);
+            mControl.scheduleWithFixedDelay(() -> mLease.tick(mOtherHolds, mEligible), TICK);
         }
 
         /** The monotonic clock of the system, which stops while the machine is suspended. */
@@ -52,32 +52,32 @@
         /** Suspends the machine while time passes for the others. */
         void suspend(long millis) {
             mControl.pause(true);
-            mTime.pass(millis);
+            mTime.advance(millis);
             mSuspendedMillis += millis;
         }
     }
 
     @BeforeMethod
     void start() {
-        mTime = new ManualTime();
+        mTime = new ManualClock();
         mRows = new VersionedRows();
     }
 
     @Test
     public void aRouterWaitsEvenIfARestoredRowIsItsOwn() {
         Contender first = new Contender("a");
-        mTime.pass(3 * TERM);
+        mTime.advance(3 * TERM);
         VersionedRows.Copy copy = mRows.copy();
         first.mControl.pause(true);
         Contender second = new Contender("b");
-        mTime.pass(4 * TERM);
+        mTime.advance(4 * TERM);
         assertTrue(second.mLease.mayOrder());
         long token = second.mLease.grant().fencingToken();
         mRows.restore(copy);
         Contender again = new Contender("a");
-        mTime.pass(TERM);
+        mTime.advance(TERM);
         assertFalse(again.mLease.mayOrder(), "another has held it since the copy was made");
-        mTime.pass(3 * TERM);
+        mTime.advance(3 * TERM);
         assertTrue(again.mLease.mayOrder());
         assertFalse(second.mLease.isHeld());
         assertTrue(again.mLease.grant().fencingToken() > token, "tokens rise over eras");
@@ -86,31 +86,31 @@
     @Test
     public void twoRoutersNeverOrderAtOnceAcrossStoreRestores() {
         Contender first = new Contender("a");
-        mTime.pass(2 * TERM);
+        mTime.advance(2 * TERM);
         VersionedRows.Copy copy = mRows.copy();
         Contender second = new Contender("b");
         for (int round = 0; round < 4; round++) {
-            mTime.pass(TERM / 2);
+            mTime.advance(TERM / 2);
             mRows.restore(copy);
             for (int tick = 0; tick < 3 * TERM / TICK; tick++) {
-                mTime.pass(TICK);
+                mTime.advance(TICK);
                 boolean both = first.mLease.mayOrder() && second.mLease.mayOrder();
                 assertFalse(both, "round " + round + " tick " + tick);
             }
         }
-        mTime.pass(3 * TERM);
+        mTime.advance(3 * TERM);
         assertTrue(first.mLease.mayOrder() != second.mLease.mayOrder());
     }
 
     @Test
     public void theFirstHolderWaitsATermBeforeItOrders() {
         Contender only = new Contender("a");
-        mTime.pass(2 * TICK);
+        mTime.advance(2 * TICK);
         assertTrue(only.mLease.isHeld());
         assertFalse(only.mLease.mayOrder());
-        mTime.pass(TERM);
+        mTime.advance(TERM);
         assertTrue(only.mLease.mayOrder());
-        mTime.pass(10 * TERM);
+        mTime.advance(10 * TERM);
         assertTrue(only.mLease.mayOrder());
     }
 
@@ -121,14 +121,14 @@
     @Test
     public void aHolderWhoseMachineWasSuspendedKnowsThatItsLeaseExpired() {
         Contender first = new Contender("a");
-        mTime.pass(3 * TERM);
+        mTime.advance(3 * TERM);
         assertTrue(first.mLease.mayOrder());
         Contender second = new Contender("b");
         first.suspend(5 * TERM);
         assertTrue(second.mLease.mayOrder());
         assertFalse(first.mLease.mayOrder());
         first.mControl.pause(false);
-        mTime.pass(2 * TERM);
+        mTime.advance(2 * TERM);
         assertFalse(first.mLease.isHeld());
         assertTrue(second.mLease.mayOrder());
     }
@@ -138,7 +138,7 @@
     public void anIneligibleRouterDoesNotWriteTheRow() {
         Contender only = new Contender("a");
         only.mEligible = false;
-        mTime.pass(10 * TERM);
+        mTime.advance(10 * TERM);
         assertFalse(only.mLease.isHeld());
         assertEquals(mRows.version(), 0);
     }
@@ -146,10 +146,10 @@
     @Test
     public void anIneligibleHolderKeepsTheLease() {
         Contender first = new Contender("a");
-        mTime.pass(2 * TERM);
+        mTime.advance(2 * TERM);
         first.mEligible = false;
         Contender second = new Contender("b");
-        mTime.pass(10 * TERM);
+        mTime.advance(10 * TERM);
         assertTrue(first.mLease.mayOrder());
         assertFalse(second.mLease.isHeld());
     }
@@ -157,13 +157,13 @@
     @Test
     public void aHolderThatCannotRenewStopsWithinATerm() {
         Contender only = new Contender("a");
-        mTime.pass(2 * TERM);
+        mTime.advance(2 * TERM);
         long token = only.mLease.grant().fencingToken();
         only.mStore.mAway = true;
-        mTime.pass(TERM);
+        mTime.advance(TERM);
         assertFalse(only.mLease.isHeld());
         only.mStore.mAway = false;
-        mTime.pass(2 * TERM);
+        mTime.advance(2 * TERM);
         assertTrue(only.mLease.mayOrder());
         assertTrue(only.mLease.grant().fencingToken() > token);
     }
@@ -171,17 +171,17 @@
     @Test
     public void anotherRouterTakesOverFromAPausedHolder() {
         Contender first = new Contender("a");
-        mTime.pass(2 * TERM);
+        mTime.advance(2 * TERM);
         assertTrue(first.mLease.mayOrder());
         Contender second = new Contender("b");
-        mTime.pass(2 * TERM);
+        mTime.advance(2 * TERM);
         assertFalse(second.mLease.isHeld());
         first.mControl.pause(true);
-        mTime.pass(5 * TERM);
+        mTime.advance(5 * TERM);
         assertTrue(second.mLease.mayOrder());
         assertFalse(first.mLease.mayOrder());
         first.mControl.pause(false);
-        mTime.pass(5 * TERM);
+        mTime.advance(5 * TERM);
         assertFalse(first.mLease.isHeld());
         assertTrue(second.mLease.mayOrder());
     }
@@ -189,12 +189,12 @@
     @Test
     public void anUnacknowledgedRenewalDoesNotExtendTheLease() {
         Contender only = new Contender("a");
-        mTime.pass(2 * TERM);
+        mTime.advance(2 * TERM);
         only.mStore.mCarrier =
                 (work, answer) -> {
                     work.run();
                 };
-        mTime.pass(TERM);
+        mTime.advance(TERM);
         assertFalse(only.mLease.isHeld());
     }
 
@@ -222,7 +222,7 @@
                 Contender contender = all.get(random.nextInt(all.size()));
                 contender.mStore.mAway = random.nextInt(3) == 0;
             }
-            mTime.pass(50);
+            mTime.advance(50);
             for (Contender contender : all) {
                 if (!contender.mLease.mayOrder()) {
                     continue;
@@ -246,10 +246,10 @@
     private void carry(Random random, Contender contender, Runnable work, Runnable answer) {
         int delay = random.nextInt(40);
         switch (random.nextInt(12)) {
-            case 0 -> contender.mControl.later(answer, 1000);
+            case 0 -> contender.mControl.schedule(answer, 1000);
             case 1 -> {
                 work.run();
-                contender.mControl.later(() -> {}, delay);
+                contender.mControl.schedule(() -> {}, delay);
                 mTime.loop().schedule(answer, 1000);
             }
             case 2 -> {
@@ -267,9 +267,9 @@
     public void anUnreadableRowIsWaitedOutAndReplaced() {
         mRows.put(new Key("troutpier_leases", "", "engine-roles"), "no JSON");
         Contender one = new Contender("one");
-        mTime.pass(TERM / 2);
+        mTime.advance(TERM / 2);
         assertFalse(one.mLease.isHeld());
-        mTime.pass(3 * TERM);
+        mTime.advance(3 * TERM);
         assertTrue(one.mLease.mayOrder());
     }
 }
--- a/troutpier-daemon/src/test/java/org/troutpier/daemon/rows/TableFollowerTest.java
+++ b/troutpier-daemon/src/test/java/org/troutpier/daemon/rows/TableFollowerTest.java
@@ -9,7 +9,7 @@
 import java.util.stream.Stream;
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
-import org.troutpier.daemon.node.ManualTime;
+import org.troutpier.daemon.node.ManualClock;
 import org.troutpier.daemon.rows.RowStore.Row;
 import org.troutpier.standins.platform.VersionedRows;
 import org.troutpier.standins.platform.VersionedRows.Key;
@@ -22,7 +22,7 @@
     private static final long SHARED = 1000;
     private static final long RETRY = 400;
 
-    private ManualTime mTime;
+    private ManualClock mTime;
     private VersionedRows mRows;
     private FakeRowStore mStore;
     private List<String> mReceived;
@@ -34,7 +34,7 @@
 
     @BeforeMethod
     void start() {
-        mTime = new ManualTime();
+        mTime = new ManualClock();
         mRows = new VersionedRows();
         mStore = new FakeRowStore(mRows);
         mReceived = new ArrayList<>();
@@ -55,7 +55,7 @@
                         mTime::millis);
         put("a");
         mFollower.start();
-        mTime.pass(10);
+        mTime.advance(10);
     }
 
     /** Records what it receives. */
@@ -105,7 +105,7 @@
     @Test
     public void whatThisRouterReadIsShared() {
         put("b");
-        mTime.pass(PAUSE);
+        mTime.advance(PAUSE);
         assertEquals(mReceived, List.of("a", "b"));
         assertEquals(mShared, List.of(mRows.version()));
     }
@@ -113,7 +113,7 @@
     @Test
     public void aRowWithoutNewsIsSharedTooSinceAnotherRouterMayHaveMissedIt() {
         put("a");
-        mTime.pass(PAUSE);
+        mTime.advance(PAUSE);
         assertEquals(mSharedKeys, List.of("a"));
     }
 
@@ -121,9 +121,9 @@
     public void aSharedPagePostponesTheNextRead() {
         share("b");
         assertEquals(mReceived, List.of("a", "b"));
-        mTime.pass(SHARED - 20);
+        mTime.advance(SHARED - 20);
         assertEquals(mPages, 1);
-        mTime.pass(40);
+        mTime.advance(40);
         assertEquals(mPages, 2);
         assertEquals(mReceived, List.of("a", "b"));
     }
@@ -133,7 +133,7 @@
         put("b");
         share("c");
         assertEquals(mReceived, List.of("a"));
-        mTime.pass(PAUSE);
+        mTime.advance(PAUSE);
         assertEquals(mReceived, List.of("a", "b", "c"));
     }
 
@@ -141,11 +141,11 @@
     public void aSharedPageOlderThanTheKnownVersionPostponesNoRead() {
         long before = mRows.version();
         put("b");
-        mTime.pass(PAUSE);
+        mTime.advance(PAUSE);
         assertEquals(mPages, 1);
-        mTime.pass(PAUSE - 50);
+        mTime.advance(PAUSE - 50);
         mFollower.applyShared(before - 1, before, 0, List.of(row("a", before)));
-        mTime.pass(60);
+        mTime.advance(60);
         assertEquals(mPages, 2);
         assertEquals(mReceived, List.of("a", "b"));
     }
@@ -153,16 +153,16 @@
     @Test
     public void aSharedPageWithoutChangesPostponesTheNextReadToo() {
         long version = mRows.version();
-        mTime.pass(PAUSE - 50);
+        mTime.advance(PAUSE - 50);
         mFollower.applyShared(version, version, 0, List.of());
-        mTime.pass(200);
+        mTime.advance(200);
         assertEquals(mPages, 0);
     }
 
     @Test
     public void aRouterThatTheStoreRefusesFollowsBySharedPages() {
         mStore.mAway = true;
-        mTime.pass(PAUSE);
+        mTime.advance(PAUSE);
         share("b");
         assertEquals(mReceived, List.of("a", "lost", "b"));
     }
@@ -176,13 +176,13 @@
     @Test
     public void theReturnOfASilentStoreIsDetectedWhileACallStillHangs() {
         mStore.mSilent = true;
-        mTime.pass(PAUSE);
-        mTime.pass(1000);
+        mTime.advance(PAUSE);
+        mTime.advance(1000);
         mStore.timeOut();
-        mTime.pass(600);
+        mTime.advance(600);
         put("b");
         mStore.mSilent = false;
-        mTime.pass(500);
+        mTime.advance(500);
         assertEquals(mReceived, List.of("a", "lost", "b"));
     }
 
@@ -191,11 +191,11 @@
         VersionedRows.Copy copy = mRows.copy();
         put("b");
         put("c");
-        mTime.pass(PAUSE);
+        mTime.advance(PAUSE);
         long returned = mTime.millis();
         mRows.restore(copy);
         put("d");
-        mTime.pass(3 * PAUSE);
+        mTime.advance(3 * PAUSE);
         assertEquals(mReceived, List.of("a", "b", "c", "restored", "a", "d"));
         assertTrue(mSince >= returned, "the reading was broken");
     }
@@ -204,12 +204,12 @@
     public void twoConsecutiveRestoresAreBothDetected() {
         VersionedRows.Copy copy = mRows.copy();
         put("b");
-        mTime.pass(PAUSE);
+        mTime.advance(PAUSE);
         mRows.restore(copy);
         mRows.restore(copy);
-        mTime.pass(2 * PAUSE);
+        mTime.advance(2 * PAUSE);
         mRows.restore(copy);
-        mTime.pass(2 * PAUSE);
+        mTime.advance(2 * PAUSE);
         assertEquals(mReceived, List.of("a", "b", "restored", "a", "restored", "a"));
     }
 
@@ -217,11 +217,11 @@
     public void aSharedPageOfALaterEraCausesAReadOfTheWholeTable() {
         VersionedRows.Copy copy = mRows.copy();
         put("b");
-        mTime.pass(PAUSE);
+        mTime.advance(PAUSE);
         mRows.restore(copy);
         long version = StoreVersion.of(1, mRows.version());
         mFollower.applyShared(version, version, 0, List.of());
-        mTime.pass(310);
+        mTime.advance(310);
         assertEquals(mReceived, List.of("a", "b", "restored", "a"));
     }
 
@@ -229,9 +229,9 @@
     public void peerStateOfAnEarlierEraIsIgnored() {
         VersionedRows.Copy copy = mRows.copy();
         put("b");
-        mTime.pass(PAUSE);
+        mTime.advance(PAUSE);
         mRows.restore(copy);
-        mTime.pass(2 * PAUSE);
+        mTime.advance(2 * PAUSE);
         mFollower.applyPeerState(state(mRows.version() + 100, 0, 5000, "z"));
         assertEquals(mReceived, List.of("a", "b", "restored", "a"));
     }
@@ -239,10 +239,10 @@
     @Test
     public void anOlderAnswerIsNotRequestedAgainAtOnce() {
         put("b");
-        mTime.pass(PAUSE);
+        mTime.advance(PAUSE);
         mFollower.applyPeerState(state(mRows.version() + 100, 0, 5000, "b"));
         int before = mPages;
-        mTime.pass(10 * PAUSE);
+        mTime.advance(10 * PAUSE);
         assertTrue(mPages - before <= 10, "reads " + (mPages - before));
     }
 
@@ -254,7 +254,7 @@
     @Test
     public void stateOfAPeerThatReadWithoutInterruptionIsConfirmedForAsLong() {
         mStore.mSilent = true;
-        mTime.pass(3000);
+        mTime.advance(3000);
         mFollower.applyPeerState(state(mRows.version() + 1, 40, 5000, "b"));
         assertEquals(mReceived, List.of("a", "b"));
         assertEquals(mSince, mTime.millis() - 5040);
@@ -263,7 +263,7 @@
     @Test
     public void stateOfAPeerThatHasJustBegunToReadIsConfirmedForNoLonger() {
         mStore.mSilent = true;
-        mTime.pass(3000);
+        mTime.advance(3000);
         mFollower.applyPeerState(state(mRows.version() + 1, 40, 10, "b"));
         assertEquals(mSince, mTime.millis() - 50);
     }
@@ -271,7 +271,7 @@
     @Test
     public void olderPeerStateIsIgnored() {
         put("b");
-        mTime.pass(PAUSE);
+        mTime.advance(PAUSE);
         long since = mSince;
         mFollower.applyPeerState(state(mRows.version() - 1, 0, 5000, "c"));
         assertEquals(mReceived, List.of("a", "b"));
@@ -281,22 +281,22 @@
     @Test
     public void anUnchangedTableIsSentWithoutItsRows() {
         long version = mRows.version();
-        mTime.pass(PAUSE / 2);
+        mTime.advance(PAUSE / 2);
         TableState state = mFollower.stateSince(version).orElseThrow();
         assertFalse(state.whole());
         assertTrue(mFollower.stateSince(version - 1).orElseThrow().whole());
         mStore.mSilent = true;
-        mTime.pass(SHARED);
+        mTime.advance(SHARED);
         assertTrue(mFollower.stateSince(version).isEmpty(), "too old to be told");
     }
 
     @Test
     public void aReadOlderThanPeerStateIsIgnored() {
         mStore.mSilent = true;
-        mTime.pass(3000);
+        mTime.advance(3000);
         mFollower.applyPeerState(state(mRows.version() + 5, 0, 5000, "b"));
         mStore.mSilent = false;
-        mTime.pass(2000);
+        mTime.advance(2000);
         assertEquals(mReceived, List.of("a", "b"));
     }
 }
--- a/troutpier-daemon/src/test/java/org/troutpier/daemon/serving/CrashGuardTest.java
+++ b/troutpier-daemon/src/test/java/org/troutpier/daemon/serving/CrashGuardTest.java
@@ -17,7 +17,7 @@
 import org.troutpier.common.id.UpstreamIncarnation;
 import org.troutpier.daemon.directory.UpstreamDirectory;
 import org.troutpier.daemon.directory.UpstreamEntry;
-import org.troutpier.daemon.node.ManualTime;
+import org.troutpier.daemon.node.ManualClock;
 import org.troutpier.daemon.organisation.Requester;
 import org.troutpier.daemon.quarantine.Quarantine;
 import org.troutpier.daemon.quarantine.QuarantineSettings;
@@ -30,7 +30,7 @@
     private static final RequestFingerprint TWO = RequestFingerprint.of("h", "/2", new byte[0]);
 
     private final UpstreamEntry mUpstream = TestUpstreams.decode("a");
-    private ManualTime mTime;
+    private ManualClock mTime;
     private UpstreamDirectory mDirectory;
     private Quarantine mQuarantine;
     private CrashGuard mGuard;
@@ -41,7 +41,7 @@
 
     @BeforeMethod
     void start() {
-        mTime = new ManualTime();
+        mTime = new ManualClock();
         mDirectory = new UpstreamDirectory(mTime.control(), mTime::millis);
         mDirectory.replaceAll(List.of(mUpstream));
         MetricRegistry metrics = new MetricRegistry();
@@ -74,7 +74,7 @@
         assertEquals(mProbes.size(), 1);
         answer(UpstreamPort.ProbeResult.NOT_LISTENING);
         assertEquals(mResults, List.of());
-        mTime.pass(CrashGuard.SETTLE_MILLIS);
+        mTime.advance(CrashGuard.SETTLE_MILLIS);
         assertEquals(mResults, List.of(true, true));
         assertEquals(recordedCrashes(ONE), 1);
         assertEquals(recordedCrashes(TWO), 1);
@@ -87,7 +87,7 @@
         loseCall(TWO);
         assertEquals(mProbes.size(), 0);
         assertEquals(recordedCrashes(TWO), 1);
-        mTime.pass(CrashGuard.ATTRIBUTION_TIMEOUT_MILLIS);
+        mTime.advance(CrashGuard.ATTRIBUTION_TIMEOUT_MILLIS);
         assertEquals(mResults, List.of(true, true));
     }
 
@@ -106,7 +106,7 @@
         answer(UpstreamPort.ProbeResult.LISTENING);
         assertEquals(mResults, List.of(false));
         answer(UpstreamPort.ProbeResult.NOT_LISTENING);
-        mTime.pass(CrashGuard.ATTRIBUTION_TIMEOUT_MILLIS);
+        mTime.advance(CrashGuard.ATTRIBUTION_TIMEOUT_MILLIS);
         assertEquals(mResults, List.of(false, true));
         assertEquals(recordedCrashes(ONE), 0);
         assertEquals(recordedCrashes(TWO), 1);
@@ -115,7 +115,7 @@
     @Test
     public void aSilentMachineOrPathIsNotRecordedAndDelaysNoRequest() {
         loseCall(ONE);
-        mTime.pass(CrashGuard.ATTRIBUTION_TIMEOUT_MILLIS);
+        mTime.advance(CrashGuard.ATTRIBUTION_TIMEOUT_MILLIS);
         assertEquals(mResults, List.of(false));
         answer(UpstreamPort.ProbeResult.UNKNOWN);
         assertEquals(mResults, List.of(false));
@@ -125,7 +125,7 @@
     @Test
     public void aCrashThatIsFoundLateIsStillRecorded() {
         loseCall(ONE);
-        mTime.pass(CrashGuard.ATTRIBUTION_TIMEOUT_MILLIS);
+        mTime.advance(CrashGuard.ATTRIBUTION_TIMEOUT_MILLIS);
         answer(UpstreamPort.ProbeResult.NOT_LISTENING);
         assertEquals(mResults, List.of(false));
         assertEquals(recordedCrashes(ONE), 1);
@@ -147,7 +147,7 @@
         mGuard.attributeLoss(first, ONE, mResults::add);
         mDirectory.replaceAll(List.of(TestUpstreams.startedAt(mUpstream, 2)));
         answer(UpstreamPort.ProbeResult.LISTENING);
-        mTime.pass(CrashGuard.ATTRIBUTION_TIMEOUT_MILLIS);
+        mTime.advance(CrashGuard.ATTRIBUTION_TIMEOUT_MILLIS);
         assertEquals(mResults, List.of(true));
         assertEquals(recordedCrashes(ONE), 1);
     }
--- a/troutpier-daemon/src/test/java/org/troutpier/daemon/serving/DecisionLogTest.java
+++ b/troutpier-daemon/src/test/java/org/troutpier/daemon/serving/DecisionLogTest.java
@@ -9,19 +9,19 @@
 import org.testng.annotations.Test;
 import org.troutpier.common.event.EventRing;
 import org.troutpier.common.event.HybridClock;
-import org.troutpier.daemon.node.ManualTime;
+import org.troutpier.daemon.node.ManualClock;
 
 /** Which requests get a log line of their own. */
 public final class DecisionLogTest {
 
-    private ManualTime mTime;
+    private ManualClock mTime;
     private MetricRegistry mMetrics;
     private EventRing mEvents;
     private DecisionLog mLog;
 
     @BeforeMethod
     void setUp() {
-        mTime = new ManualTime();
+        mTime = new ManualClock();
         mMetrics = new MetricRegistry();
         mEvents = new EventRing("router", 16, new HybridClock());
         mLog = new DecisionLog(mMetrics, mEvents, mTime.loop());
@@ -51,7 +51,7 @@
             mLog.requestEnded(trace(), "TP-128");
         }
         assertEquals(count("log.left-out"), 50);
-        mTime.pass(1000);
+        mTime.advance(1000);
         mLog.requestEnded(trace(), "TP-128");
         assertEquals(count("log.left-out"), 50);
     }
--- a/troutpier-daemon/src/test/java/org/troutpier/daemon/serving/EngineUsageReconcilerTest.java
+++ b/troutpier-daemon/src/test/java/org/troutpier/daemon/serving/EngineUsageReconcilerTest.java
@@ -17,7 +17,7 @@
 import org.troutpier.daemon.cluster.UpstreamUse;
 import org.troutpier.daemon.directory.UpstreamDirectory;
 import org.troutpier.daemon.directory.UpstreamEntry;
-import org.troutpier.daemon.node.ManualTime;
+import org.troutpier.daemon.node.ManualClock;
 import org.troutpier.daemon.organisation.UsageReport;
 import org.troutpier.daemon.role.EngineRoleClient;
 
@@ -27,7 +27,7 @@
     private static final Incarnation PEER = new Incarnation("peer~1");
 
     private final UpstreamEntry mEngine = TestUpstreams.decode("engine");
-    private ManualTime mTime;
+    private ManualClock mTime;
     private PeerLoads mPeers;
     private UpstreamLoads mLoads;
     private FakeReports mReports;
@@ -56,7 +56,7 @@
 
     @BeforeMethod
     void start() {
-        mTime = new ManualTime();
+        mTime = new ManualClock();
         mPeers = new PeerLoads();
         mLoads = new UpstreamLoads(mTime.loop(), new Random(1), TestUpstreams.HALL, mPeers);
         mReports = new FakeReports();
@@ -91,11 +91,11 @@
     public void aRelayThatPollsForOthersSharesItsResults() {
         mReports.mUsed = 30_000;
         startReconciler(relayScope(true));
-        mTime.pass(500);
+        mTime.advance(500);
         mLoads.begin(mEngine, 5000);
         assertEquals(mLoads.usage().get(mEngine.incarnation()), UpstreamUse.of(1, 35_000));
         assertEquals(mLoads.tokens(mEngine), 35_000);
-        mTime.pass(15_000);
+        mTime.advance(15_000);
         assertEquals(mLoads.usage().get(mEngine.incarnation()), UpstreamUse.of(1, 5000));
     }
 
@@ -103,7 +103,7 @@
     public void aRouterThatPollsForItselfSharesNothing() {
         startReconciler(engine -> true);
         mReports.mUsed = 30_000;
-        mTime.pass(500);
+        mTime.advance(500);
         assertEquals(mLoads.tokens(mEngine), 30_000);
         assertEquals(mLoads.usage(), Map.of());
     }
@@ -111,7 +111,7 @@
     @Test
     public void noEngineIsPolledWhereAnotherRouterPolls() {
         startReconciler(relayScope(false));
-        mTime.pass(2000);
+        mTime.advance(2000);
         assertEquals(mReports.mPolls, 0);
     }
 
@@ -136,12 +136,12 @@
     public void afterAStartUnattributedRunsAreLearntFromTheEngine() {
         startReconciler(engine -> true);
         mReports.mUsed = 30_000;
-        mTime.pass(500);
+        mTime.advance(500);
         assertEquals(mLoads.tokens(mEngine), 30_000);
         mLoads.begin(mEngine, 5000);
         assertEquals(mLoads.tokens(mEngine), 35_000);
         mReports.mUsed = 0;
-        mTime.pass(500);
+        mTime.advance(500);
         assertEquals(mLoads.tokens(mEngine), 5000);
     }
 
@@ -153,14 +153,14 @@
     public void onAFirstStartNoEngineIsPolledUntilARouterIsLost() {
         EngineUsageReconciler use = startReconciler(engine -> true);
         use.skipInitialPolling();
-        mTime.pass(1);
+        mTime.advance(1);
         int before = mReports.mPolls;
-        mTime.pass(2000);
+        mTime.advance(2000);
         assertEquals(mReports.mPolls, before);
         receivePeerReport(1000);
-        mTime.pass(2500);
+        mTime.advance(2500);
         mPeers.aggregate(mTime.millis());
-        mTime.pass(1000);
+        mTime.advance(1000);
         assertTrue(mReports.mPolls > before);
     }
 
@@ -169,7 +169,7 @@
         startReconciler(engine -> true);
         receivePeerReport(20_000);
         mReports.mUsed = 20_000;
-        mTime.pass(900);
+        mTime.advance(900);
         assertEquals(mLoads.tokens(mEngine), 20_000);
     }
 
@@ -178,25 +178,25 @@
         startReconciler(engine -> true);
         mLoads.begin(mEngine, 20_000);
         mReports.mUsed = 20_000;
-        mTime.pass(900);
+        mTime.advance(900);
         mLoads.end(mEngine, 20_000);
-        mTime.pass(400);
+        mTime.advance(400);
         assertEquals(mLoads.tokens(mEngine), 0);
     }
 
     @Test
     public void enginesArePolledAgainWhenARouterIsLost() {
         startReconciler(engine -> true);
-        mTime.pass(20_000);
+        mTime.advance(20_000);
         int asked = mReports.mPolls;
         assertTrue(asked > 10, "asked " + asked);
         receivePeerReport(1000);
-        mTime.pass(1000);
+        mTime.advance(1000);
         assertEquals(mReports.mPolls, asked);
-        mTime.pass(2000);
+        mTime.advance(2000);
         mPeers.aggregate(mTime.millis());
         mReports.mUsed = 40_000;
-        mTime.pass(2000);
+        mTime.advance(2000);
         assertTrue(mReports.mPolls > asked);
         assertEquals(mLoads.tokens(mEngine), 40_000);
     }
--- a/troutpier-daemon/src/test/java/org/troutpier/daemon/serving/ExecutionTest.java
+++ b/troutpier-daemon/src/test/java/org/troutpier/daemon/serving/ExecutionTest.java
@@ -30,7 +30,7 @@
 import org.troutpier.daemon.directory.UpstreamEntry;
 import org.troutpier.daemon.limit.FlowKey;
 import org.troutpier.daemon.limit.UsageSettings;
-import org.troutpier.daemon.node.ManualTime;
+import org.troutpier.daemon.node.ManualClock;
 import org.troutpier.daemon.notice.AnnouncedRate;
 import org.troutpier.daemon.organisation.OrganisationLimiter;
 import org.troutpier.daemon.organisation.Requester;
@@ -43,7 +43,7 @@
 /** Executions whose upstreams fail, leave, restart or refuse work. */
 public final class ExecutionTest {
 
-    private ManualTime mTime;
+    private ManualClock mTime;
     private FakePort mPort;
     private FakeCaller mCaller;
     private UpstreamDirectory mDirectory;
@@ -57,7 +57,7 @@
 
     @BeforeMethod
     void setUp() {
-        mTime = new ManualTime();
+        mTime = new ManualClock();
         mPort = new FakePort();
         mCaller = new FakeCaller();
         mDirectory = new UpstreamDirectory(mTime.control(), mTime::millis);
@@ -221,9 +221,9 @@
                         TestUpstreams.decode("a")));
         stream();
         assertEquals(mPort.mPrefills.size(), 1);
-        mTime.pass(ServingSettings.MIN_PREFILL_TIMEOUT_MILLIS - 1);
+        mTime.advance(ServingSettings.MIN_PREFILL_TIMEOUT_MILLIS - 1);
         assertEquals(mPort.mPrefills.size(), 1);
-        mTime.pass(2);
+        mTime.advance(2);
         assertEquals(mPort.mPrefills.size(), 2);
     }
 
@@ -250,7 +250,7 @@
         UpstreamPort.StoredPrompt prompt = new UpstreamPort.StoredPrompt(prefill, "handle");
         mPort.mPrefills.get(0).onResult(prompt);
         mPort.mRuns.get(0).mListener.onFailure(AttemptEnd.unreached("refused"));
-        mTime.pass(1000);
+        mTime.advance(1000);
         assertEquals(mPort.mDiscarded, List.of(prompt));
         assertEquals(mCaller.mRefusal, ResultCode.NO_PLACE);
         assertTrue(mCaller.mRetryAfterMillis > 0);
@@ -337,7 +337,7 @@
                 List.of(prefill, TestUpstreams.decode("a"), TestUpstreams.decode("b")));
         stream(Route.Kind.RESUMABLE_STREAM, 2);
         mPort.mPrefills.get(0).onResult(new UpstreamPort.StoredPrompt(prefill, "handle"));
-        mTime.pass(ServingSettings.STREAM_SILENCE_MILLIS + 1);
+        mTime.advance(ServingSettings.STREAM_SILENCE_MILLIS + 1);
         assertTrue(mPort.mRuns.get(0).mAborted);
         assertEquals(mPort.mRuns.size(), 1);
         assertEquals(mPort.mPrefills.size(), 2);
@@ -433,7 +433,7 @@
         mDirectory.replaceAll(List.of(TestUpstreams.plain("b", "hall")));
         mDeferredDecisions = new ArrayList<>();
         plain();
-        mTime.pass(10_000);
+        mTime.advance(10_000);
         assertEquals(mCaller.mRefusal, ResultCode.NO_PLACE);
         mDeferredDecisions.forEach(Runnable::run);
         assertTrue(mPort.mRuns.isEmpty());
@@ -628,7 +628,7 @@
         mDirectory.replaceAll(List.of(silent, limited));
         exhaustRate(limited);
         repeatable();
-        mTime.pass(1801);
+        mTime.advance(1801);
         assertEquals(mPort.mRuns.size(), 1);
         assertTrue(!mPort.mRuns.get(0).mAborted);
         assertNull(mCaller.mRefusal);
--- a/troutpier-daemon/src/test/java/org/troutpier/daemon/serving/FailingEnginesTest.java
+++ b/troutpier-daemon/src/test/java/org/troutpier/daemon/serving/FailingEnginesTest.java
@@ -13,7 +13,7 @@
 import org.troutpier.daemon.cluster.PeerLoads;
 import org.troutpier.daemon.cluster.ReportScope;
 import org.troutpier.daemon.directory.UpstreamEntry;
-import org.troutpier.daemon.node.ManualTime;
+import org.troutpier.daemon.node.ManualClock;
 import org.troutpier.daemon.organisation.UsageReport;
 
 /**
@@ -35,7 +35,7 @@
     /** A run that ends later. */
     private record Run(long endsAt, int router, UpstreamEntry engine) {}
 
-    private final ManualTime mTime = new ManualTime();
+    private final ManualClock mTime = new ManualClock();
     private final List<PeerLoads> mPeers = new ArrayList<>();
     private final List<UpstreamLoads> mRouters = new ArrayList<>();
     private final List<UpstreamEntry> mEngines = new ArrayList<>();
@@ -67,7 +67,7 @@
     private int simulate(Random random, int millis, double perSecond, int failing) {
         int lost = 0;
         for (int passed = 0; passed < millis; passed += STEP_MILLIS) {
-            mTime.pass(STEP_MILLIS);
+            mTime.advance(STEP_MILLIS);
             endFinishedRuns();
             if (mTime.millis() % REPORT_MILLIS == 0) {
                 exchangeReports();
--- a/troutpier-daemon/src/test/java/org/troutpier/daemon/serving/ReservationAllocatorTest.java
+++ b/troutpier-daemon/src/test/java/org/troutpier/daemon/serving/ReservationAllocatorTest.java
@@ -24,7 +24,7 @@
 import org.troutpier.daemon.decision.QueueTier;
 import org.troutpier.daemon.directory.UpstreamEntry;
 import org.troutpier.daemon.limit.FlowKey;
-import org.troutpier.daemon.node.ManualTime;
+import org.troutpier.daemon.node.ManualClock;
 import org.troutpier.daemon.notice.AnnouncedRate;
 import org.troutpier.daemon.organisation.UsageReport;
 
@@ -39,7 +39,7 @@
 
     private final UpstreamEntry mFirst = TestUpstreams.decode("first");
     private final UpstreamEntry mSecond = TestUpstreams.decode("second");
-    private ManualTime mTime;
+    private ManualClock mTime;
     private FakePort mPort;
     private PeerLoads mPeers;
     private UpstreamLoads mLoads;
@@ -50,7 +50,7 @@
 
     @BeforeMethod
     void setUp() {
-        mTime = new ManualTime();
+        mTime = new ManualClock();
         mPort = new FakePort();
         mPeers = new PeerLoads();
         mLoads = new UpstreamLoads(mTime.loop(), new Random(1), TestUpstreams.HALL, mPeers);
@@ -144,7 +144,7 @@
     public void anEngineWithoutRoomForGrowthIsNotAsked() {
         reportPeerUsage(90_000, 90_000);
         find(200);
-        mTime.pass(300);
+        mTime.advance(300);
         assertTrue(mPort.mReserveCalls.isEmpty());
         assertTrue(mRefused != null);
         assertNull(mGranted);
@@ -159,7 +159,7 @@
                 200,
                 QueueTier.IN_TIME,
                 () -> mTime.millis() < until ? List.of(mFirst, mSecond) : List.of());
-        mTime.pass(300);
+        mTime.advance(300);
         assertTrue(mRefused.matches("no place after [1-9]\\d* refusals: .*"), mRefused);
         assertTrue(mRefused.matches(".*, least used (first|second) known 0 in 0 calls"), mRefused);
     }
@@ -167,7 +167,7 @@
     @Test
     public void whereNoEngineMayEverBeAskedTheRefusalSaysSo() {
         find(200, QueueTier.IN_TIME, List::of);
-        mTime.pass(300);
+        mTime.advance(300);
         assertTrue(mRefused.endsWith(", no engine may be asked"), mRefused);
     }
 
@@ -201,10 +201,10 @@
     public void aSearchGoesOnUntilThereIsRoom() {
         mPort.mFullEngines.addAll(Set.of(mFirst.incarnation(), mSecond.incarnation()));
         find(200);
-        mTime.pass(100);
+        mTime.advance(100);
         assertNull(mGranted);
         mPort.mFullEngines.remove(mFirst.incarnation());
-        mTime.pass(60);
+        mTime.advance(60);
         assertEquals(mGranted, mFirst);
     }
 
@@ -221,7 +221,7 @@
     @Test
     public void withoutEnginesASearchIsRefusedAfterItsWait() {
         find(100, QueueTier.IN_TIME, List::of);
-        mTime.pass(150);
+        mTime.advance(150);
         assertTrue(mRefused != null);
     }
 
@@ -264,9 +264,9 @@
                     });
         }
         assertEquals(mAllocator.waitingTokens(), 3 * PROMPT);
-        mTime.pass(100);
+        mTime.advance(100);
         mPort.mFullEngines.clear();
-        mTime.pass(100);
+        mTime.advance(100);
         assertEquals(order, List.of(QueueTier.IN_TIME, QueueTier.CONTINUED, QueueTier.LATE));
         assertEquals(mAllocator.waitingTokens(), 0);
     }
@@ -281,7 +281,7 @@
         }
         search("calm", order);
         mPort.mFullEngines.clear();
-        mTime.pass(200);
+        mTime.advance(200);
         assertEquals(order.size(), 11);
         assertTrue(order.indexOf("calm") <= 1, order.toString());
     }
--- a/troutpier-daemon/src/test/java/org/troutpier/daemon/serving/UpstreamLoadsTest.java
+++ b/troutpier-daemon/src/test/java/org/troutpier/daemon/serving/UpstreamLoadsTest.java
@@ -17,7 +17,7 @@
 import org.troutpier.daemon.cluster.ReportScope;
 import org.troutpier.daemon.cluster.UpstreamUse;
 import org.troutpier.daemon.directory.UpstreamEntry;
-import org.troutpier.daemon.node.ManualTime;
+import org.troutpier.daemon.node.ManualClock;
 import org.troutpier.daemon.organisation.UsageReport;
 
 /** Tests the choice of upstreams by load, and their ejection. */
@@ -25,13 +25,13 @@
 
     private final UpstreamEntry mNear = TestUpstreams.plain("near", "hall-a");
     private final UpstreamEntry mFar = TestUpstreams.plain("far", "hall-b");
-    private ManualTime mTime;
+    private ManualClock mTime;
     private PeerLoads mPeers;
     private UpstreamLoads mLoads;
 
     @BeforeMethod
     void start() {
-        mTime = new ManualTime();
+        mTime = new ManualClock();
         mPeers = new PeerLoads();
         mLoads = new UpstreamLoads(mTime.loop(), new Random(1), TestUpstreams.HALL, mPeers);
     }
@@ -81,10 +81,10 @@
     public void anUnreachableUpstreamIsEjectedTemporarily() {
         mLoads.failed(mNear, true, "refused");
         assertEquals(pick().get(), mFar);
-        mTime.pass(501);
+        mTime.advance(501);
         assertEquals(pick().get(), mNear);
         mLoads.failed(mNear, true, "refused");
-        mTime.pass(501);
+        mTime.advance(501);
         assertEquals(pick().get(), mFar);
         mLoads.succeeded(mNear);
         assertEquals(pick().get(), mNear);
@@ -99,9 +99,9 @@
         assertEquals(mLoads.byTokens(List.of(engine, other), Set.of()), List.of(other));
         UpstreamEntry changed = TestUpstreams.prefill("engine");
         assertEquals(mLoads.byTokens(List.of(changed), Set.of()), List.of(changed));
-        mTime.pass(3900);
+        mTime.advance(3900);
         assertEquals(mLoads.byTokens(List.of(engine, other), Set.of()), List.of(other));
-        mTime.pass(200);
+        mTime.advance(200);
         assertEquals(mLoads.byTokens(List.of(engine, other), Set.of()).size(), 2);
     }
 
@@ -116,10 +116,10 @@
         mLoads.runRefused(idle);
         assertEquals(mLoads.byTokens(engines, Set.of()), List.of(busy));
         assertEquals(mLoads.refusingEngines(), Set.of(idle.incarnation()));
-        mTime.pass(1001);
+        mTime.advance(1001);
         assertEquals(mLoads.byTokens(engines, Set.of()).get(0), idle);
         mLoads.runRefused(idle);
-        mTime.pass(1001);
+        mTime.advance(1001);
         assertEquals(mLoads.byTokens(engines, Set.of()), List.of(busy));
         mLoads.succeeded(idle);
         assertEquals(mLoads.byTokens(engines, Set.of()).get(0), idle);
@@ -177,7 +177,7 @@
     @Test
     public void ifAllAreEjectedTheNextToReturnIsUsed() {
         mLoads.failed(mNear, true, "refused");
-        mTime.pass(100);
+        mTime.advance(100);
         mLoads.failed(mFar, true, "refused");
         assertEquals(pick().get(), mNear);
     }
--- a/troutpier-daemon/src/test/java/org/troutpier/daemon/serving/UpstreamRateSimulation.java
+++ b/troutpier-daemon/src/test/java/org/troutpier/daemon/serving/UpstreamRateSimulation.java
@@ -16,7 +16,7 @@
 import org.troutpier.daemon.limit.FlowKey;
 import org.troutpier.daemon.limit.PeerRates;
 import org.troutpier.daemon.limit.RateReport;
-import org.troutpier.daemon.node.ManualTime;
+import org.troutpier.daemon.node.ManualClock;
 import org.troutpier.daemon.notice.AnnouncedRate;
 
 /**
@@ -50,7 +50,7 @@
     private final Random mRandom;
     private final Strategy mStrategy;
     private final int mDelayMillis;
-    private final ManualTime mTime = new ManualTime();
+    private final ManualClock mTime = new ManualClock();
     private final List<Router> mRouters = new ArrayList<>();
     private final List<Upstream> mUpstreams = new ArrayList<>();
     private final Deque<Call> mCalls = new ArrayDeque<>();
@@ -203,7 +203,7 @@
         mRandom = new Random(seed);
         mStrategy = strategy;
         mDelayMillis = delayMillis;
-        mTime.pass(100_000);
+        mTime.advance(100_000);
         for (int number = 0; number < routers; number++) {
             mRouters.add(new Router());
         }
@@ -274,7 +274,7 @@
     /** Generates requests for a time. */
     void pass(int millis, double perSecond) {
         for (int passed = 0; passed < millis; passed += STEP_MILLIS) {
-            mTime.pass(STEP_MILLIS);
+            mTime.advance(STEP_MILLIS);
             long now = mTime.millis();
             answer(now);
             if (now % REPORT_MILLIS == 0) {
--- a/troutpier-daemon/src/test/java/org/troutpier/daemon/serving/UpstreamRatesTest.java
+++ b/troutpier-daemon/src/test/java/org/troutpier/daemon/serving/UpstreamRatesTest.java
@@ -19,7 +19,7 @@
 import org.troutpier.daemon.limit.PeerRates;
 import org.troutpier.daemon.limit.RateReport;
 import org.troutpier.daemon.limit.RecentUsage;
-import org.troutpier.daemon.node.ManualTime;
+import org.troutpier.daemon.node.ManualClock;
 import org.troutpier.daemon.notice.AnnouncedRate;
 
 /** Tests the enforcement of announced rates at one router. */
@@ -31,7 +31,7 @@
     private static final int STEP_MILLIS = 10;
     private static final int WORK_MILLIS = 50;
 
-    private ManualTime mTime;
+    private ManualClock mTime;
     private MetricRegistry mMetrics;
     private RateReport mPeerReport;
     private int mPeerCount;
@@ -40,8 +40,8 @@
 
     @BeforeMethod
     void start() {
-        mTime = new ManualTime();
-        mTime.pass(100_000);
+        mTime = new ManualClock();
+        mTime.advance(100_000);
         mMetrics = new MetricRegistry();
         mPeerReport = RateReport.NONE;
         mPeerCount = 0;
@@ -73,7 +73,7 @@
     }
 
     private void answer(AnnouncedRate rate) {
-        mTime.pass(WORK_MILLIS + 1);
+        mTime.advance(WORK_MILLIS + 1);
         answer(rate, UpstreamPort.Verdict.SUCCESS, WORK_MILLIS);
     }
 
@@ -95,7 +95,7 @@
     @Test
     public void anAnswerToACallSentBeforeTheAnnouncementDoesNotEndIt() {
         answer(AnnouncedRate.of(3.6));
-        mTime.pass(20);
+        mTime.advance(20);
         answer(AnnouncedRate.NONE, UpstreamPort.Verdict.SUCCESS, 40);
         assertEquals(rates(), List.of(3.6));
         answer(AnnouncedRate.NONE, UpstreamPort.Verdict.SUCCESS, 10);
@@ -109,7 +109,7 @@
         assertEquals(rates(), List.of());
         answer(AnnouncedRate.of(3.6), UpstreamPort.Verdict.NOT_STARTED, 0);
         assertEquals(rates(), List.of(3.6));
-        mTime.pass(100);
+        mTime.advance(100);
         answer(AnnouncedRate.NONE, UpstreamPort.Verdict.NOT_STARTED, 0);
         answer(AnnouncedRate.NONE, UpstreamPort.Verdict.FOREIGN, 0);
         answer(AnnouncedRate.NONE, UpstreamPort.Verdict.OWN_FAILURE, 0);
@@ -137,7 +137,7 @@
     @Test
     public void aLaterAnnouncementAtAnotherRouterApplies() {
         answer(AnnouncedRate.of(3.6));
-        mTime.pass(1000);
+        mTime.advance(1000);
         mPeerReport =
                 new RateReport(
                         new LastAnnouncedRate(2, 100), new RecentUsage(4, 1, 9), List.of(9L));
@@ -148,7 +148,7 @@
                         new LastAnnouncedRate(LastAnnouncedRate.UNLIMITED, 0),
                         RecentUsage.NONE,
                         List.of());
-        mTime.pass(200);
+        mTime.advance(200);
         assertEquals(rates(), List.of());
         mPeerReport = new RateReport(new LastAnnouncedRate(3.6, 5000), RecentUsage.NONE, List.of());
         assertEquals(rates(), List.of(), "an earlier statement");
@@ -164,7 +164,7 @@
                         ID,
                         new RateReport(
                                 new LastAnnouncedRate(3.6, 0), RecentUsage.NONE, List.of())));
-        mTime.pass(1000);
+        mTime.advance(1000);
         mPeerReport = new RateReport(new LastAnnouncedRate(2, 100), RecentUsage.NONE, List.of());
         assertEquals(rates(), List.of(2.0));
         assertEquals(mRates.report(), Map.of());
@@ -182,9 +182,9 @@
     @Test
     public void aRateThatIsNotRepeatedExpires() {
         answer(AnnouncedRate.of(3.6));
-        mTime.pass(UpstreamRate.EXPIRY_MILLIS - 1);
+        mTime.advance(UpstreamRate.EXPIRY_MILLIS - 1);
         assertEquals(rates(), List.of(3.6));
-        mTime.pass(1);
+        mTime.advance(1);
         assertEquals(rates(), List.of());
         assertEquals(mRates.report(), Map.of());
     }
@@ -194,7 +194,7 @@
         answer(AnnouncedRate.of(3.6));
         mRates.retain(Set.of());
         assertEquals(rates(), List.of(3.6), "the list may be away");
-        mTime.pass(UpstreamRate.EXPIRY_MILLIS);
+        mTime.advance(UpstreamRate.EXPIRY_MILLIS);
         mRates.retain(Set.of());
         assertTrue(mRates.statuses().isEmpty());
     }
@@ -203,7 +203,7 @@
     private long[] sendContinuously(int millis, FlowKey... flows) {
         long[] admitted = new long[flows.length];
         for (int passed = 0; passed < millis; passed += STEP_MILLIS) {
-            mTime.pass(STEP_MILLIS);
+            mTime.advance(STEP_MILLIS);
             for (int flow = 0; flow < flows.length; flow++) {
                 admitted[flow] += mRates.tryAcquire(UPSTREAM, flows[flow]) ? 1 : 0;
             }
@@ -219,14 +219,14 @@
     @Test
     public void requestsBelowTheRateAreSent() {
         answer(AnnouncedRate.of(200));
-        mTime.pass(5000);
+        mTime.advance(5000);
         assertEquals(sendContinuously(10_000, FLOW)[0], 10_000 / STEP_MILLIS);
     }
 
     @Test
     public void theRateIsUsedUpOverALongTime() {
         answer(AnnouncedRate.of(5));
-        mTime.pass(5000);
+        mTime.advance(5000);
         long sent = sendContinuously(20_000, FLOW)[0];
         assertTrue(sent >= 80 && sent <= 110, "sent " + sent + " of 100");
     }
@@ -240,14 +240,14 @@
                         new LastAnnouncedRate(5, 0), new RecentUsage(20, 5, 5), List.of(0L, 5L));
         mRates.tryAcquire(UPSTREAM, FLOW);
         assertEquals(rates(), List.of(5.0));
-        mTime.pass(5000);
+        mTime.advance(5000);
         assertEquals(sendContinuously(2000, FLOW)[0], 0);
     }
 
     @Test
     public void anIsolatedRouterKeepsToItsShare() {
         answer(AnnouncedRate.of(10));
-        mTime.pass(5000);
+        mTime.advance(5000);
         mKnownRouters = 5;
         long sent = sendContinuously(20_000, FLOW)[0];
         assertTrue(sent >= 20 && sent <= 70, "sent " + sent + " where its part is 40");
@@ -256,7 +256,7 @@
     @Test
     public void urgentRequestsGoFirst() {
         answer(AnnouncedRate.of(5));
-        mTime.pass(5000);
+        mTime.advance(5000);
         long[] sent =
                 sendContinuously(
                         20_000,
@@ -271,7 +271,7 @@
         FlowKey flood = new FlowKey(1, new PartnerId("flood"));
         FlowKey calm = new FlowKey(1, new PartnerId("calm"));
         answer(AnnouncedRate.of(8));
-        mTime.pass(5000);
+        mTime.advance(5000);
         long[] sent = sendContinuously(20_000, flood, flood, flood, flood, flood, flood, calm);
         long flooded = sent[0] + sent[1] + sent[2] + sent[3] + sent[4] + sent[5];
         assertTrue(sent[6] * 3 > flooded, "calm " + sent[6] + ", flood " + flooded);
@@ -281,7 +281,7 @@
     @Test
     public void aRateOfZeroIsProbedOccasionally() {
         answer(AnnouncedRate.of(0));
-        mTime.pass(5000);
+        mTime.advance(5000);
         long sent = sendContinuously(20_000, FLOW)[0];
         assertTrue(sent >= 1 && sent <= 8, "sent " + sent + " in 20 s");
     }
@@ -311,7 +311,7 @@
     @Test
     public void aLoweredRateTakesEffectOverAWindow() {
         answer(AnnouncedRate.of(20));
-        mTime.pass(5000);
+        mTime.advance(5000);
         sendContinuously(5000, FLOW);
         answer(AnnouncedRate.of(5));
         long sent = sendContinuously(4000, FLOW)[0];
@@ -329,7 +329,7 @@
         mRates.report();
         answer(AnnouncedRate.of(5));
         assertFalse(mRates.hasUnreportedChanges(), "the same rate");
-        mTime.pass(5000);
+        mTime.advance(5000);
         assertTrue(mRates.tryAcquire(UPSTREAM, FLOW));
         assertTrue(mRates.hasUnreportedChanges(), "a request that was sent");
         mRates.report();
