--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/caller/CallerHandler.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/caller/CallerHandler.java
@@ -29,54 +29,47 @@
 import org.troutpier.daemon.request.ServiceExchange;
 
 /**
- * Reads, checks and classifies what callers send. Thread safe: it keeps no state of its own.
- * Invariant: nothing that fails a check reaches an upstream.
+ * Validates and classifies the requests of callers and starts their exchanges. Thread safe: it
+ * keeps no state of its own. Invariant: a request that fails a check never reaches an upstream.
  */
 public final class CallerHandler implements HttpHandler {
 
-    /** Names the request class. */
+    /** The header that names the request class. */
     public static final String CLASS_HEADER = "Troutpier-Class";
 
-    /** Carries the caller's key. */
+    /** The header with the caller's idempotency key. */
     public static final String KEY_HEADER = "Idempotency-Key";
 
-    /** Carries the caller's own mark. */
+    /** The header with the caller's own mark. */
     private static final String CALL_HEADER = "X-Call";
 
-    /** The path of completions. */
-    private static final String COMPLETIONS = "/v1/completions";
+    private static final String COMPLETIONS_PATH = "/v1/completions";
 
-    /** The path of plain services. */
-    private static final String SERVICES = "/services/";
+    private static final String SERVICES_PREFIX = "/services/";
 
-    /** How many tokens an answer has unless the caller says so. */
-    private static final int DEFAULT_TOKENS = 16;
+    /** Applies if the caller sets no {@code max_tokens}. */
+    private static final int DEFAULT_MAX_TOKENS = 16;
 
-    /** How many tokens an answer may have. */
-    private static final int MOST_TOKENS = 32_768;
+    private static final int MAX_TOKENS_LIMIT = 32_768;
 
-    /** The longest key. */
-    private static final int LONGEST_KEY = 200;
+    private static final int MAX_KEY_LENGTH = 200;
 
-    /** What the handling of every request calls on. */
     private final ExchangeServices mServices;
 
-    /** The declarations in force. */
     private final ConfigurationRegistry mConfigurations;
 
-    /** Whether new work is taken. */
     private final Readiness mReadiness;
 
-    /** Detects whether the process was just woken. */
+    /** Knows whether the process resumes after a stall. */
     private final PeerController mPeers;
 
     /**
-     * Creates a front.
+     * Creates a handler.
      *
-     * @param services what the handling of every request calls on
+     * @param services what every exchange uses
      * @param configurations the declarations in force
-     * @param readiness whether new work is taken
-     * @param peers knows whether the process was just woken
+     * @param readiness whether new work is accepted
+     * @param peers knows whether the process resumes after a stall
      */
     public CallerHandler(
             ExchangeServices services,
@@ -90,21 +83,21 @@
     }
 
     /**
-     * A request that passed the checks on its head. Immutable and thread safe.
+     * A request whose head is valid. Immutable and thread safe.
      *
-     * @param partner whose caller sent it
-     * @param declared its class
+     * @param partner the partner of the caller
+     * @param requestClass the request class
      */
-    private record Checked(PartnerDeclaration partner, ClassDeclaration declared) {}
+    private record ValidatedHead(PartnerDeclaration partner, ClassDeclaration requestClass) {}
 
     /** {@inheritDoc} */
     @Override
     public Optional<TroutpierException> screen(HttpRequest head) {
         try {
             String path = head.uri().split("\\?", 2)[0];
-            Checked checked = check(path, head.headers());
+            ValidatedHead checked = validateHead(path, head.headers());
             long length = HttpUtil.getContentLength(head, 0L);
-            requireSize(checked.declared(), length);
+            checkBodySize(checked.requestClass(), length);
             return Optional.empty();
         } catch (NumberFormatException exception) {
             return Optional.of(
@@ -119,33 +112,33 @@
     /** {@inheritDoc} */
     @Override
     public void handle(HttpExchange exchange) {
-        Checked checked = check(exchange.path(), exchange.headers());
-        ClassDeclaration declared = checked.declared();
-        requireSize(declared, exchange.body().length);
-        String key = key(declared, exchange);
+        ValidatedHead validated = validateHead(exchange.path(), exchange.headers());
+        ClassDeclaration requestClass = validated.requestClass();
+        checkBodySize(requestClass, exchange.body().length);
+        String key = idempotencyKey(requestClass, exchange);
         String call = exchange.header(CALL_HEADER) == null ? "" : exchange.header(CALL_HEADER);
         RequestId id = new RequestId(UUID.randomUUID().toString());
-        String asked = exchange.method() + " " + exchange.rawPath() + "?" + exchange.rawQuery();
+        String target = exchange.method() + " " + exchange.rawPath() + "?" + exchange.rawQuery();
         String fingerprint =
-                key == null ? "" : Tokens.hash(asked + " " + Tokens.hash(exchange.body()));
-        Arrival arrival = new Arrival(exchange, id, declared, key, fingerprint, call);
-        int limit = checked.partner().inFlightLimit();
-        if (declared.kind() == Kind.COMPLETION) {
-            CompletionOrder order = order(exchange);
-            new CompletionExchange(mServices, arrival, order).start(limit);
+                key == null ? "" : Tokens.hash(target + " " + Tokens.hash(exchange.body()));
+        Arrival arrival = new Arrival(exchange, id, requestClass, key, fingerprint, call);
+        int limit = validated.partner().inFlightLimit();
+        if (requestClass.kind() == Kind.COMPLETION) {
+            CompletionOrder completion = parseCompletion(exchange);
+            new CompletionExchange(mServices, arrival, completion).start(limit);
         } else {
             new ServiceExchange(mServices, arrival, servicePath(exchange)).start(limit);
         }
     }
 
     /**
-     * Checks a request's head.
+     * Validates the head of a request.
      *
      * @param path the path
      * @param headers the headers
-     * @return the partner and the class
+     * @return the partner and the request class
      */
-    private Checked check(String path, HttpHeaders headers) {
+    private ValidatedHead validateHead(String path, HttpHeaders headers) {
         Optional<String> obstacle = mReadiness.obstacle();
         if (obstacle.isPresent() || mPeers.isStalled()) {
             throw new TroutpierException(
@@ -153,26 +146,26 @@
         }
         Declarations declarations = mConfigurations.current();
         PartnerDeclaration partner =
-                partner(declarations, headers.get(HttpHeaderNames.AUTHORIZATION));
+                findPartner(declarations, headers.get(HttpHeaderNames.AUTHORIZATION));
         String wanted = headers.get(CLASS_HEADER);
-        if (path.equals(COMPLETIONS)) {
-            return new Checked(partner, declared(declarations, partner, wanted, null));
+        if (path.equals(COMPLETIONS_PATH)) {
+            return new ValidatedHead(partner, findClass(declarations, partner, wanted, null));
         }
-        if (!path.startsWith(SERVICES)) {
+        if (!path.startsWith(SERVICES_PREFIX)) {
             throw new TroutpierException(ResultCode.UNKNOWN_PATH, path);
         }
-        String service = path.substring(SERVICES.length()).split("/", 2)[0];
-        return new Checked(partner, declared(declarations, partner, wanted, service));
+        String service = path.substring(SERVICES_PREFIX.length()).split("/", 2)[0];
+        return new ValidatedHead(partner, findClass(declarations, partner, wanted, service));
     }
 
     /**
-     * Finds the partner whose caller sends a token.
+     * Finds the partner by the caller's token.
      *
      * @param declarations the declarations in force
-     * @param authorization the header that carries the token, or null
+     * @param authorization the {@code Authorization} header, or null
      * @return the partner
      */
-    private static PartnerDeclaration partner(Declarations declarations, String authorization) {
+    private static PartnerDeclaration findPartner(Declarations declarations, String authorization) {
         String hash =
                 Tokens.bearer(authorization)
                         .map(Tokens::hash)
@@ -191,98 +184,79 @@
     }
 
     /**
-     * Finds the class of a request.
+     * Finds the class of a request. Without a class header the class must be unambiguous.
      *
      * @param declarations the declarations in force
-     * @param partner whose caller sent it
+     * @param partner the partner of the caller
      * @param wanted the class that the caller names, or null
-     * @param service the service that the path names, or null for a completion
-     * @return the class
+     * @param service the service in the path, or null for a completion
+     * @return the request class
      */
-    private static ClassDeclaration declared(
+    private static ClassDeclaration findClass(
             Declarations declarations, PartnerDeclaration partner, String wanted, String service) {
         Kind kind = service == null ? Kind.COMPLETION : Kind.SERVICE;
-        List<ClassDeclaration> fitting =
+        List<ClassDeclaration> candidates =
                 declarations
                         .classesOf(partner.id())
                         .filter(declared -> declared.kind() == kind)
                         .filter(declared -> service == null || declared.serves().equals(service))
                         .toList();
-        if (service != null && fitting.isEmpty()) {
-            throw new TroutpierException(unknownService(declarations, service), service);
+        if (service != null && candidates.isEmpty()) {
+            throw new TroutpierException(unknownServiceCode(declarations, service), service);
         }
-        if (wanted == null && fitting.size() == 1) {
-            return fitting.get(0);
+        if (wanted == null && candidates.size() == 1) {
+            return candidates.get(0);
         }
         if (wanted == null) {
             throw new TroutpierException(
                     ResultCode.UNKNOWN_CLASS, "name one in the header " + CLASS_HEADER);
         }
-        return fitting.stream()
+        return candidates.stream()
                 .filter(declared -> declared.name().value().equals(wanted))
                 .findFirst()
                 .orElseThrow(() -> new TroutpierException(ResultCode.UNKNOWN_CLASS, wanted));
     }
 
-    /**
-     * Says why a partner has no such service.
-     *
-     * @param declarations the declarations in force
-     * @param service the service
-     * @return whether it is another partner's or nobody's
-     */
-    private static ResultCode unknownService(Declarations declarations, String service) {
-        boolean anothers =
+    /** Distinguishes a service of another partner from one that nobody declares. */
+    private static ResultCode unknownServiceCode(Declarations declarations, String service) {
+        boolean declaredByOther =
                 declarations.classes().stream()
                         .anyMatch(
                                 declared ->
                                         declared.kind() == Kind.SERVICE
                                                 && declared.serves().equals(service));
-        return anothers ? ResultCode.WRONG_PARTNER : ResultCode.UNKNOWN_SERVICE;
+        return declaredByOther ? ResultCode.WRONG_PARTNER : ResultCode.UNKNOWN_SERVICE;
     }
 
-    /**
-     * Checks the size of a body.
-     *
-     * @param declared the class
-     * @param length the body's length
-     */
-    private static void requireSize(ClassDeclaration declared, long length) {
-        if (length > declared.maxBodyBytes()) {
+    private static void checkBodySize(ClassDeclaration requestClass, long length) {
+        if (length > requestClass.maxBodyBytes()) {
             throw new TroutpierException(
                     ResultCode.BODY_TOO_LARGE,
-                    length + " bytes, " + declared.name() + " takes " + declared.maxBodyBytes());
+                    length
+                            + " bytes, "
+                            + requestClass.name()
+                            + " takes "
+                            + requestClass.maxBodyBytes());
         }
     }
 
-    /**
-     * Reads the caller's key.
-     *
-     * @param declared the class
-     * @param exchange the request
-     * @return the key, or null where none was sent and none is needed
-     */
-    private static String key(ClassDeclaration declared, HttpExchange exchange) {
+    /** Returns the idempotency key, or null if none was sent and the class requires none. */
+    private static String idempotencyKey(ClassDeclaration requestClass, HttpExchange exchange) {
         String key = exchange.header(KEY_HEADER);
-        if (key == null && declared.keyed()) {
+        if (key == null && requestClass.keyed()) {
             throw new TroutpierException(
-                    ResultCode.KEY_REQUIRED, declared.name() + " needs " + KEY_HEADER);
+                    ResultCode.KEY_REQUIRED, requestClass.name() + " needs " + KEY_HEADER);
         }
-        if (key != null && (key.isBlank() || key.length() > LONGEST_KEY)) {
+        if (key != null && (key.isBlank() || key.length() > MAX_KEY_LENGTH)) {
             throw new TroutpierException(
                     ResultCode.MALFORMED_REQUEST,
-                    KEY_HEADER + " must have from 1 to " + LONGEST_KEY + " characters");
+                    KEY_HEADER + " must have from 1 to " + MAX_KEY_LENGTH + " characters");
         }
         return key;
     }
 
-    /**
-     * Reads what is asked of a model.
-     *
-     * @param exchange the request
-     * @return the order
-     */
-    private static CompletionOrder order(HttpExchange exchange) {
+    /** Parses and validates the body of a completion. */
+    private static CompletionOrder parseCompletion(HttpExchange exchange) {
         if (!exchange.method().equals("POST")) {
             throw new TroutpierException(ResultCode.METHOD_NOT_ALLOWED, exchange.method());
         }
@@ -297,11 +271,11 @@
             throw new TroutpierException(
                     ResultCode.MALFORMED_REQUEST, "max_tokens must be a whole number");
         }
-        int maxTokens = tokens.asInt(DEFAULT_TOKENS);
-        if (maxTokens < 1 || maxTokens > MOST_TOKENS) {
+        int maxTokens = tokens.asInt(DEFAULT_MAX_TOKENS);
+        if (maxTokens < 1 || maxTokens > MAX_TOKENS_LIMIT) {
             throw new TroutpierException(
                     ResultCode.MALFORMED_REQUEST,
-                    "max_tokens must be from 1 to " + MOST_TOKENS + " but is " + maxTokens);
+                    "max_tokens must be from 1 to " + MAX_TOKENS_LIMIT + " but is " + maxTokens);
         }
         JsonNode stream = body.path("stream");
         if (!stream.isMissingNode() && !stream.isBoolean()) {
@@ -311,16 +285,11 @@
         return new CompletionOrder(prompt.textValue(), maxTokens, stream.asBoolean());
     }
 
-    /**
-     * Returns what to ask a service for.
-     *
-     * @param exchange the request
-     * @return the path behind the service's name and the query, still encoded
-     */
+    /** Returns the path behind the service's name and the query, both still encoded. */
     private static String servicePath(HttpExchange exchange) {
-        String behind = exchange.rawPath().substring(SERVICES.length());
-        int slash = behind.indexOf('/');
-        String path = slash < 0 ? "/" : behind.substring(slash);
+        String suffix = exchange.rawPath().substring(SERVICES_PREFIX.length());
+        int slash = suffix.indexOf('/');
+        String path = slash < 0 ? "/" : suffix.substring(slash);
         return exchange.rawQuery().isEmpty() ? path : path + "?" + exchange.rawQuery();
     }
 }
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/caller/package-info.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/caller/package-info.java
@@ -1,2 +1,2 @@
-/** The callers: reading, checking and classifying what they send. */
+/** Validation and classification of the requests of callers. */
 package org.troutpier.daemon.caller;
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/upstream/AttemptEnd.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/upstream/AttemptEnd.java
@@ -3,33 +3,28 @@
 import org.troutpier.common.result.ResultCode;
 
 /**
- * How an attempt at an upstream ended other than well. Immutable and thread safe.
+ * The failure that ended an attempt at an upstream. Immutable and thread safe.
  *
- * @param notStarted whether it is proved that the upstream did not start: nothing was sent, or the
- *     upstream said so
- * @param leaving whether the upstream said that it is leaving
- * @param unreachable whether the upstream could not be reached or fell silent
- * @param code the result code if nothing better comes of the request
- * @param detail what exactly happened
+ * @param notStarted whether it is certain that the upstream did not start the request, because
+ *     nothing was sent or because the upstream said so
+ * @param leaving whether the upstream announced that it is leaving
+ * @param unreachable whether the upstream could not be reached or stopped responding
+ * @param code the result code to report if no other attempt has a better result
+ * @param detail a description of the failure
  */
 public record AttemptEnd(
         boolean notStarted, boolean leaving, boolean unreachable, ResultCode code, String detail) {
 
-    /**
-     * Makes the end of an attempt that never reached its upstream.
-     *
-     * @param detail what happened
-     * @return the end
-     */
+    /** Creates the end of an attempt that never reached its upstream. */
     public static AttemptEnd unreached(String detail) {
         return new AttemptEnd(true, false, true, ResultCode.UPSTREAMS_REFUSED, detail);
     }
 
     /**
-     * Makes the end of an attempt that the upstream refused as not started.
+     * Creates the end of an attempt that the upstream refused without starting it.
      *
-     * @param leaving whether it said that it is leaving
-     * @param detail what it said
+     * @param leaving whether the upstream announced that it is leaving
+     * @param detail the upstream's reason
      * @return the end
      */
     public static AttemptEnd refused(boolean leaving, String detail) {
@@ -37,31 +32,19 @@
     }
 
     /**
-     * Makes the end of an attempt of which nothing is known after bytes had left.
-     *
-     * @param detail what happened
-     * @return the end
+     * Creates the end of an attempt whose outcome is unknown because the upstream was lost after
+     * bytes had been sent.
      */
     public static AttemptEnd lost(String detail) {
         return new AttemptEnd(false, false, true, ResultCode.OUTCOME_UNKNOWN, detail);
     }
 
-    /**
-     * Makes the end of an attempt that the upstream ran without success.
-     *
-     * @param code what went wrong
-     * @param detail what exactly
-     * @return the end
-     */
+    /** Creates the end of an attempt that the upstream ran without success. */
     public static AttemptEnd failed(ResultCode code, String detail) {
         return new AttemptEnd(false, false, false, code, detail);
     }
 
-    /**
-     * Returns whether it is proved that no byte reached the upstream.
-     *
-     * @return whether the upstream knows nothing of the attempt
-     */
+    /** Returns whether it is certain that no byte reached the upstream. */
     public boolean neverReached() {
         return notStarted && unreachable;
     }
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/upstream/CancellationRetrier.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/upstream/CancellationRetrier.java
@@ -8,70 +8,48 @@
 import org.troutpier.daemon.node.Node;
 
 /**
- * Cancels attempts at engines until the engine confirms or is gone. Confined to the control thread.
- * Invariant: an attempt that was given to {@link #cancel} is tried until one of these holds.
+ * Retries the cancellation of attempts at engines until the engine confirms it, is considered gone,
+ * or {@link #MAX_TRIES} is reached. Confined to the control thread.
  */
 public final class CancellationRetrier {
 
-    /** The first wait between two tries, milliseconds. */
-    private static final long FIRST_WAIT = 100;
+    private static final long INITIAL_DELAY_MILLIS = 100;
 
-    /** The longest wait between two tries, milliseconds. */
-    private static final long LONGEST_WAIT = 2000;
+    private static final long MAX_DELAY_MILLIS = 2000;
 
-    /** How many refused connections in a row mean that the engine's process is gone. */
-    private static final int REFUSALS = 5;
+    /** Consecutive refused connections after which the engine's process counts as gone. */
+    private static final int MAX_CONSECUTIVE_REFUSALS = 5;
 
-    /** How many tries are made at most. */
-    private static final int MOST_TRIES = 400;
+    private static final int MAX_TRIES = 400;
 
-    /** The router's identity, threads, clock and metrics. */
     private final Node mNode;
 
-    /** The engines. */
-    private final EngineClient mEngines;
+    private final EngineClient mEngineClient;
 
-    /** What is not confirmed yet. */
+    /** The cancellations that are not confirmed yet. */
     private final Map<Key, Pending> mPending = new HashMap<>();
 
-    /**
-     * Names an attempt at an engine.
-     *
-     * @param engine the engine
-     * @param attempt the attempt
-     */
     private record Key(UpstreamId engine, String attempt) {}
 
-    /** A cancel that is not confirmed yet. */
+    /** A cancellation that is not confirmed yet. */
     private static final class Pending {
 
-        /** How many tries were made. */
         private int mTries;
 
-        /** How many connections were refused in a row. */
+        /** Consecutive refused connections. */
         private int mRefusals;
 
-        /** The wait before the next try, milliseconds. */
-        private long mWait = FIRST_WAIT;
+        /** The delay before the next try, milliseconds. */
+        private long mDelayMillis = INITIAL_DELAY_MILLIS;
     }
 
-    /**
-     * Creates a store.
-     *
-     * @param node the router's identity, threads, clock and metrics
-     * @param engines the engines
-     */
+    /** Creates a retrier without pending cancellations. */
     public CancellationRetrier(Node node, EngineClient engines) {
         mNode = node;
-        mEngines = engines;
+        mEngineClient = engines;
     }
 
-    /**
-     * Cancels an attempt.
-     *
-     * @param engine the engine
-     * @param attempt the attempt
-     */
+    /** Starts to cancel an attempt; does nothing if its cancellation is already pending. */
     public void cancel(UpstreamDeclaration engine, String attempt) {
         Key key = new Key(engine.id(), attempt);
         if (mPending.putIfAbsent(key, new Pending()) == null) {
@@ -79,50 +57,36 @@
         }
     }
 
-    /**
-     * Returns whether an attempt is being cancelled.
-     *
-     * @param engine the engine
-     * @param attempt the attempt
-     * @return whether it is not confirmed yet
-     */
+    /** Returns whether the cancellation of an attempt is pending. */
     public boolean isCancelling(UpstreamId engine, String attempt) {
         return mPending.containsKey(new Key(engine, attempt));
     }
 
-    /**
-     * Counts what is not confirmed yet.
-     *
-     * @return the count
-     */
+    /** Returns the number of pending cancellations. */
     public int pendingCount() {
         return mPending.size();
     }
 
-    /**
-     * Tries once.
-     *
-     * @param engine the engine
-     * @param key the attempt
-     */
     private void attempt(UpstreamDeclaration engine, Key key) {
         mNode.count("cancel.tries");
-        mEngines.cancel(engine, key.attempt())
+        mEngineClient
+                .cancel(engine, key.attempt())
                 .whenComplete(
                         (confirmed, failure) ->
                                 mNode.control()
-                                        .execute(() -> heard(engine, key, confirmed, failure)));
+                                        .execute(() -> onResult(engine, key, confirmed, failure)));
     }
 
     /**
-     * Goes on after a try.
+     * Handles the result of a try.
      *
      * @param engine the engine
      * @param key the attempt
-     * @param confirmed whether the engine confirmed, or null
-     * @param failure why there was no answer, or null
+     * @param confirmed whether the engine confirmed, or null on failure
+     * @param failure the failure, or null
      */
-    private void heard(UpstreamDeclaration engine, Key key, Boolean confirmed, Throwable failure) {
+    private void onResult(
+            UpstreamDeclaration engine, Key key, Boolean confirmed, Throwable failure) {
         Pending pending = mPending.get(key);
         if (Boolean.TRUE.equals(confirmed)) {
             mPending.remove(key);
@@ -136,12 +100,12 @@
         boolean refused = cause instanceof CallFailedException failed && !failed.sent();
         pending.mRefusals = refused ? pending.mRefusals + 1 : 0;
         pending.mTries++;
-        if (pending.mRefusals >= REFUSALS || pending.mTries >= MOST_TRIES) {
+        if (pending.mRefusals >= MAX_CONSECUTIVE_REFUSALS || pending.mTries >= MAX_TRIES) {
             mPending.remove(key);
             mNode.count("cancel.engine-gone");
             return;
         }
-        mNode.control().schedule(() -> attempt(engine, key), pending.mWait);
-        pending.mWait = Math.min(LONGEST_WAIT, pending.mWait * 2);
+        mNode.control().schedule(() -> attempt(engine, key), pending.mDelayMillis);
+        pending.mDelayMillis = Math.min(MAX_DELAY_MILLIS, pending.mDelayMillis * 2);
     }
 }
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/upstream/EngineClient.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/upstream/EngineClient.java
@@ -6,91 +6,86 @@
 import org.troutpier.common.id.Incarnation;
 
 /**
- * What the router asks of model engines. Implementations are thread safe and answer on an event
- * loop of their own choosing.
+ * Client of model engines. Implementations are thread safe and complete on an event loop of their
+ * own choosing.
  */
 public interface EngineClient {
 
     /**
-     * Asks for a prefill.
+     * Requests a prefill.
      *
      * @param engine the engine
-     * @param order what to prefill
-     * @param timeoutMillis when to give up
-     * @param listener hears what came of it
-     * @return the way to abort
+     * @param request the prefill to run
+     * @param timeoutMillis the timeout, milliseconds
+     * @param listener receives the result
+     * @return aborts the call
      */
     Abort prefill(
             UpstreamDeclaration engine,
-            PrefillRequest order,
+            PrefillRequest request,
             int timeoutMillis,
             PrefillListener listener);
 
     /**
-     * Asks for a decode.
+     * Requests a decode.
      *
      * @param engine the engine
-     * @param order what to decode
-     * @param timeoutMillis when to give up
-     * @param listener hears the stream
-     * @return the way to abort
+     * @param request the decode to run
+     * @param timeoutMillis the timeout, milliseconds
+     * @param listener receives the stream
+     * @return aborts the call
      */
     Abort decode(
             UpstreamDeclaration engine,
-            DecodeRequest order,
+            DecodeRequest request,
             int timeoutMillis,
             DecodeListener listener);
 
     /**
-     * Cancels a request.
+     * Cancels an attempt.
      *
      * @param engine the engine
      * @param attempt the attempt to cancel
-     * @return whether the engine confirmed; fails where it was not reached
+     * @return whether the engine confirmed; fails if the engine could not be reached
      */
     CompletableFuture<Boolean> cancel(UpstreamDeclaration engine, String attempt);
 
-    /**
-     * Asks what an engine holds.
-     *
-     * @param engine the engine
-     * @return the attempts and their owners
-     */
+    /** Queries the attempts that an engine holds. */
     CompletableFuture<List<HeldAttempt>> heldAttempts(UpstreamDeclaration engine);
 
     /**
-     * Asks for the load that an engine publishes.
+     * Queries the load that an engine publishes.
      *
      * @param engine the engine
-     * @return the load, late
+     * @return the load, which lags
      */
     CompletableFuture<Load> load(UpstreamDeclaration engine);
 
     /**
-     * Asks for cache events.
+     * Queries the cache events of an engine.
      *
      * @param engine the engine
-     * @param since the number of the last event seen
-     * @return the events, late and with gaps
+     * @param since the number of the last event received
+     * @return the events, which lag and may have gaps
      */
     CompletableFuture<List<CacheEvent>> cacheEvents(UpstreamDeclaration engine, long since);
 
-    /** Ends an exchange; may be called from any thread, more than once. */
+    /** Aborts a call. May be called from any thread and more than once. */
     interface Abort {
-        /** Ends it. */
+        /** Aborts the call. */
         void abort();
     }
 
     /**
-     * What to prefill. Immutable and thread safe.
+     * The parameters of a prefill. Immutable and thread safe.
      *
-     * @param attempt names this attempt
-     * @param owner the router that asks
+     * @param attempt the id of this attempt
+     * @param owner the router that sends it
      * @param partner the partner whose request it is
      * @param call the caller's own mark, empty for none
      * @param prompt the prompt
-     * @param resumeText what was generated before, empty for a new answer
-     * @param resumeTokens how many tokens that is
+     * @param resumeText the text that an earlier attempt generated, empty for a new answer
+     * @param resumeTokens the number of tokens in {@code resumeText}
      */
     record PrefillRequest(
             String attempt,
@@ -102,14 +97,14 @@
             int resumeTokens) {}
 
     /**
-     * What to decode. Immutable and thread safe.
+     * The parameters of a decode. Immutable and thread safe.
      *
-     * @param attempt names this attempt
-     * @param owner the router that asks
+     * @param attempt the id of this attempt
+     * @param owner the router that sends it
      * @param call the caller's own mark, empty for none
-     * @param kvSource where the prefill's result is fetched, IP number and port
-     * @param kvHandle the prefill's result
-     * @param maxTokens how many tokens at most
+     * @param kvSource the address that serves the KV cache of the prefill, IP:port
+     * @param kvHandle the handle of the prefill's KV cache
+     * @param maxTokens the maximum number of tokens to generate
      */
     record DecodeRequest(
             String attempt,
@@ -119,68 +114,64 @@
             String kvHandle,
             int maxTokens) {}
 
-    /** Receives what came of a prefill: one of the two, once. */
+    /** Receives the result of a prefill: exactly one of the two calls, once. */
     interface PrefillListener {
 
         /**
-         * Called when the result is there.
+         * Called on success.
          *
-         * @param handle names the result
-         * @param lifeMillis how long it survives
+         * @param handle the handle of the KV cache
+         * @param lifeMillis how long the engine keeps it, milliseconds
          */
         void onResult(String handle, int lifeMillis);
 
         /**
-         * Called when there is none.
+         * Called on failure.
          *
-         * @param end how it ended
+         * @param end the failure
          */
         void onPrefillFailure(AttemptEnd end);
     }
 
-    /** Receives a decode stream: events, then one of the two ends, once. */
+    /** Receives a decode stream: tokens, then exactly one of the two ends, once. */
     interface DecodeListener {
 
-        /**
-         * Receives a token.
-         *
-         * @param event the token
-         */
+        /** Called for each token. */
         void onToken(TokenEvent event);
 
-        /** Called when the answer is whole. */
+        /** Called when the stream is complete. */
         void onComplete();
 
         /**
-         * Called when it will not be whole.
+         * Called when the stream ends before it is complete.
          *
-         * @param end how it ended
+         * @param end the failure
          */
         void onDecodeFailure(AttemptEnd end);
     }
 
     /**
-     * One attempt that an engine holds. Immutable and thread safe.
+     * An attempt that an engine holds. Immutable and thread safe.
      *
-     * @param attempt the attempt
-     * @param owner the router that asked
+     * @param attempt the id of the attempt
+     * @param owner the router that sent it
      */
     record HeldAttempt(String attempt, String owner) {}
 
     /**
-     * A published load. Immutable and thread safe.
+     * The load that an engine publishes. Immutable and thread safe.
      *
-     * @param running how many requests are held
-     * @param waitingTokens how many tokens wait, for a prefill engine
+     * @param running the number of requests that the engine holds
+     * @param waitingTokens the number of tokens that wait for prefill
      * @param leaving whether the engine is leaving
      */
     record Load(int running, long waitingTokens, boolean leaving) {}
 
     /**
-     * A block that was cached. Immutable and thread safe.
+     * Reports that a block was cached. Immutable and thread safe.
      *
-     * @param number the event's number
-     * @param block the block's name
+     * @param number the number of the event
+     * @param block the id of the block
      */
     record CacheEvent(long number, long block) {}
 }
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/upstream/EngineLoadPoller.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/upstream/EngineLoadPoller.java
@@ -10,65 +10,65 @@
 import org.troutpier.daemon.placement.UpstreamState;
 
 /**
- * Asks the engines for the load and the cache events that they publish. Confined to the control
- * thread. An engine that does not answer is passed over for a while.
+ * Polls the load and the cache events that engines publish. Confined to the control thread. An
+ * engine that does not answer is recorded as silent, so that it gets no work for a while.
  */
 public final class EngineLoadPoller {
 
-    /** How often engines are asked, milliseconds. */
-    private static final long ASK_MILLIS = 250;
+    private static final long POLL_MILLIS = 250;
 
-    /** The router's identity, threads, clock and metrics. */
     private final Node mNode;
 
-    /** All upstreams. */
     private final UpstreamRegistry mUpstreamRegistry;
 
-    /** The engines. */
-    private final EngineClient mEngines;
+    private final EngineClient mEngineClient;
 
     /**
-     * Creates and starts a watcher.
+     * Creates and starts a poller.
      *
      * @param node the router's identity, threads, clock and metrics
      * @param registry all upstreams
-     * @param engines the engines
+     * @param engines polls the engines
      */
     public EngineLoadPoller(Node node, UpstreamRegistry registry, EngineClient engines) {
         mNode = node;
         mUpstreamRegistry = registry;
-        mEngines = engines;
-        node.control().scheduleWithFixedDelay(this::ask, ASK_MILLIS);
+        mEngineClient = engines;
+        node.control().scheduleWithFixedDelay(this::poll, POLL_MILLIS);
     }
 
-    /** Asks every engine once. */
-    private void ask() {
+    private void poll() {
         for (UpstreamState state : new ArrayList<>(mUpstreamRegistry.all())) {
-            UpstreamDeclaration declared = state.declared();
-            if (declared.role() == Role.SERVICE) {
+            UpstreamDeclaration declaration = state.declared();
+            if (declaration.role() == Role.SERVICE) {
                 continue;
             }
-            mEngines.load(declared)
+            mEngineClient
+                    .load(declaration)
                     .whenComplete(
                             (load, failure) ->
-                                    mNode.control().execute(() -> heard(declared.id(), load)));
-            if (declared.role() == Role.PREFILL) {
-                mEngines.cacheEvents(declared, state.lastEvent())
+                                    mNode.control().execute(() -> onLoad(declaration.id(), load)));
+            if (declaration.role() == Role.PREFILL) {
+                mEngineClient
+                        .cacheEvents(declaration, state.lastEvent())
                         .thenAccept(
                                 events ->
                                         mNode.control()
-                                                .execute(() -> cached(declared.id(), events)));
+                                                .execute(
+                                                        () ->
+                                                                onCacheEvents(
+                                                                        declaration.id(), events)));
             }
         }
     }
 
     /**
-     * Takes a load or a silence.
+     * Records the answer to a load query.
      *
      * @param id the engine
-     * @param load its load, or null where it did not answer
+     * @param load its load, or null if it did not answer
      */
-    private void heard(UpstreamId id, EngineClient.Load load) {
+    private void onLoad(UpstreamId id, EngineClient.Load load) {
         UpstreamState state = mUpstreamRegistry.get(id);
         if (state == null) {
             return;
@@ -85,13 +85,7 @@
         state.leaving(load.leaving());
     }
 
-    /**
-     * Takes cache events.
-     *
-     * @param id the engine
-     * @param events its events
-     */
-    private void cached(UpstreamId id, List<EngineClient.CacheEvent> events) {
+    private void onCacheEvents(UpstreamId id, List<EngineClient.CacheEvent> events) {
         UpstreamState state = mUpstreamRegistry.get(id);
         if (state == null) {
             return;
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/upstream/HttpEngineClient.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/upstream/HttpEngineClient.java
@@ -19,20 +19,15 @@
 import org.troutpier.common.result.ResultCode;
 import org.troutpier.common.result.TroutpierException;
 
-/** Model engines over HTTP with server-sent events. Thread safe. */
+/** Engine client over HTTP; decode streams are server-sent events. Thread safe. */
 public final class HttpEngineClient implements EngineClient {
 
-    /** How long a question about state may take, milliseconds. */
-    private static final int QUESTION_MILLIS = 700;
+    /** Timeout of queries and cancellations. */
+    private static final int QUERY_TIMEOUT_MILLIS = 700;
 
-    /** Sends the requests. */
     private final HttpCalls mCalls;
 
-    /**
-     * Creates the adapter.
-     *
-     * @param calls sends the requests
-     */
+    /** Creates a client. */
     public HttpEngineClient(HttpCalls calls) {
         mCalls = calls;
     }
@@ -41,12 +36,12 @@
     @Override
     public Abort prefill(
             UpstreamDeclaration engine,
-            PrefillRequest order,
+            PrefillRequest request,
             int timeoutMillis,
             PrefillListener listener) {
         HttpCall call =
                 HttpCall.of("POST", engine.address().url("/v1/prefill"))
-                        .withJson(prefillBody(order))
+                        .withJson(prefillBody(request))
                         .withTimeout(timeoutMillis);
         CompletableFuture<HttpReply> future = mCalls.call(call);
         future.whenComplete(
@@ -55,30 +50,25 @@
                         return;
                     }
                     if (failure != null) {
-                        listener.onPrefillFailure(failure(failure));
+                        listener.onPrefillFailure(toAttemptEnd(failure));
                     } else {
-                        prefilled(order, reply, listener);
+                        onPrefillReply(request, reply, listener);
                     }
                 });
         return () -> future.cancel(true);
     }
 
-    /**
-     * Reads the answer to a prefill.
-     *
-     * @param order what was asked
-     * @param reply the answer
-     * @param listener hears what came of it
-     */
-    private static void prefilled(PrefillRequest order, HttpReply reply, PrefillListener listener) {
+    /** Passes the reply to a prefill to its listener. */
+    private static void onPrefillReply(
+            PrefillRequest request, HttpReply reply, PrefillListener listener) {
         try {
             if (!reply.ok()) {
-                listener.onPrefillFailure(refusal(reply.status(), reply.body()));
+                listener.onPrefillFailure(parseRefusal(reply.status(), reply.body()));
                 return;
             }
             JsonNode result = reply.as(JsonNode.class);
             String echoed = result.path("request_id").asText();
-            if (echoed.equals(order.attempt())) {
+            if (echoed.equals(request.attempt())) {
                 listener.onResult(
                         result.path("kv_handle").asText(), result.path("expires_millis").asInt());
             } else {
@@ -92,13 +82,10 @@
     }
 
     /**
-     * Reads what an engine says in place of an answer.
-     *
-     * @param status the HTTP status
-     * @param body the body
-     * @return how the attempt ended
+     * Parses a reply that is no success. Without a body that says that the request was not started
+     * its outcome is unknown.
      */
-    private static AttemptEnd refusal(int status, byte[] body) {
+    private static AttemptEnd parseRefusal(int status, byte[] body) {
         JsonNode node;
         try {
             node = Json.read(body, JsonNode.class);
@@ -113,13 +100,8 @@
         return AttemptEnd.lost("the engine answers " + status);
     }
 
-    /**
-     * Tells how an attempt ended that got no answer.
-     *
-     * @param failure why
-     * @return how it ended
-     */
-    private static AttemptEnd failure(Throwable failure) {
+    /** Converts the failure of a call that got no reply. */
+    private static AttemptEnd toAttemptEnd(Throwable failure) {
         boolean sent = !(failure instanceof CallFailedException failed) || failed.sent();
         String detail = String.valueOf(failure.getMessage());
         return sent ? AttemptEnd.lost(detail) : AttemptEnd.unreached(detail);
@@ -129,14 +111,15 @@
     @Override
     public Abort decode(
             UpstreamDeclaration engine,
-            DecodeRequest order,
+            DecodeRequest request,
             int timeoutMillis,
             DecodeListener listener) {
         HttpCall call =
                 HttpCall.of("POST", engine.address().url("/v1/decode"))
-                        .withJson(decodeBody(order))
+                        .withJson(decodeBody(request))
                         .withTimeout(timeoutMillis);
-        HttpCalls.Ongoing ongoing = mCalls.send(call, new Stream(order.attempt(), listener));
+        HttpCalls.Ongoing ongoing =
+                mCalls.send(call, new DecodeStreamReader(request.attempt(), listener));
         return ongoing::abort;
     }
 
@@ -146,14 +129,14 @@
         HttpCall call =
                 HttpCall.of("POST", engine.address().url("/v1/cancel"))
                         .withJson(Map.of("request_id", attempt))
-                        .withTimeout(QUESTION_MILLIS);
+                        .withTimeout(QUERY_TIMEOUT_MILLIS);
         return mCalls.call(call).thenApply(HttpReply::ok);
     }
 
     /** {@inheritDoc} */
     @Override
     public CompletableFuture<List<HeldAttempt>> heldAttempts(UpstreamDeclaration engine) {
-        return question(engine, "/v1/holding")
+        return query(engine, "/v1/holding")
                 .thenApply(
                         reply -> {
                             List<HeldAttempt> held = new ArrayList<>();
@@ -170,25 +153,26 @@
     /** {@inheritDoc} */
     @Override
     public CompletableFuture<Load> load(UpstreamDeclaration engine) {
-        return question(engine, "/v1/load").thenApply(HttpEngineClient::load);
+        return query(engine, "/v1/load").thenApply(HttpEngineClient::parseLoad);
     }
 
     /** {@inheritDoc} */
     @Override
     public CompletableFuture<List<CacheEvent>> cacheEvents(UpstreamDeclaration engine, long since) {
-        return question(engine, "/v1/cache-events?since=" + since)
-                .thenApply(HttpEngineClient::cacheEvents);
+        return query(engine, "/v1/cache-events?since=" + since)
+                .thenApply(HttpEngineClient::parseCacheEvents);
     }
 
     /**
-     * Asks an engine about its state.
+     * Sends a query.
      *
      * @param engine the engine
-     * @param path the path
-     * @return the answer; fails where it is no success
+     * @param path the path and query
+     * @return the reply; fails if it is no success
      */
-    private CompletableFuture<HttpReply> question(UpstreamDeclaration engine, String path) {
-        HttpCall call = HttpCall.of("GET", engine.address().url(path)).withTimeout(QUESTION_MILLIS);
+    private CompletableFuture<HttpReply> query(UpstreamDeclaration engine, String path) {
+        HttpCall call =
+                HttpCall.of("GET", engine.address().url(path)).withTimeout(QUERY_TIMEOUT_MILLIS);
         return mCalls.call(call)
                 .thenApply(
                         reply -> {
@@ -202,39 +186,30 @@
     }
 
     /**
-     * Reads a decode stream. Confined to the exchange's event loop. Invariant: a token that is not
-     * this attempt's is never handed on.
+     * Reads a decode stream. Confined to the event loop of the call. Invariant: a token of another
+     * attempt is never passed on.
      */
-    private static final class Stream implements ReplyListener {
+    private static final class DecodeStreamReader implements ReplyListener {
 
         /** The attempt that every event must name. */
         private final String mAttempt;
 
-        /** Receives the stream. */
         private final DecodeListener mListener;
 
-        /** Cuts the stream into events. */
-        private final ServerSentEventSplitter mFrames = new ServerSentEventSplitter();
+        private final ServerSentEventSplitter mSplitter = new ServerSentEventSplitter();
 
-        /** The body of an answer that is no stream. */
-        private final ByteArrayOutputStream mRefusal = new ByteArrayOutputStream();
+        /** The body of a reply whose status is not 200. */
+        private final ByteArrayOutputStream mRefusalBody = new ByteArrayOutputStream();
 
-        /** The status. */
         private int mStatus;
 
-        /** Whether the end mark has come. */
-        private boolean mDone;
+        /** Whether the end mark was received. */
+        private boolean mEndMarkReceived;
 
-        /** Whether the listener has heard an end. */
-        private boolean mOver;
+        /** Whether the listener was told the end. */
+        private boolean mEnded;
 
-        /**
-         * Creates a reader.
-         *
-         * @param attempt the attempt that every event must name
-         * @param listener hears the stream
-         */
-        Stream(String attempt, DecodeListener listener) {
+        DecodeStreamReader(String attempt, DecodeListener listener) {
             mAttempt = attempt;
             mListener = listener;
         }
@@ -245,7 +220,7 @@
             mStatus = status;
             String echoed = headers.get("X-Request-Id");
             if (status == 200 && echoed != null && !echoed.equals(mAttempt)) {
-                end(AttemptEnd.failed(ResultCode.UPSTREAM_MISMATCH, "echoed " + echoed));
+                fail(AttemptEnd.failed(ResultCode.UPSTREAM_MISMATCH, "echoed " + echoed));
             }
         }
 
@@ -253,32 +228,28 @@
         @Override
         public void onPart(byte[] part) {
             if (mStatus != 200) {
-                mRefusal.writeBytes(part);
+                mRefusalBody.writeBytes(part);
                 return;
             }
             try {
-                mFrames.feed(part, this::take);
+                mSplitter.feed(part, this::onEvent);
             } catch (TroutpierException exception) {
-                end(AttemptEnd.failed(exception.code(), exception.getMessage()));
+                fail(AttemptEnd.failed(exception.code(), exception.getMessage()));
             }
         }
 
-        /**
-         * Takes one event.
-         *
-         * @param bytes the event as it came
-         */
-        private void take(byte[] bytes) {
+        /** Handles one event. */
+        private void onEvent(byte[] bytes) {
             TokenEvent event = TokenEvent.parse(bytes);
-            if (event == null || mOver || mDone) {
+            if (event == null || mEnded || mEndMarkReceived) {
                 return;
             }
             if (event.done()) {
-                mDone = true;
+                mEndMarkReceived = true;
             } else if (mAttempt.equals(event.id())) {
                 mListener.onToken(event);
             } else {
-                end(AttemptEnd.failed(ResultCode.UPSTREAM_MISMATCH, "echoed " + event.id()));
+                fail(AttemptEnd.failed(ResultCode.UPSTREAM_MISMATCH, "echoed " + event.id()));
             }
         }
 
@@ -286,11 +257,11 @@
         @Override
         public void onEnd() {
             if (mStatus != 200) {
-                end(refusal(mStatus, mRefusal.toByteArray()));
-            } else if (!mDone) {
-                end(AttemptEnd.failed(ResultCode.UPSTREAM_FAILED, "no end mark came"));
-            } else if (!mOver) {
-                mOver = true;
+                fail(parseRefusal(mStatus, mRefusalBody.toByteArray()));
+            } else if (!mEndMarkReceived) {
+                fail(AttemptEnd.failed(ResultCode.UPSTREAM_FAILED, "no end mark came"));
+            } else if (!mEnded) {
+                mEnded = true;
                 mListener.onComplete();
             }
         }
@@ -298,64 +269,42 @@
         /** {@inheritDoc} */
         @Override
         public void onFailure(CallFailedException failure) {
-            end(HttpEngineClient.failure(failure));
+            fail(HttpEngineClient.toAttemptEnd(failure));
         }
 
-        /**
-         * Tells the listener the end, once.
-         *
-         * @param end how it ended
-         */
-        private void end(AttemptEnd end) {
-            if (!mOver) {
-                mOver = true;
+        /** Reports the failure to the listener, unless the end was reported before. */
+        private void fail(AttemptEnd end) {
+            if (!mEnded) {
+                mEnded = true;
                 mListener.onDecodeFailure(end);
             }
         }
     }
 
-    /**
-     * Writes what to prefill as the engine reads it.
-     *
-     * @param order what to prefill
-     * @return the body
-     */
-    private static Map<String, Object> prefillBody(PrefillRequest order) {
+    private static Map<String, Object> prefillBody(PrefillRequest request) {
         Map<String, Object> body = new LinkedHashMap<>();
-        body.put("request_id", order.attempt());
-        body.put("owner", order.owner().value());
-        body.put("partner", order.partner());
-        body.put("call", order.call());
-        body.put("prompt", order.prompt());
-        body.put("resume_text", order.resumeText());
-        body.put("resume_tokens", order.resumeTokens());
+        body.put("request_id", request.attempt());
+        body.put("owner", request.owner().value());
+        body.put("partner", request.partner());
+        body.put("call", request.call());
+        body.put("prompt", request.prompt());
+        body.put("resume_text", request.resumeText());
+        body.put("resume_tokens", request.resumeTokens());
         return body;
     }
 
-    /**
-     * Writes what to decode as the engine reads it.
-     *
-     * @param order what to decode
-     * @return the body
-     */
-    private static Map<String, Object> decodeBody(DecodeRequest order) {
+    private static Map<String, Object> decodeBody(DecodeRequest request) {
         Map<String, Object> body = new LinkedHashMap<>();
-        body.put("request_id", order.attempt());
-        body.put("owner", order.owner().value());
-        body.put("call", order.call());
-        body.put("kv_source", order.kvSource());
-        body.put("kv_handle", order.kvHandle());
-        body.put("max_tokens", order.maxTokens());
+        body.put("request_id", request.attempt());
+        body.put("owner", request.owner().value());
+        body.put("call", request.call());
+        body.put("kv_source", request.kvSource());
+        body.put("kv_handle", request.kvHandle());
+        body.put("max_tokens", request.maxTokens());
         return body;
     }
 
-    /**
-     * Reads a published load.
-     *
-     * @param reply the engine's answer
-     * @return the load
-     */
-    private static Load load(HttpReply reply) {
+    private static Load parseLoad(HttpReply reply) {
         JsonNode node = reply.as(JsonNode.class);
         return new Load(
                 node.path("running").asInt(),
@@ -363,13 +312,7 @@
                 node.path("leaving").asBoolean());
     }
 
-    /**
-     * Reads cache events.
-     *
-     * @param reply the engine's answer
-     * @return the events
-     */
-    private static List<CacheEvent> cacheEvents(HttpReply reply) {
+    private static List<CacheEvent> parseCacheEvents(HttpReply reply) {
         List<CacheEvent> events = new ArrayList<>();
         for (JsonNode node : reply.as(JsonNode.class)) {
             events.add(new CacheEvent(node.path("number").asLong(), node.path("block").asLong()));
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/upstream/OrphanSweeper.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/upstream/OrphanSweeper.java
@@ -13,31 +13,24 @@
 import org.troutpier.daemon.request.ExchangeRegistry;
 
 /**
- * Cancels what engines hold for routers that are gone, and for requests that this router no longer
- * carries. Confined to the control thread. Each engine is swept by its coordinator; two that both
- * think they are it do no harm.
+ * Cancels attempts that engines hold for routers that are gone, or for requests that this router no
+ * longer carries. Each engine is swept by its coordinator; sweeping by two routers at once is
+ * harmless. Confined to the control thread.
  */
 public final class OrphanSweeper {
 
-    /** How often engines are swept, milliseconds. */
     private static final long SWEEP_MILLIS = 1000;
 
-    /** The router's identity, threads, clock and metrics. */
     private final Node mNode;
 
-    /** All upstreams. */
     private final UpstreamRegistry mUpstreamRegistry;
 
-    /** The engines. */
-    private final EngineClient mEngines;
+    private final EngineClient mEngineClient;
 
-    /** Who is gone. */
     private final Membership mMembership;
 
-    /** Cancels attempts. */
-    private final CancellationRetrier mCancels;
+    private final CancellationRetrier mCancellations;
 
-    /** The requests that this router carries. */
     private final ExchangeRegistry mRegistry;
 
     /**
@@ -45,9 +38,9 @@
      *
      * @param node the router's identity, threads, clock and metrics
      * @param upstreamRegistry all upstreams
-     * @param engines the engines
-     * @param membership who is gone
-     * @param cancels cancels attempts
+     * @param engines queries the engines
+     * @param membership knows which routers are gone
+     * @param cancellations cancels attempts
      * @param registry the requests that this router carries
      */
     public OrphanSweeper(
@@ -55,59 +48,56 @@
             UpstreamRegistry upstreamRegistry,
             EngineClient engines,
             Membership membership,
-            CancellationRetrier cancels,
+            CancellationRetrier cancellations,
             ExchangeRegistry registry) {
         mNode = node;
         mUpstreamRegistry = upstreamRegistry;
-        mEngines = engines;
+        mEngineClient = engines;
         mMembership = membership;
-        mCancels = cancels;
+        mCancellations = cancellations;
         mRegistry = registry;
         node.control().scheduleWithFixedDelay(this::sweep, SWEEP_MILLIS);
     }
 
-    /** Sweeps the engines that this router looks after. */
+    /** Sweeps the engines that this router coordinates. */
     private void sweep() {
         List<Membership.Member> members = mMembership.live();
         for (UpstreamState state : new ArrayList<>(mUpstreamRegistry.all())) {
-            UpstreamDeclaration declared = state.declared();
-            boolean mine =
-                    CoordinatorSelector.select("sweep " + declared.id(), members)
+            UpstreamDeclaration declaration = state.declared();
+            boolean coordinated =
+                    CoordinatorSelector.select("sweep " + declaration.id(), members)
                             .equals(mNode.incarnation());
-            if (declared.role() != Role.SERVICE && mine) {
-                mEngines.heldAttempts(declared)
-                        .thenAccept(held -> mNode.control().execute(() -> examine(declared, held)));
+            if (declaration.role() != Role.SERVICE && coordinated) {
+                mEngineClient
+                        .heldAttempts(declaration)
+                        .thenAccept(
+                                held ->
+                                        mNode.control()
+                                                .execute(() -> cancelOrphans(declaration, held)));
             }
         }
     }
 
-    /**
-     * Cancels the orphans among what an engine holds.
-     *
-     * @param engine the engine
-     * @param held what it holds
-     */
-    private void examine(UpstreamDeclaration engine, List<EngineClient.HeldAttempt> held) {
+    /** Cancels the orphans among the attempts that an engine holds. */
+    private void cancelOrphans(UpstreamDeclaration engine, List<EngineClient.HeldAttempt> held) {
         for (EngineClient.HeldAttempt one : held) {
-            if (orphan(one) && !mCancels.isCancelling(engine.id(), one.attempt())) {
+            if (isOrphan(one) && !mCancellations.isCancelling(engine.id(), one.attempt())) {
                 mNode.count("orphans.cancelled");
                 mNode.events().record("orphan", one.attempt(), engine.id() + " " + one.owner());
-                mCancels.cancel(engine, one.attempt());
+                mCancellations.cancel(engine, one.attempt());
             }
         }
     }
 
     /**
-     * Returns whether nobody waits for an attempt any more.
-     *
-     * @param held the attempt
-     * @return whether its router is gone, or is this one and no longer carries the request
+     * Returns whether an attempt has no router that waits for it: its owner is gone, or is this
+     * router and no longer carries the request.
      */
-    private boolean orphan(EngineClient.HeldAttempt held) {
+    private boolean isOrphan(EngineClient.HeldAttempt held) {
         if (held.owner().equals(mNode.incarnation().value())) {
             return !mRegistry.carries(held.attempt());
         }
-        boolean router = held.owner().indexOf('~') > 0;
-        return router && mMembership.isGone(new Incarnation(held.owner()));
+        boolean ownedByRouter = held.owner().indexOf('~') > 0;
+        return ownedByRouter && mMembership.isGone(new Incarnation(held.owner()));
     }
 }
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/upstream/ServerSentEventSplitter.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/upstream/ServerSentEventSplitter.java
@@ -9,39 +9,37 @@
 import org.troutpier.common.result.TroutpierException;
 
 /**
- * Cuts a stream of server-sent events into single events with Netty's frame decoder. Confined to
+ * Splits a stream of server-sent events into single events with Netty's frame decoder. Confined to
  * one event loop.
  */
 public final class ServerSentEventSplitter extends DelimiterBasedFrameDecoder {
 
-    /** The longest event, bytes. */
-    private static final int LONGEST = 65_536;
+    private static final int MAX_EVENT_BYTES = 65_536;
 
-    /** What ends an event. */
-    private static final byte[] END = "\n\n".getBytes(StandardCharsets.US_ASCII);
+    private static final byte[] EVENT_END = "\n\n".getBytes(StandardCharsets.US_ASCII);
 
-    /** What has arrived and is not yet cut. */
-    private final ByteBuf mArrived = Unpooled.buffer();
+    /** Received bytes that are not yet a complete event. */
+    private final ByteBuf mBuffer = Unpooled.buffer();
 
-    /** Creates an empty cutter. */
+    /** Creates a splitter without buffered bytes. */
     public ServerSentEventSplitter() {
-        super(LONGEST, false, false, Unpooled.wrappedBuffer(END));
+        super(MAX_EVENT_BYTES, false, false, Unpooled.wrappedBuffer(EVENT_END));
     }
 
     /**
-     * Takes bytes and hands on each whole event.
+     * Adds received bytes and passes on each event that is complete.
      *
-     * @param bytes the bytes
-     * @param taker takes each event, with the blank line that ends it
+     * @param bytes the received bytes
+     * @param consumer receives each event, including the blank line that ends it
      */
-    public void feed(byte[] bytes, Consumer<byte[]> taker) {
-        mArrived.writeBytes(bytes);
+    public void feed(byte[] bytes, Consumer<byte[]> consumer) {
+        mBuffer.writeBytes(bytes);
         try {
-            while (decode(null, mArrived) instanceof ByteBuf event) {
+            while (decode(null, mBuffer) instanceof ByteBuf event) {
                 byte[] copy = new byte[event.readableBytes()];
                 event.readBytes(copy);
                 event.release();
-                taker.accept(copy);
+                consumer.accept(copy);
             }
         } catch (TroutpierException exception) {
             throw exception;
@@ -49,15 +47,11 @@
             throw new TroutpierException(
                     ResultCode.UPSTREAM_FAILED, "the event stream cannot be cut", exception);
         }
-        mArrived.discardReadBytes();
+        mBuffer.discardReadBytes();
     }
 
-    /**
-     * Returns whether bytes have arrived that are not yet a whole event.
-     *
-     * @return whether an end now would be in the middle of an event
-     */
+    /** Returns whether the received bytes end in the middle of an event. */
     public boolean hasPartialEvent() {
-        return mArrived.isReadable();
+        return mBuffer.isReadable();
     }
 }
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/upstream/TokenEvent.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/upstream/TokenEvent.java
@@ -11,49 +11,46 @@
 import org.troutpier.common.result.TroutpierException;
 
 /**
- * One event of a decode stream. Immutable by agreement: the bytes are not changed. Thread safe.
+ * One event of a decode stream. Thread safe, provided that nobody modifies the bytes.
  *
- * @param bytes the event as it came, with the blank line that ends it
- * @param id the request that the engine says it is for; null for the end mark
+ * @param bytes the event as received, including the blank line that ends it
+ * @param id the request id in the event; null for the end mark
  * @param text the token's text; null for the end mark
  * @param done whether this is the end mark
  */
 public record TokenEvent(byte[] bytes, String id, String text, boolean done) {
 
-    /** What starts the data of an event. */
-    private static final byte[] DATA = "data:".getBytes(StandardCharsets.US_ASCII);
+    private static final byte[] DATA_PREFIX = "data:".getBytes(StandardCharsets.US_ASCII);
 
-    /** The end mark. */
-    private static final byte[] DONE = "[DONE]".getBytes(StandardCharsets.US_ASCII);
+    private static final byte[] END_MARK = "[DONE]".getBytes(StandardCharsets.US_ASCII);
 
-    /** Makes parsers. */
     private static final JsonFactory FACTORY = Json.mapper().getFactory();
 
     /**
-     * Reads an event.
+     * Parses an event.
      *
-     * @param bytes the event as it came
+     * @param bytes the event as received
      * @return the event, or null for one without data
      */
     static TokenEvent parse(byte[] bytes) {
-        if (!startsWith(bytes, 0, DATA)) {
+        if (!startsWith(bytes, 0, DATA_PREFIX)) {
             return null;
         }
-        int start = DATA.length;
+        int start = DATA_PREFIX.length;
         while (start < bytes.length && bytes[start] == ' ') {
             start++;
         }
-        if (startsWith(bytes, start, DONE)) {
+        if (startsWith(bytes, start, END_MARK)) {
             return new TokenEvent(bytes, null, null, true);
         }
         return parse(bytes, start);
     }
 
     /**
-     * Reads the JSON of an event.
+     * Parses the JSON of an event.
      *
-     * @param bytes the event as it came
-     * @param start where the JSON starts
+     * @param bytes the event as received
+     * @param start the offset of the JSON
      * @return the event
      */
     private static TokenEvent parse(byte[] bytes, int start) {
@@ -74,16 +71,9 @@
         return new TokenEvent(bytes, id, text == null ? "" : text, false);
     }
 
-    /**
-     * Returns whether bytes start with others.
-     *
-     * @param bytes the bytes
-     * @param from where to look
-     * @param start what to look for
-     * @return whether it stands there
-     */
-    private static boolean startsWith(byte[] bytes, int from, byte[] start) {
-        return bytes.length >= from + start.length
-                && Arrays.equals(bytes, from, from + start.length, start, 0, start.length);
+    /** Returns whether an array contains a prefix at an offset. */
+    private static boolean startsWith(byte[] bytes, int offset, byte[] prefix) {
+        return bytes.length >= offset + prefix.length
+                && Arrays.equals(bytes, offset, offset + prefix.length, prefix, 0, prefix.length);
     }
 }
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/upstream/package-info.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/upstream/package-info.java
@@ -1,2 +1,2 @@
-/** The upstreams: engines and plain services, what they hold and how they fare. */
+/** Clients of model engines: prefill, decode, cancellation and polling. */
 package org.troutpier.daemon.upstream;
