--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/configuration/ChangeProposer.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/configuration/ChangeProposer.java
@@ -26,105 +26,88 @@
 import org.troutpier.daemon.table.Table.WriteResult;
 
 /**
- * Carries a change through: prepare at every member, conditional commit, activate at every member.
- * Confined to the control thread. Invariants: nothing is committed unless every live member has
- * prepared; an operator hears "accepted" only after every live member has activated; once committed
- * a change is never taken back.
+ * Runs configuration changes in three steps: prepare at every member, conditional commit, activate
+ * at every member. Confined to the control thread. Invariants: nothing is committed unless every
+ * live member has prepared; the operator is told "accepted" only after every live member has
+ * activated; a committed change is never rolled back.
  */
 public final class ChangeProposer {
 
-    /** How long members may take to prepare, milliseconds. */
-    private static final long PREPARE_MILLIS = 1500;
+    private static final long PREPARE_TIMEOUT_MILLIS = 1500;
 
-    /** How long members may take to activate before the operator hears of it, milliseconds. */
-    private static final long ACTIVATE_MILLIS = 4000;
+    /**
+     * How long activation may take before the operator is told that the change is not in force
+     * everywhere.
+     */
+    private static final long ACTIVATE_TIMEOUT_MILLIS = 4000;
 
-    /** How often a message is sent again, milliseconds. */
-    private static final long AGAIN_MILLIS = 200;
+    private static final long RETRY_MILLIS = 200;
 
-    /** How long the fate of a commit is looked for, milliseconds. */
-    private static final long READ_BACK_MILLIS = 4000;
+    /** How long the outcome of a commit is looked for. */
+    private static final long READ_BACK_TIMEOUT_MILLIS = 4000;
 
-    /** How long a committed change is carried on in the background, milliseconds. */
-    private static final long CARRY_ON_MILLIS = 60_000;
+    /** How long activation of a committed change is retried after the operator was told. */
+    private static final long BACKGROUND_MILLIS = 60_000;
 
-    /** Nanoseconds in a millisecond. */
-    private static final long NANOS = 1_000_000L;
+    private static final long NANOS_PER_MILLI = 1_000_000L;
 
-    /** The router's identity, threads, clock and metrics. */
     private final Node mNode;
 
-    /** Who the members are. */
     private final Membership mMembership;
 
-    /** The declarations in force here. */
     private final ConfigurationRegistry mConfigurations;
 
-    /** Where the row stands. */
+    /** The table that holds the configuration row. */
     private final Table mTable;
 
-    /** Sends a message to a router. */
     private final CoordinatorPermits.Sender mSender;
 
-    /** The changes under way, by id. */
+    /** The changes in progress, by id. */
     private final Map<String, Change> mChanges = new HashMap<>();
 
-    /** Which step a change is at. */
     private enum Step {
-        /** Members are asked whether it could be put in force. */
+        /** Members are asked whether they can activate the change. */
         PREPARING,
         /** The row is being written or read back. */
         COMMITTING,
-        /** Members are told to put it in force. */
+        /** Members are told to activate the change. */
         ACTIVATING,
-        /** The operator has heard how it ended. */
-        TOLD
+        /** The operator was told the result. */
+        REPORTED
     }
 
-    /** One change under way. */
+    /** A change in progress. */
     private final class Change {
 
-        /** Names it. */
         private final String mId = UUID.randomUUID().toString();
 
-        /** What it makes. */
+        /** The declarations that the change results in. */
         private Declarations mNext;
 
-        /** The tag of the row that it changes, or null where there was none. */
+        /** The tag of the row that the change replaces, or null if there was none. */
         private String mTag;
 
-        /** Which step it is at. */
         private Step mStep = Step.PREPARING;
 
-        /** When the step began. */
-        private long mSince = mNode.nanos().getAsLong();
+        /** When the step began, by the monotonic clock in nanoseconds. */
+        private long mStepStartNanos = mNode.nanos().getAsLong();
 
-        /** The members that have prepared. */
         private final Set<Incarnation> mPrepared = new HashSet<>();
 
-        /** The members that have activated. */
         private final Set<Incarnation> mActivated = new HashSet<>();
 
-        /** Completes when the operator is told. */
-        private final CompletableFuture<Declarations> mTold = new CompletableFuture<>();
+        /** Completes with the result for the operator. */
+        private final CompletableFuture<Declarations> mResult = new CompletableFuture<>();
 
-        /**
-         * Returns how long the step has lasted.
-         *
-         * @return milliseconds
-         */
-        long age() {
-            return (mNode.nanos().getAsLong() - mSince) / NANOS;
+        /** Returns the milliseconds since the step began. */
+        long stepMillis() {
+            return (mNode.nanos().getAsLong() - mStepStartNanos) / NANOS_PER_MILLI;
         }
 
-        /**
-         * Goes to the next step.
-         *
-         * @param step the step
-         */
-        void step(Step step) {
+        /** Enters the next step. */
+        void enter(Step step) {
             mStep = step;
-            mSince = mNode.nanos().getAsLong();
+            mStepStartNanos = mNode.nanos().getAsLong();
         }
     }
 
@@ -132,10 +115,10 @@
      * Creates a proposer.
      *
      * @param node the router's identity, threads, clock and metrics
-     * @param membership who the members are
-     * @param configurations the declarations in force here
-     * @param table where the row stands
-     * @param sender sends a message to a router
+     * @param membership knows the members
+     * @param configurations the declarations in force at this router
+     * @param table the table that holds the configuration row
+     * @param sender sends messages to routers
      */
     public ChangeProposer(
             Node node,
@@ -153,35 +136,35 @@
     /**
      * Proposes a change.
      *
-     * @param edit makes the new declarations of the latest; may refuse with an exception
-     * @return the declarations in force everywhere, or a {@link TroutpierException} that says what
-     *     is known
+     * @param edit computes the new declarations from the latest ones; may throw to refuse
+     * @return the new declarations once they are in force everywhere, or a {@link
+     *     TroutpierException} that says what is known
      */
     public CompletableFuture<Declarations> propose(UnaryOperator<Declarations> edit) {
-        CompletableFuture<Declarations> told = new CompletableFuture<>();
+        CompletableFuture<Declarations> result = new CompletableFuture<>();
         mConfigurations
                 .readRow()
                 .whenComplete(
                         (row, failure) ->
-                                mNode.control().execute(() -> start(edit, row, failure, told)));
-        return told;
+                                mNode.control().execute(() -> start(edit, row, failure, result)));
+        return result;
     }
 
     /**
-     * Starts a change once the latest row is known.
+     * Starts a change once the latest row was read.
      *
-     * @param edit makes the new declarations of the latest
-     * @param row the latest row, or null where the table is away
+     * @param edit computes the new declarations from the latest ones
+     * @param row the latest row, or null if the table is unavailable
      * @param failure why there is no row, or null
-     * @param told completes when the operator is told
+     * @param result completes with the result for the operator
      */
     private void start(
             UnaryOperator<Declarations> edit,
             Optional<Table.Row> row,
             Throwable failure,
-            CompletableFuture<Declarations> told) {
+            CompletableFuture<Declarations> result) {
         if (failure != null) {
-            told.completeExceptionally(
+            result.completeExceptionally(
                     new TroutpierException(
                             ResultCode.TABLE_UNAVAILABLE, "the change was not begun"));
             return;
@@ -193,21 +176,21 @@
                             .orElse(Declarations.EMPTY);
             change.mNext = edit.apply(latest).as(latest.version() + 1, change.mId);
         } catch (TroutpierException exception) {
-            told.completeExceptionally(exception);
+            result.completeExceptionally(exception);
             return;
         } catch (IllegalArgumentException exception) {
-            told.completeExceptionally(
+            result.completeExceptionally(
                     new TroutpierException(
                             ResultCode.INVALID_DECLARATION, exception.getMessage(), exception));
             return;
         }
         change.mTag = row.map(Table.Row::tag).orElse(null);
-        change.mTold.whenComplete(
+        change.mResult.whenComplete(
                 (done, why) -> {
                     if (why == null) {
-                        told.complete(done);
+                        result.complete(done);
                     } else {
-                        told.completeExceptionally(why);
+                        result.completeExceptionally(why);
                     }
                 });
         mChanges.put(change.mId, change);
@@ -215,64 +198,52 @@
         prepare(change);
     }
 
-    /**
-     * Asks every member that has not answered whether it could put the change in force.
-     *
-     * @param change the change
-     */
+    /** Asks every member that has not prepared whether it can activate the change. */
     private void prepare(Change change) {
         if (change.mStep != Step.PREPARING) {
             return;
         }
-        Set<Incarnation> waiting = missing(change.mPrepared);
+        Set<Incarnation> waiting = membersWithoutAnswer(change.mPrepared);
         if (waiting.isEmpty()) {
             commit(change);
-        } else if (change.age() > PREPARE_MILLIS) {
-            refuse(change, ResultCode.MEMBER_REFUSED, "no answer from " + names(waiting));
+        } else if (change.stepMillis() > PREPARE_TIMEOUT_MILLIS) {
+            reportRefusal(
+                    change, ResultCode.MEMBER_REFUSED, "no answer from " + instanceNames(waiting));
         } else {
             waiting.forEach(
                     to -> mSender.send(to, new PeerMessage.Prepare(change.mId, change.mNext)));
-            mNode.control().schedule(() -> prepare(change), AGAIN_MILLIS);
+            mNode.control().schedule(() -> prepare(change), RETRY_MILLIS);
         }
     }
 
-    /**
-     * Takes a member's answer to a prepare.
-     *
-     * @param from the member
-     * @param answer the answer
-     */
+    /** Handles a member's answer to a prepare message. */
     public void onPrepared(Incarnation from, PeerMessage.Prepared answer) {
         Change change = mChanges.get(answer.change());
         if (change == null || change.mStep != Step.PREPARING) {
             return;
         }
         if (!answer.obstacle().isEmpty()) {
-            refuse(change, ResultCode.MEMBER_REFUSED, from.instance() + ": " + answer.obstacle());
+            reportRefusal(
+                    change, ResultCode.MEMBER_REFUSED, from.instance() + ": " + answer.obstacle());
             return;
         }
         change.mPrepared.add(from);
-        if (missing(change.mPrepared).isEmpty()) {
+        if (membersWithoutAnswer(change.mPrepared).isEmpty()) {
             commit(change);
         }
     }
 
-    /**
-     * Writes the row.
-     *
-     * @param change the change
-     */
     private void commit(Change change) {
-        change.step(Step.COMMITTING);
+        change.enter(Step.COMMITTING);
         mNode.events().record("change-committing", change.mId, "");
-        write(change, outcome -> written(change, outcome));
+        write(change, outcome -> onWritten(change, outcome));
     }
 
     /**
-     * Writes the row on the condition that it is as it was read.
+     * Writes the row on condition that it has not changed since it was read.
      *
      * @param change the change
-     * @param next hears what is known of the write, on the control thread
+     * @param next receives the outcome on the control thread
      */
     private void write(Change change, Consumer<Outcome> next) {
         JsonNode value = Table.toJson(change.mNext);
@@ -284,75 +255,66 @@
                 .thenAccept(done -> mNode.control().execute(() -> next.accept(done.outcome())));
     }
 
-    /**
-     * Goes on after the write.
-     *
-     * @param change the change
-     * @param outcome what is known of the write
-     */
-    private void written(Change change, Outcome outcome) {
+    private void onWritten(Change change, Outcome outcome) {
         switch (outcome) {
             case WRITTEN -> activate(change);
             case NOT_SENT ->
-                    refuse(change, ResultCode.TABLE_UNAVAILABLE, "the change was not committed");
+                    reportRefusal(
+                            change, ResultCode.TABLE_UNAVAILABLE, "the change was not committed");
             case CONFLICT ->
-                    refuse(change, ResultCode.CHANGE_CONFLICT, "another change was committed");
+                    reportRefusal(
+                            change, ResultCode.CHANGE_CONFLICT, "another change was committed");
             default -> readBack(change);
         }
     }
 
-    /**
-     * Looks for the fate of a commit whose acknowledgement was lost.
-     *
-     * @param change the change
-     */
+    /** Reads the row back to find the outcome of a commit whose acknowledgement was lost. */
     private void readBack(Change change) {
         mConfigurations
                 .readRow()
                 .whenComplete(
                         (row, failure) ->
-                                mNode.control().execute(() -> readBack(change, row, failure)));
+                                mNode.control().execute(() -> onReadBack(change, row, failure)));
     }
 
     /**
-     * Goes on after reading the row back. A row that is not yet there proves nothing: the write may
-     * take effect late. So the same change is written once more; whichever of the two takes effect,
-     * the other fails on its condition.
+     * Decides by the row that was read back. A row without the change proves nothing, because the
+     * first write may still take effect. The same change is therefore written again; whichever
+     * write takes effect, the other fails on its condition.
      *
      * @param change the change
      * @param row the row, or null
-     * @param failure why there is none, or null
+     * @param failure why there is no row, or null
      */
-    private void readBack(Change change, Optional<Table.Row> row, Throwable failure) {
+    private void onReadBack(Change change, Optional<Table.Row> row, Throwable failure) {
         if (failure != null) {
-            if (change.age() > READ_BACK_MILLIS) {
-                refuse(change, ResultCode.CHANGE_IN_DOUBT, "the table does not say");
+            if (change.stepMillis() > READ_BACK_TIMEOUT_MILLIS) {
+                reportRefusal(change, ResultCode.CHANGE_IN_DOUBT, "the table does not say");
             } else {
-                mNode.control().schedule(() -> readBack(change), AGAIN_MILLIS);
+                mNode.control().schedule(() -> readBack(change), RETRY_MILLIS);
             }
             return;
         }
-        Declarations found =
-                row.map(one -> ConfigurationRegistry.parse(one.value())).orElse(Declarations.EMPTY);
-        if (found.changeId().equals(change.mId)) {
+        Declarations latest =
+                row.map(found -> ConfigurationRegistry.parse(found.value()))
+                        .orElse(Declarations.EMPTY);
+        if (latest.changeId().equals(change.mId)) {
             mNode.count("configuration.acknowledgement-recovered");
             activate(change);
-        } else if (found.version() >= change.mNext.version()) {
-            refuse(change, ResultCode.CHANGE_CONFLICT, "another change was committed");
+        } else if (latest.version() >= change.mNext.version()) {
+            reportRefusal(change, ResultCode.CHANGE_CONFLICT, "another change was committed");
         } else {
             retryCommit(change);
         }
     }
 
     /**
-     * Writes the row again where the first write is not to be seen: either write may win, and both
-     * make the same change.
-     *
-     * @param change the change
+     * Writes the row again because the first write is not visible. Either write may take effect;
+     * both make the same change.
      */
     private void retryCommit(Change change) {
-        if (change.age() > READ_BACK_MILLIS) {
-            refuse(change, ResultCode.CHANGE_IN_DOUBT, "the commit is not to be seen");
+        if (change.stepMillis() > READ_BACK_TIMEOUT_MILLIS) {
+            reportRefusal(change, ResultCode.CHANGE_IN_DOUBT, "the commit is not to be seen");
             return;
         }
         write(
@@ -361,104 +323,80 @@
                     if (outcome == Outcome.WRITTEN) {
                         activate(change);
                     } else {
-                        mNode.control().schedule(() -> readBack(change), AGAIN_MILLIS);
+                        mNode.control().schedule(() -> readBack(change), RETRY_MILLIS);
                     }
                 });
     }
 
-    /**
-     * Begins to put a committed change in force.
-     *
-     * @param change the change
-     */
+    /** Starts the activation of a committed change. */
     private void activate(Change change) {
-        change.step(Step.ACTIVATING);
+        change.enter(Step.ACTIVATING);
         mNode.events().record("change-committed", change.mId, "");
         mConfigurations.adopt(change.mNext, "own change");
-        carryOn(change);
+        sendActivations(change);
     }
 
     /**
-     * Tells every member that has not confirmed to put the change in force.
-     *
-     * @param change the change
+     * Sends the activation to every member that has not confirmed it, and schedules the next try.
      */
-    private void carryOn(Change change) {
-        Set<Incarnation> waiting = missing(change.mActivated);
+    private void sendActivations(Change change) {
+        Set<Incarnation> waiting = membersWithoutAnswer(change.mActivated);
         if (waiting.isEmpty()) {
-            tellAccepted(change);
+            reportAccepted(change);
             mChanges.remove(change.mId);
             return;
         }
-        if (change.mStep == Step.ACTIVATING && change.age() > ACTIVATE_MILLIS) {
-            change.mTold.completeExceptionally(
+        if (change.mStep == Step.ACTIVATING && change.stepMillis() > ACTIVATE_TIMEOUT_MILLIS) {
+            change.mResult.completeExceptionally(
                     new TroutpierException(
                             ResultCode.CHANGE_NOT_EVERYWHERE,
                             "committed as version "
                                     + change.mNext.version()
                                     + ", not confirmed by "
-                                    + names(waiting)));
-            change.step(Step.TOLD);
+                                    + instanceNames(waiting)));
+            change.enter(Step.REPORTED);
         }
-        if (change.mStep == Step.TOLD && change.age() > CARRY_ON_MILLIS) {
+        if (change.mStep == Step.REPORTED && change.stepMillis() > BACKGROUND_MILLIS) {
             mChanges.remove(change.mId);
             return;
         }
         waiting.forEach(to -> mSender.send(to, new PeerMessage.Activate(change.mId, change.mNext)));
-        mNode.control().schedule(() -> carryOn(change), AGAIN_MILLIS);
+        mNode.control().schedule(() -> sendActivations(change), RETRY_MILLIS);
     }
 
-    /**
-     * Takes a member's word that it has put a change in force.
-     *
-     * @param from the member
-     * @param answer what it says
-     */
+    /** Handles a member's confirmation that it has activated a change. */
     public void onActivated(Incarnation from, PeerMessage.Activated answer) {
         Change change = mChanges.get(answer.change());
         if (change == null || answer.version() < change.mNext.version()) {
             return;
         }
         change.mActivated.add(from);
-        if (change.mStep == Step.ACTIVATING && missing(change.mActivated).isEmpty()) {
-            tellAccepted(change);
+        if (change.mStep == Step.ACTIVATING && membersWithoutAnswer(change.mActivated).isEmpty()) {
+            reportAccepted(change);
         }
     }
 
-    /**
-     * Tells the operator that the change is in force everywhere.
-     *
-     * @param change the change
-     */
-    private void tellAccepted(Change change) {
-        if (change.mTold.complete(change.mNext)) {
+    /** Tells the operator that the change is in force everywhere. */
+    private void reportAccepted(Change change) {
+        if (change.mResult.complete(change.mNext)) {
             mNode.events().record("change-accepted", change.mId, "");
-            change.step(Step.TOLD);
+            change.enter(Step.REPORTED);
         }
     }
 
-    /**
-     * Tells the operator that the change is refused or in doubt.
-     *
-     * @param change the change
-     * @param code why
-     * @param detail what exactly
-     */
-    private void refuse(Change change, ResultCode code, String detail) {
+    /** Tells the operator that the change was refused or that its outcome is unknown. */
+    private void reportRefusal(Change change, ResultCode code, String detail) {
         mChanges.remove(change.mId);
-        change.step(Step.TOLD);
+        change.enter(Step.REPORTED);
         mNode.events().record("change-refused", change.mId, code.label() + " " + detail);
-        change.mTold.completeExceptionally(new TroutpierException(code, detail));
+        change.mResult.completeExceptionally(new TroutpierException(code, detail));
     }
 
     /**
-     * Lists the live members that are not among those that have answered. A leaving member takes no
-     * new work and never will again, so it need not answer.
-     *
-     * @param answered those that have answered
-     * @return the others, this router left out
+     * Returns the live members that have not answered, without this router. A leaving member need
+     * not answer because it accepts no new work any more.
      */
-    private Set<Incarnation> missing(Set<Incarnation> answered) {
+    private Set<Incarnation> membersWithoutAnswer(Set<Incarnation> answered) {
         Set<Incarnation> missing = new LinkedHashSet<>();
         List<Membership.Member> serving = mMembership.serving();
         serving.forEach(member -> missing.add(member.incarnation()));
@@ -467,13 +405,8 @@
         return missing;
     }
 
-    /**
-     * Names members for people.
-     *
-     * @param members the members
-     * @return their instances, in order
-     */
-    private static String names(Set<Incarnation> members) {
+    /** Returns the instances of members as text, sorted. */
+    private static String instanceNames(Set<Incarnation> members) {
         Set<String> names = new TreeSet<>();
         members.forEach(member -> names.add(member.instance().value()));
         return String.join(", ", names);
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/configuration/ConfigurationRegistry.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/configuration/ConfigurationRegistry.java
@@ -16,35 +16,30 @@
 import org.troutpier.daemon.table.Table;
 
 /**
- * The declarations in force at this router. The current ones may be read anywhere; everything else
- * is confined to the control thread. Invariant: the version never falls.
+ * The declarations in force at this router. {@link #current()} may be called from any thread;
+ * everything else is confined to the control thread. Invariant: the version never decreases.
  */
 public final class ConfigurationRegistry {
 
-    /** The row that holds the declarations. */
+    /** The key of the row that holds the declarations. */
     public static final String ROW = "configuration";
 
-    /** The router's identity, threads, clock and metrics. */
     private final Node mNode;
 
-    /** Where the row stands. */
     private final Table mTable;
 
-    /** Whether the router takes new work. */
     private final Readiness mReadiness;
 
-    /** Hear of new declarations, on the control thread. */
     private final List<Consumer<Declarations>> mListeners = new ArrayList<>();
 
-    /** The declarations in force. */
     private volatile Declarations mCurrent = Declarations.EMPTY;
 
     /**
      * Creates a registry without declarations.
      *
      * @param node the router's identity, threads, clock and metrics
-     * @param table where the row stands
-     * @param readiness whether the router takes new work
+     * @param table the table that holds the declarations
+     * @param readiness is told when the declarations are known to be the latest
      */
     public ConfigurationRegistry(Node node, Table table, Readiness readiness) {
         mNode = node;
@@ -53,28 +48,24 @@
     }
 
     /**
-     * Adds one that hears of new declarations.
+     * Adds a listener for new declarations.
      *
-     * @param listener hears of them on the control thread
+     * @param listener is called on the control thread
      */
     public void addListener(Consumer<Declarations> listener) {
         mListeners.add(listener);
     }
 
-    /**
-     * Returns the declarations in force; may be called from any thread.
-     *
-     * @return the declarations
-     */
+    /** Returns the declarations in force; may be called from any thread. */
     public Declarations current() {
         return mCurrent;
     }
 
     /**
-     * Puts declarations in force unless they are older than those that are.
+     * Puts declarations in force, unless their version is not newer than the current one.
      *
      * @param next the declarations
-     * @param source where they come from, for the time line
+     * @param source where they come from, for the event
      */
     public void adopt(Declarations next, String source) {
         if (next.version() <= mCurrent.version()) {
@@ -87,9 +78,10 @@
     }
 
     /**
-     * Takes note that the declarations in force are known to be the latest.
+     * Called when the declarations in force are known to be the latest: the router becomes ready
+     * and its fence is lifted.
      *
-     * @param source who says so
+     * @param source who confirmed it
      */
     public void onValidated(String source) {
         mReadiness.setConfigured();
@@ -97,9 +89,10 @@
     }
 
     /**
-     * Reads the row and puts it in force.
+     * Reads the row and puts it in force on the control thread.
      *
-     * @return whether the table answered; the row, where there is one, is then in force
+     * @return whether the table answered; if so, the row is put in force before any task that is
+     *     submitted to the control thread afterwards
      */
     public CompletableFuture<Boolean> refresh() {
         return mTable.read(ROW)
@@ -119,17 +112,17 @@
     /**
      * Reads the row with its tag.
      *
-     * @return the row, or empty where there is none; fails where the table is away
+     * @return the row, or empty if there is none; fails if the table is unavailable
      */
     public CompletableFuture<Optional<Table.Row>> readRow() {
         return mTable.read(ROW);
     }
 
     /**
-     * Parses declarations from a row.
+     * Parses the value of the row.
      *
      * @param value the row's value
-     * @return the declarations
+     * @return the declarations; fails with {@link ResultCode#INVALID_DECLARATION}
      */
     public static Declarations parse(JsonNode value) {
         try {
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/configuration/package-info.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/configuration/package-info.java
@@ -1,2 +1,2 @@
-/** The declarations in force here and how they change. */
+/** The declarations in force and the protocol that changes them. */
 package org.troutpier.daemon.configuration;
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/operator/ClassFieldEditor.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/operator/ClassFieldEditor.java
@@ -7,29 +7,28 @@
 import org.troutpier.common.result.ResultCode;
 import org.troutpier.common.result.TroutpierException;
 
-/** Changes one field of a class by its name. Stateless and thread safe. */
+/** Sets one field of a request class by its name. Stateless and thread safe. */
 final class ClassFieldEditor {
 
-    /** Not to be instantiated. */
     private ClassFieldEditor() {}
 
     /**
-     * Returns a class with one field changed; every check of the declaration applies.
+     * Returns a copy of a class with one field changed and validated.
      *
      * @param declared the class
-     * @param field the field as it is written in YAML
-     * @param value its new value
-     * @return a new declaration
+     * @param field the field's name in YAML
+     * @param value the new value
+     * @return the changed class
      */
     static ClassDeclaration with(ClassDeclaration declared, String field, String value) {
         ObjectNode node = Json.mapper().valueToTree(declared);
-        boolean fixed = field.equals("name") || field.equals("partner");
-        if (fixed || !node.has(field)) {
+        boolean immutable = field.equals("name") || field.equals("partner");
+        if (immutable || !node.has(field)) {
             throw new TroutpierException(
                     ResultCode.MALFORMED_REQUEST, "a class has no field " + field + " to set");
         }
         try {
-            node.set(field, Json.mapper().readTree(literal(value)));
+            node.set(field, Json.mapper().readTree(toJson(value)));
             return Json.mapper().treeToValue(node, ClassDeclaration.class);
         } catch (JsonProcessingException exception) {
             throw new TroutpierException(
@@ -39,14 +38,9 @@
         }
     }
 
-    /**
-     * Writes a value as JSON: numbers and truth values as they are, the rest as text.
-     *
-     * @param value the value
-     * @return its JSON
-     */
-    private static String literal(String value) {
-        boolean bare = value.matches("[0-9]+|true|false");
-        return bare ? value : "\"" + value + "\"";
+    /** Converts a value to JSON: numbers and booleans as they are, the rest as a string. */
+    private static String toJson(String value) {
+        boolean unquoted = value.matches("[0-9]+|true|false");
+        return unquoted ? value : "\"" + value + "\"";
     }
 }
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/operator/CommandHandler.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/operator/CommandHandler.java
@@ -28,18 +28,16 @@
 import org.troutpier.daemon.request.RequestExchange;
 
 /**
- * Reads the operators' language and says what is to be done. Thread safe; rows are made on the
- * control thread. Invariant: a command names things of the operator's own partner only.
+ * Parses and executes operators' commands. Thread safe; rows are computed on the control thread.
+ * Invariant: a command accesses only what the operator's own partner owns.
  */
 public final class CommandHandler {
 
-    /** The router's identity, threads, clock and metrics. */
     private final Node mNode;
 
-    /** The requests that this router carries. */
     private final ExchangeRegistry mRegistry;
 
-    /** What can be shown; control thread only. */
+    /** Confined to the control thread. */
     private final Inventory mInventory;
 
     /**
@@ -47,7 +45,7 @@
      *
      * @param node the router's identity, threads, clock and metrics
      * @param registry the requests that this router carries
-     * @param inventory what can be shown
+     * @param inventory answers queries
      */
     CommandHandler(Node node, ExchangeRegistry registry, Inventory inventory) {
         mNode = node;
@@ -55,11 +53,11 @@
         mInventory = inventory;
     }
 
-    /** What a command comes to. */
+    /** The result of a command. */
     public sealed interface Reply {}
 
     /**
-     * Rows to show. Immutable and thread safe.
+     * The rows that a query returns. Immutable and thread safe.
      *
      * @param columns the names of the columns, in order
      * @param rows the rows
@@ -67,18 +65,18 @@
     public record Rows(List<String> columns, List<Map<String, String>> rows) implements Reply {}
 
     /**
-     * A change to carry through. Immutable and thread safe.
+     * A change of the declarations that the command asks for. Immutable and thread safe.
      *
-     * @param edit makes the new declarations of the latest
+     * @param edit computes the new declarations from the latest ones
      */
     public record Edit(UnaryOperator<Declarations> edit) implements Reply {}
 
     /**
-     * Reads a command and says what it comes to.
+     * Executes a command.
      *
      * @param text the command
-     * @param rights whose operator asks
-     * @return the reply, or a {@link TroutpierException}
+     * @param rights the rights of the operator
+     * @return the reply; fails with a {@link TroutpierException}
      */
     public CompletableFuture<Reply> execute(String text, Rights rights) {
         CommandParser.CommandContext command = parse(text);
@@ -87,7 +85,7 @@
                 .execute(
                         () -> {
                             try {
-                                reply.complete(command.accept(new Runner(rights)));
+                                reply.complete(command.accept(new CommandExecutor(rights)));
                             } catch (TroutpierException exception) {
                                 reply.completeExceptionally(exception);
                             } catch (IllegalArgumentException exception) {
@@ -105,20 +103,20 @@
      * Parses a command.
      *
      * @param text the command
-     * @return its tree; fails with the place of the first fault
+     * @return its parse tree; fails with the column of the first syntax error
      */
     private static CommandParser.CommandContext parse(String text) {
         CommandLexer lexer = new CommandLexer(CharStreams.fromString(text));
         CommandParser parser = new CommandParser(new CommonTokenStream(lexer));
         lexer.removeErrorListeners();
         parser.removeErrorListeners();
-        lexer.addErrorListener(new Faults());
-        parser.addErrorListener(new Faults());
+        lexer.addErrorListener(new SyntaxErrorListener());
+        parser.addErrorListener(new SyntaxErrorListener());
         return parser.command();
     }
 
-    /** Turns a fault in a command into an exception. Stateless. */
-    private static final class Faults extends BaseErrorListener {
+    /** Converts a syntax error into an exception. Stateless. */
+    private static final class SyntaxErrorListener extends BaseErrorListener {
 
         /** {@inheritDoc} */
         @Override
@@ -134,18 +132,12 @@
         }
     }
 
-    /** Carries one command out. Confined to the control thread. */
-    private final class Runner extends CommandBaseVisitor<Reply> {
+    /** Executes one command. Confined to the control thread. */
+    private final class CommandExecutor extends CommandBaseVisitor<Reply> {
 
-        /** Whose operator asks. */
         private final Rights mRights;
 
-        /**
-         * Creates a runner.
-         *
-         * @param rights whose operator asks
-         */
-        Runner(Rights rights) {
+        CommandExecutor(Rights rights) {
             mRights = rights;
         }
 
@@ -158,24 +150,24 @@
         /** {@inheritDoc} */
         @Override
         public Reply visitShow(CommandParser.ShowContext show) {
-            ResultTable shown = mInventory.show(show.thing().getText(), mRights);
+            ResultTable table = mInventory.show(show.thing().getText(), mRights);
             List<ResultTable.Condition> conditions = new ArrayList<>();
             for (CommandParser.ConditionContext condition : show.condition()) {
                 conditions.add(
                         new ResultTable.Condition(
                                 condition.field().getText(),
                                 condition.operator().getText(),
-                                value(condition.value())));
+                                unquote(condition.value())));
             }
-            shown = shown.where(conditions);
+            table = table.where(conditions);
             if (show.field() != null) {
                 boolean descending = show.direction() != null && show.direction().DESC() != null;
-                shown = shown.orderedBy(show.field().getText(), descending);
+                table = table.orderedBy(show.field().getText(), descending);
             }
             if (show.NUMBER() != null) {
-                shown = shown.limited(Integer.parseInt(show.NUMBER().getText()));
+                table = table.limit(Integer.parseInt(show.NUMBER().getText()));
             }
-            return new Rows(shown.columns(), shown.rows());
+            return new Rows(table.columns(), table.rows());
         }
 
         /** {@inheritDoc} */
@@ -183,10 +175,10 @@
         public Reply visitSet(CommandParser.SetContext set) {
             ClassName name = new ClassName(set.name.getText());
             String field = set.field().getText();
-            String value = value(set.value());
+            String value = unquote(set.value());
             return new Edit(
                     whole -> {
-                        ClassDeclaration declared = ownClass(whole, name);
+                        ClassDeclaration declared = findClass(whole, name);
                         return DeclarationAccess.withClass(
                                 whole, ClassFieldEditor.with(declared, field, value), mRights);
                     });
@@ -196,11 +188,11 @@
         @Override
         public Reply visitAssign(CommandParser.AssignContext assign) {
             UpstreamId id = new UpstreamId(assign.name.getText());
-            Role role = role(assign.role.getText());
+            Role role = parseRole(assign.role.getText());
             return new Edit(
                     whole ->
                             DeclarationAccess.withUpstream(
-                                    whole, upstream(whole, id).withRole(role), mRights));
+                                    whole, findUpstream(whole, id).withRole(role), mRights));
         }
 
         /** {@inheritDoc} */
@@ -211,7 +203,9 @@
             return new Edit(
                     whole ->
                             DeclarationAccess.withUpstream(
-                                    whole, upstream(whole, id).withDraining(draining), mRights));
+                                    whole,
+                                    findUpstream(whole, id).withDraining(draining),
+                                    mRights));
         }
 
         /** {@inheritDoc} */
@@ -229,14 +223,8 @@
                     List.of(Map.of("id", running.id().value(), "state", "cancelled")));
         }
 
-        /**
-         * Finds a class of the operator's own.
-         *
-         * @param whole the latest declarations
-         * @param name the class
-         * @return the class
-         */
-        private ClassDeclaration ownClass(Declarations whole, ClassName name) {
+        /** Finds a class that the operator's rights cover. */
+        private ClassDeclaration findClass(Declarations whole, ClassName name) {
             return whole.classes().stream()
                     .filter(declared -> declared.name().equals(name))
                     .filter(declared -> mRights.covers(declared.partner()))
@@ -246,14 +234,7 @@
         }
     }
 
-    /**
-     * Finds an upstream.
-     *
-     * @param whole the latest declarations
-     * @param id the upstream
-     * @return the upstream
-     */
-    private static UpstreamDeclaration upstream(Declarations whole, UpstreamId id) {
+    private static UpstreamDeclaration findUpstream(Declarations whole, UpstreamId id) {
         return whole.upstream(id)
                 .orElseThrow(
                         () ->
@@ -262,13 +243,7 @@
                                         "there is no upstream " + id));
     }
 
-    /**
-     * Reads a role.
-     *
-     * @param text the role's name
-     * @return the role
-     */
-    private static Role role(String text) {
+    private static Role parseRole(String text) {
         for (Role role : Role.values()) {
             if (role.label().equals(text.toLowerCase(Locale.ROOT))) {
                 return role;
@@ -277,13 +252,8 @@
         throw new TroutpierException(ResultCode.MALFORMED_REQUEST, "there is no role " + text);
     }
 
-    /**
-     * Reads a value.
-     *
-     * @param value its tree
-     * @return its text, without quotes
-     */
-    private static String value(CommandParser.ValueContext value) {
+    /** Returns the text of a value without quotes. */
+    private static String unquote(CommandParser.ValueContext value) {
         String text = value.getText();
         return text.startsWith("\"") ? text.substring(1, text.length() - 1) : text;
     }
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/operator/CommandHandlerFactory.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/operator/CommandHandlerFactory.java
@@ -7,21 +7,20 @@
 import org.troutpier.daemon.placement.UpstreamRegistry;
 import org.troutpier.daemon.request.ExchangeRegistry;
 
-/** Puts the operators' parts together. Stateless and thread safe. */
+/** Creates the command handler with what it depends on. Stateless and thread safe. */
 public final class CommandHandlerFactory {
 
-    /** Not to be instantiated. */
     private CommandHandlerFactory() {}
 
     /**
-     * Makes the handler of queries and commands.
+     * Creates the handler of queries and commands.
      *
      * @param node the router's identity, threads, clock and metrics
      * @param registry the requests that this router carries
      * @param upstreamRegistry all upstreams
-     * @param membership who the routers are
+     * @param membership knows the routers
      * @param declarations the declarations in force
-     * @param peers knows the versions of the other routers
+     * @param peers knows the configuration versions of the other routers
      * @return the handler
      */
     public static CommandHandler create(
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/operator/DeclarationAccess.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/operator/DeclarationAccess.java
@@ -17,20 +17,19 @@
 import org.troutpier.common.result.TroutpierException;
 
 /**
- * What an operator may see and change. Pure decision, stateless and thread safe. Invariant: a
- * partner's operators never change another partner's declarations, nor their own share.
+ * Decides which declarations an operator may see and change. Stateless and thread safe. Invariant:
+ * a partner's operators never change another partner's declarations, nor their own partner's share.
  */
 public final class DeclarationAccess {
 
-    /** Not to be instantiated. */
     private DeclarationAccess() {}
 
     /**
-     * Returns what an operator may see.
+     * Returns the part of the declarations that an operator may see.
      *
      * @param whole the declarations in force
-     * @param rights whose operator asks
-     * @return the operator's part
+     * @param rights the rights of the operator
+     * @return the visible part
      */
     public static Declarations visible(Declarations whole, Rights rights) {
         if (rights.isAdministrator()) {
@@ -39,26 +38,28 @@
         return new Declarations(
                 whole.version(),
                 whole.changeId(),
-                only(whole.partners(), partner -> rights.covers(partner.id())),
-                only(whole.upstreams(), upstream -> rights.covers(upstream.owner())),
-                only(whole.classes(), declared -> rights.covers(declared.partner())));
+                filter(whole.partners(), partner -> rights.covers(partner.id())),
+                filter(whole.upstreams(), upstream -> rights.covers(upstream.owner())),
+                filter(whole.classes(), declared -> rights.covers(declared.partner())));
     }
 
     /**
-     * Puts an operator's part in place of what stood there.
+     * Returns declarations in which an operator's part is replaced.
      *
      * @param whole the latest declarations
-     * @param part the part as the operator wants it
-     * @param rights whose operator asks
-     * @return the whole as it would be
+     * @param part the new part
+     * @param rights the rights of the operator
+     * @return the new declarations; fails with {@link ResultCode#WRONG_PARTNER}
      */
     public static Declarations withPart(Declarations whole, DeclarationPart part, Rights rights) {
         if (rights.isAdministrator()) {
-            return replacedByAdministrator(whole, part);
+            return withAdministratorPart(whole, part);
         }
-        part.partners().forEach(partner -> requireOwn(rights, partner.id(), whole, partner));
-        part.upstreams().forEach(upstream -> require(rights, upstream.owner(), upstream.id()));
-        part.classes().forEach(declared -> require(rights, declared.partner(), declared.name()));
+        part.partners().forEach(partner -> requireSameShare(rights, partner.id(), whole, partner));
+        part.upstreams()
+                .forEach(upstream -> requireCovered(rights, upstream.owner(), upstream.id()));
+        part.classes()
+                .forEach(declared -> requireCovered(rights, declared.partner(), declared.name()));
         List<PartnerDeclaration> partners = new ArrayList<>();
         for (PartnerDeclaration partner : whole.partners()) {
             partners.add(
@@ -71,23 +72,24 @@
                 whole.version(),
                 whole.changeId(),
                 partners,
-                joined(
-                        only(whole.upstreams(), upstream -> !rights.covers(upstream.owner())),
+                concatenate(
+                        filter(whole.upstreams(), upstream -> !rights.covers(upstream.owner())),
                         part.upstreams()),
-                joined(
-                        only(whole.classes(), declared -> !rights.covers(declared.partner())),
+                concatenate(
+                        filter(whole.classes(), declared -> !rights.covers(declared.partner())),
                         part.classes()));
     }
 
     /**
-     * Puts the administrator's partners in place. What a partner has declared stays while the
-     * partner is declared; upstreams and classes in the part are added to it.
+     * Returns declarations in which the administrator's partners are replaced. Upstreams and
+     * classes of partners that are still declared are kept; those in the part are added or replace
+     * those of the same name.
      *
      * @param whole the latest declarations
-     * @param part the part as the administrator wants it
-     * @return the whole as it would be
+     * @param part the administrator's part
+     * @return the new declarations
      */
-    private static Declarations replacedByAdministrator(Declarations whole, DeclarationPart part) {
+    private static Declarations withAdministratorPart(Declarations whole, DeclarationPart part) {
         Set<PartnerId> declared = new HashSet<>();
         part.partners().forEach(partner -> declared.add(partner.id()));
         Set<UpstreamId> upstreams = new HashSet<>();
@@ -98,15 +100,15 @@
                 whole.version(),
                 whole.changeId(),
                 part.partners(),
-                joined(
-                        only(
+                concatenate(
+                        filter(
                                 whole.upstreams(),
                                 one ->
                                         declared.contains(one.owner())
                                                 && !upstreams.contains(one.id())),
                         part.upstreams()),
-                joined(
-                        only(
+                concatenate(
+                        filter(
                                 whole.classes(),
                                 one ->
                                         declared.contains(one.partner())
@@ -116,16 +118,16 @@
     }
 
     /**
-     * Puts one upstream in place of what stood there.
+     * Returns declarations in which one upstream is replaced.
      *
      * @param whole the latest declarations
-     * @param changed the upstream as it should be
-     * @param rights whose operator asks
-     * @return the whole as it would be
+     * @param changed the new upstream
+     * @param rights the rights of the operator
+     * @return the new declarations; fails with {@link ResultCode#WRONG_PARTNER}
      */
     public static Declarations withUpstream(
             Declarations whole, UpstreamDeclaration changed, Rights rights) {
-        require(rights, changed.owner(), changed.id());
+        requireCovered(rights, changed.owner(), changed.id());
         List<UpstreamDeclaration> upstreams = new ArrayList<>();
         for (UpstreamDeclaration upstream : whole.upstreams()) {
             upstreams.add(upstream.id().equals(changed.id()) ? changed : upstream);
@@ -135,16 +137,16 @@
     }
 
     /**
-     * Puts one class in place of what stood there.
+     * Returns declarations in which one class is replaced.
      *
      * @param whole the latest declarations
-     * @param changed the class as it should be
-     * @param rights whose operator asks
-     * @return the whole as it would be
+     * @param changed the new class
+     * @param rights the rights of the operator
+     * @return the new declarations; fails with {@link ResultCode#WRONG_PARTNER}
      */
     public static Declarations withClass(
             Declarations whole, ClassDeclaration changed, Rights rights) {
-        require(rights, changed.partner(), changed.name());
+        requireCovered(rights, changed.partner(), changed.name());
         List<ClassDeclaration> classes = new ArrayList<>();
         for (ClassDeclaration declared : whole.classes()) {
             boolean same =
@@ -157,57 +159,41 @@
     }
 
     /**
-     * Checks that a thing is the operator's own.
+     * Checks that the operator's rights cover an owner.
      *
-     * @param rights whose operator asks
-     * @param owner whose the thing is
-     * @param thing the thing, for the message
+     * @param rights the rights of the operator
+     * @param owner the owner
+     * @param thing what it owns, for the message
      */
-    private static void require(Rights rights, PartnerId owner, Object thing) {
+    private static void requireCovered(Rights rights, PartnerId owner, Object thing) {
         if (!rights.covers(owner)) {
             throw new TroutpierException(ResultCode.WRONG_PARTNER, thing + " belongs to " + owner);
         }
     }
 
     /**
-     * Checks that an operator declares its own partner and leaves its share as it is.
+     * Checks that a partner in an operator's part is the operator's own and keeps its share.
      *
-     * @param rights whose operator asks
-     * @param owner the partner that is declared
+     * @param rights the rights of the operator
+     * @param owner the id of the partner
      * @param whole the latest declarations
-     * @param wanted the partner as the operator wants it
+     * @param wanted the partner in the operator's part
      */
-    private static void requireOwn(
+    private static void requireSameShare(
             Rights rights, PartnerId owner, Declarations whole, PartnerDeclaration wanted) {
-        require(rights, owner, owner);
-        Optional<PartnerDeclaration> now = whole.partner(owner);
-        if (now.isEmpty() || now.get().share() != wanted.share()) {
+        requireCovered(rights, owner, owner);
+        Optional<PartnerDeclaration> current = whole.partner(owner);
+        if (current.isEmpty() || current.get().share() != wanted.share()) {
             throw new TroutpierException(
                     ResultCode.WRONG_PARTNER, "the share of " + owner + " is not its own to set");
         }
     }
 
-    /**
-     * Keeps some of a list.
-     *
-     * @param all the list
-     * @param kept which to keep
-     * @param <T> what is in it
-     * @return a new list
-     */
-    private static <T> List<T> only(List<T> all, Predicate<T> kept) {
-        return all.stream().filter(kept).toList();
+    private static <T> List<T> filter(List<T> all, Predicate<T> predicate) {
+        return all.stream().filter(predicate).toList();
     }
 
-    /**
-     * Joins two lists.
-     *
-     * @param first the first
-     * @param second the second
-     * @param <T> what is in them
-     * @return a new list
-     */
-    private static <T> List<T> joined(List<T> first, List<T> second) {
+    private static <T> List<T> concatenate(List<T> first, List<T> second) {
         List<T> joined = new ArrayList<>(first);
         joined.addAll(second);
         return joined;
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/operator/Inventory.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/operator/Inventory.java
@@ -22,31 +22,23 @@
 import org.troutpier.daemon.request.RequestExchange;
 
 /**
- * What this router can show: requests, upstreams, capacity, routers, classes, partners, changes.
- * Confined to the control thread. Invariant: no row of another partner is ever made for an
- * operator.
+ * Answers queries about requests, upstreams, capacity, routers, classes, partners and changes.
+ * Confined to the control thread. Invariant: an operator never gets a row about another partner.
  */
 final class Inventory {
 
-    /** Nanoseconds in a millisecond. */
-    private static final long NANOS = 1_000_000L;
+    private static final long NANOS_PER_MILLI = 1_000_000L;
 
-    /** The router's identity, threads, clock and metrics. */
     private final Node mNode;
 
-    /** The requests that this router carries. */
     private final ExchangeRegistry mRegistry;
 
-    /** All upstreams. */
     private final UpstreamRegistry mUpstreamRegistry;
 
-    /** Who the routers are. */
     private final Membership mMembership;
 
-    /** The declarations in force. */
     private final ConfigurationRegistry mConfigurations;
 
-    /** Provides the versions of the other routers. */
     private final PeerController mPeers;
 
     /**
@@ -55,9 +47,9 @@
      * @param node the router's identity, threads, clock and metrics
      * @param registry the requests that this router carries
      * @param upstreamRegistry all upstreams
-     * @param membership who the routers are
+     * @param membership knows the routers
      * @param configurations the declarations in force
-     * @param peers knows the versions of the other routers
+     * @param peers knows the configuration versions of the other routers
      */
     Inventory(
             Node node,
@@ -75,10 +67,10 @@
     }
 
     /**
-     * Makes the rows of a kind of thing.
+     * Returns the rows about a kind of thing.
      *
      * @param thing the kind
-     * @param rights whose operator asks
+     * @param rights the rights of the operator
      * @return the rows
      */
     ResultTable show(String thing, Rights rights) {
@@ -100,12 +92,6 @@
         };
     }
 
-    /**
-     * Shows the requests that this router carries.
-     *
-     * @param rights whose operator asks
-     * @return the rows
-     */
     private ResultTable requests(Rights rights) {
         List<Map<String, String>> rows = new ArrayList<>();
         long now = mNode.nanos().getAsLong();
@@ -118,19 +104,13 @@
                                 "class", running.declared().name(),
                                 "state", running.currentStage().label(),
                                 "upstream", running.currentUpstream(),
-                                "age_ms", (now - running.arrivalNanos()) / NANOS));
+                                "age_ms", (now - running.arrivalNanos()) / NANOS_PER_MILLI));
             }
         }
         return new ResultTable(
                 List.of("id", "partner", "class", "state", "upstream", "age_ms"), rows);
     }
 
-    /**
-     * Shows the upstreams.
-     *
-     * @param rights whose operator asks
-     * @return the rows
-     */
     private ResultTable upstreams(Rights rights) {
         List<Map<String, String>> rows = new ArrayList<>();
         long now = mNode.nanos().getAsLong();
@@ -146,7 +126,7 @@
                                 "slots", state.declared().slots(),
                                 "mine", state.mine(),
                                 "running", state.guessedRunning(),
-                                "state", condition(state, now)));
+                                "state", upstreamState(state, now)));
             }
         }
         return new ResultTable(
@@ -156,14 +136,8 @@
                 rows);
     }
 
-    /**
-     * Says how an upstream fares.
-     *
-     * @param state the upstream
-     * @param now the time
-     * @return one word
-     */
-    private static String condition(UpstreamState state, long now) {
+    /** Returns the state of an upstream as one word. */
+    private static String upstreamState(UpstreamState state, long now) {
         if (state.declared().draining()) {
             return "draining";
         }
@@ -173,12 +147,7 @@
         return state.usable(now) ? "live" : "silent";
     }
 
-    /**
-     * Shows what each model or service could take.
-     *
-     * @param rights whose operator asks
-     * @return the rows
-     */
+    /** Returns the number and load of the usable upstreams, by model or service and role. */
     private ResultTable capacity(Rights rights) {
         Map<String, int[]> sums = new LinkedHashMap<>();
         long now = mNode.nanos().getAsLong();
@@ -205,11 +174,6 @@
         return new ResultTable(List.of("serves", "role", "upstreams", "slots", "running"), rows);
     }
 
-    /**
-     * Shows the routers.
-     *
-     * @return the rows
-     */
     private ResultTable routers() {
         Map<Incarnation, Long> versions = mPeers.configurationVersions();
         List<Map<String, String>> rows = new ArrayList<>();
@@ -227,12 +191,6 @@
         return new ResultTable(List.of("id", "hall", "version", "leaving", "heard"), rows);
     }
 
-    /**
-     * Shows the request classes.
-     *
-     * @param rights whose operator asks
-     * @return the rows
-     */
     private ResultTable classes(Rights rights) {
         List<Map<String, String>> rows = new ArrayList<>();
         for (ClassDeclaration declared : mConfigurations.current().classes()) {
@@ -262,12 +220,6 @@
                 rows);
     }
 
-    /**
-     * Shows the partners.
-     *
-     * @param rights whose operator asks
-     * @return the rows
-     */
     private ResultTable partners(Rights rights) {
         Declarations visible = DeclarationAccess.visible(mConfigurations.current(), rights);
         List<Map<String, String>> rows =
@@ -283,11 +235,7 @@
         return new ResultTable(List.of("id", "share", "queue_limit", "in_flight_limit"), rows);
     }
 
-    /**
-     * Shows the changes that this router has seen lately.
-     *
-     * @return the rows
-     */
+    /** Returns the steps of changes that are still in the event ring. */
     private ResultTable changes() {
         List<Map<String, String>> rows = new ArrayList<>();
         for (Event event : mNode.events().about("")) {
@@ -303,9 +251,9 @@
     }
 
     /**
-     * Makes a row.
+     * Creates a row.
      *
-     * @param cells names and values by turns
+     * @param cells alternating names and values
      * @return the row
      */
     private static Map<String, String> row(Object... cells) {
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/operator/OperatorHandler.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/operator/OperatorHandler.java
@@ -32,55 +32,48 @@
 import org.troutpier.daemon.peer.PeerController;
 
 /**
- * Serves operators: health, counters, events, declarations and commands. Thread safe: it keeps no
- * state of its own. Invariant: an operator sees and changes its own partner's things only.
+ * Serves operators: health, metrics, events, declarations and commands. Thread safe: it keeps no
+ * state of its own. Invariant: an operator sees and changes only what its own partner owns.
  */
 public final class OperatorHandler implements HttpHandler {
 
-    /** Starts the names of counters that belong to a partner. */
-    private static final String PARTNER_COUNTERS = "requests.";
+    /** Prefix of the counters of partners; the partner's id follows. */
+    private static final String PARTNER_COUNTER_PREFIX = "requests.";
 
-    /** The event that says whose a request is. */
-    private static final String ACCEPTED = "accepted";
+    /** Kind of the event whose detail starts with the partner of a request. */
+    private static final String ACCEPTED_EVENT = "accepted";
 
-    /** The status of a router that takes no new work. */
-    private static final int NOT_READY = 503;
+    private static final int SERVICE_UNAVAILABLE = 503;
 
-    /** The router's identity, threads, clock and metrics. */
     private final Node mNode;
 
-    /** Whether new work is taken. */
     private final Readiness mReadiness;
 
-    /** The declarations in force. */
     private final ConfigurationRegistry mConfigurations;
 
-    /** Carries changes through. */
     private final ChangeProposer mProposer;
 
-    /** Who the routers are. */
     private final Membership mMembership;
 
-    /** Detects whether the process was just woken. */
+    /** Knows whether the process resumes after a stall. */
     private final PeerController mPeers;
 
-    /** Answers queries and commands. */
     private final CommandHandler mCommands;
 
-    /** The hash of the administrator's token, or null. */
+    /** The hash of the administrator's token, or null for none. */
     private final String mAdministratorHash;
 
     /**
-     * Creates a front.
+     * Creates a handler.
      *
      * @param node the router's identity, threads, clock and metrics
-     * @param readiness whether new work is taken
+     * @param readiness whether new work is accepted
      * @param configurations the declarations in force
-     * @param proposer carries changes through
-     * @param membership who the routers are
-     * @param peers knows whether the process was just woken
-     * @param commands answers queries and commands
-     * @param administratorHash the hash of the administrator's token, or null
+     * @param proposer runs changes of the declarations
+     * @param membership knows the routers
+     * @param peers knows whether the process resumes after a stall
+     * @param commands executes queries and commands
+     * @param administratorHash the hash of the administrator's token, or null for none
      */
     public OperatorHandler(
             Node node,
@@ -116,11 +109,7 @@
         }
     }
 
-    /**
-     * Tells who this router is and that it runs.
-     *
-     * @return the answer
-     */
+    /** Returns the identity of this router and whether it is leaving. */
     private FullHttpResponse health() {
         Membership.Member self = mMembership.self();
         Map<String, Object> health = new LinkedHashMap<>();
@@ -132,11 +121,7 @@
         return Answers.json(200, health);
     }
 
-    /**
-     * Tells whether new work is taken.
-     *
-     * @return the answer
-     */
+    /** Returns whether new work is accepted, and if not, why. */
     private FullHttpResponse readiness() {
         Optional<String> obstacle =
                 mPeers.isStalled() ? Optional.of("just woken") : mReadiness.obstacle();
@@ -144,19 +129,19 @@
         body.put("ready", obstacle.isEmpty());
         body.put("obstacle", obstacle.orElse(""));
         body.put("version", mConfigurations.current().version());
-        return Answers.json(obstacle.isEmpty() ? 200 : NOT_READY, body);
+        return Answers.json(obstacle.isEmpty() ? 200 : SERVICE_UNAVAILABLE, body);
     }
 
     /**
-     * Tells the counters that an operator may see.
+     * Returns the metrics that an operator may see.
      *
-     * @param rights whose operator asks, or empty for nobody
-     * @return the counters by name
+     * @param rights the rights of the operator, or empty without a token
+     * @return the values by name
      */
     private Map<String, Object> metrics(Optional<Rights> rights) {
         Map<String, Object> metrics = new TreeMap<>();
         for (Map.Entry<String, Counter> counter : mNode.metrics().getCounters().entrySet()) {
-            if (visible(counter.getKey(), rights)) {
+            if (isVisible(counter.getKey(), rights)) {
                 metrics.put(counter.getKey(), counter.getValue().getCount());
             }
         }
@@ -171,46 +156,31 @@
         return metrics;
     }
 
-    /**
-     * Returns whether an operator may see a counter.
-     *
-     * @param name the counter
-     * @param rights whose operator asks, or empty for nobody
-     * @return whether it is no partner's, or the operator's own
-     */
-    private static boolean visible(String name, Optional<Rights> rights) {
-        if (!name.startsWith(PARTNER_COUNTERS)) {
+    /** Returns whether a counter belongs to no partner or to one that the rights cover. */
+    private static boolean isVisible(String name, Optional<Rights> rights) {
+        if (!name.startsWith(PARTNER_COUNTER_PREFIX)) {
             return true;
         }
-        String partner = name.substring(PARTNER_COUNTERS.length()).split("\\.", 2)[0];
+        String partner = name.substring(PARTNER_COUNTER_PREFIX.length()).split("\\.", 2)[0];
         return rights.isPresent() && rights.get().covers(new PartnerId(partner));
     }
 
-    /**
-     * Lists the events that an operator may see.
-     *
-     * @param exchange the request
-     * @return the events
-     */
+    /** Returns the events that an operator may see: all but those of other partners' requests. */
     private List<Event> events(HttpExchange exchange) {
         Rights rights = rights(exchange);
-        Set<String> others = new HashSet<>();
+        Set<String> hiddenSubjects = new HashSet<>();
         for (Event event : mNode.events().about("")) {
-            boolean accepted = event.kind().equals(ACCEPTED);
+            boolean accepted = event.kind().equals(ACCEPTED_EVENT);
             if (accepted && !rights.covers(new PartnerId(event.detail().split("/", 2)[0]))) {
-                others.add(event.subject());
+                hiddenSubjects.add(event.subject());
             }
         }
         return mNode.events().about(exchange.query("subject")).stream()
-                .filter(event -> !others.contains(event.subject()))
+                .filter(event -> !hiddenSubjects.contains(event.subject()))
                 .toList();
     }
 
-    /**
-     * Shows or replaces an operator's declarations.
-     *
-     * @param exchange the request
-     */
+    /** Answers with the visible declarations, or replaces the operator's part. */
     private void declarations(HttpExchange exchange) {
         Rights rights = rights(exchange);
         if (exchange.method().equals("GET")) {
@@ -222,12 +192,7 @@
         propose(exchange, whole -> DeclarationAccess.withPart(whole, part, rights));
     }
 
-    /**
-     * Carries a change through and answers with how it ended.
-     *
-     * @param exchange the request
-     * @param edit makes the new declarations of the latest
-     */
+    /** Proposes a change and answers with its result. */
     private void propose(HttpExchange exchange, UnaryOperator<Declarations> edit) {
         mNode.control()
                 .execute(
@@ -239,20 +204,20 @@
                                                         exchange.loop()
                                                                 .execute(
                                                                         () ->
-                                                                                tell(
+                                                                                answerChange(
                                                                                         exchange,
                                                                                         done,
                                                                                         why))));
     }
 
     /**
-     * Tells how a change ended.
+     * Answers with the result of a change or the failure of a command.
      *
      * @param exchange the request
-     * @param done the declarations in force, or null
-     * @param why why they are not, or null
+     * @param done the declarations in force, or null on failure
+     * @param why the failure, or null
      */
-    static void tell(HttpExchange exchange, Declarations done, Throwable why) {
+    static void answerChange(HttpExchange exchange, Declarations done, Throwable why) {
         Throwable cause = why instanceof CompletionException ? why.getCause() : why;
         if (cause == null) {
             exchange.answer(
@@ -272,11 +237,7 @@
         }
     }
 
-    /**
-     * Answers a query or carries out a command.
-     *
-     * @param exchange the request
-     */
+    /** Executes a command. */
     private void command(HttpExchange exchange) {
         Rights rights = rights(exchange);
         String text = Json.read(exchange.body(), CommandText.class).text();
@@ -284,34 +245,29 @@
                 .execute(text, rights)
                 .whenComplete(
                         (reply, why) ->
-                                exchange.loop().execute(() -> carryOut(exchange, reply, why)));
+                                exchange.loop().execute(() -> answerCommand(exchange, reply, why)));
     }
 
     /**
-     * Answers a query, or carries a change through.
+     * Answers with the rows of a query, or proposes the change that a command asks for.
      *
      * @param exchange the request
-     * @param reply what the command comes to, or null
-     * @param why why it comes to nothing, or null
+     * @param reply the result of the command, or null on failure
+     * @param why the failure, or null
      */
-    private void carryOut(HttpExchange exchange, CommandHandler.Reply reply, Throwable why) {
+    private void answerCommand(HttpExchange exchange, CommandHandler.Reply reply, Throwable why) {
         if (reply instanceof CommandHandler.Rows rows) {
             exchange.answer(Answers.json(200, rows));
         } else if (reply instanceof CommandHandler.Edit edit) {
             propose(exchange, edit.edit());
         } else {
-            tell(exchange, null, why);
+            answerChange(exchange, null, why);
         }
     }
 
-    /**
-     * The body of a command. Immutable and thread safe.
-     *
-     * @param text the command
-     */
+    /** The body of a command. Immutable and thread safe. */
     private record CommandText(String text) {
 
-        /** Checks the text. */
         private CommandText {
             if (text == null) {
                 throw new IllegalArgumentException("text is missing");
@@ -319,23 +275,13 @@
         }
     }
 
-    /**
-     * Finds out whose operator asks.
-     *
-     * @param exchange the request
-     * @return the rights; fails where the token is unknown
-     */
+    /** Returns the rights of the operator; fails if the token is unknown. */
     private Rights rights(HttpExchange exchange) {
         return Rights.forAuthorization(
                 exchange.header("Authorization"), mAdministratorHash, mConfigurations.current());
     }
 
-    /**
-     * Finds out whose operator asks, if anybody's.
-     *
-     * @param exchange the request
-     * @return the rights, or empty where no token was sent
-     */
+    /** Returns the rights of the operator, or empty without a token. */
     private Optional<Rights> optionalRights(HttpExchange exchange) {
         return exchange.header("Authorization") == null
                 ? Optional.empty()
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/operator/ResultTable.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/operator/ResultTable.java
@@ -8,8 +8,7 @@
 import org.troutpier.common.result.TroutpierException;
 
 /**
- * Rows that are shown to an operator, and how they are filtered and ordered. Immutable and thread
- * safe.
+ * The rows of a query's result, with filtering and sorting. Immutable and thread safe.
  *
  * @param columns the names of the columns, in order
  * @param rows the rows; each has a value for every column
@@ -21,17 +20,12 @@
      *
      * @param column the column
      * @param operator {@code =}, {@code !=}, {@code <} or {@code >}
-     * @param value what to compare with
+     * @param value the value to compare with
      */
     record Condition(String column, String operator, String value) {
 
-        /**
-         * Returns whether a row meets the condition.
-         *
-         * @param row the row
-         * @return whether it does
-         */
-        boolean met(Map<String, String> row) {
+        /** Returns whether a row meets the condition. */
+        boolean isMetBy(Map<String, String> row) {
             int order = compare(row.get(column), value);
             return switch (operator) {
                 case "=" -> order == 0;
@@ -42,28 +36,17 @@
         }
     }
 
-    /**
-     * Keeps the rows that meet all conditions.
-     *
-     * @param conditions the conditions
-     * @return new rows
-     */
+    /** Returns the rows that meet all conditions. */
     ResultTable where(List<Condition> conditions) {
         conditions.forEach(condition -> requireColumn(condition.column()));
         return new ResultTable(
                 columns,
                 rows.stream()
-                        .filter(row -> conditions.stream().allMatch(one -> one.met(row)))
+                        .filter(row -> conditions.stream().allMatch(one -> one.isMetBy(row)))
                         .toList());
     }
 
-    /**
-     * Orders the rows.
-     *
-     * @param column the column to go by
-     * @param descending whether the largest comes first
-     * @return new rows
-     */
+    /** Returns the rows sorted by a column. */
     ResultTable orderedBy(String column, boolean descending) {
         requireColumn(column);
         Comparator<Map<String, String>> order = (a, b) -> compare(a.get(column), b.get(column));
@@ -72,21 +55,11 @@
         return new ResultTable(columns, ordered);
     }
 
-    /**
-     * Keeps the first rows.
-     *
-     * @param most how many
-     * @return new rows
-     */
-    ResultTable limited(int most) {
-        return new ResultTable(columns, rows.stream().limit(most).toList());
+    /** Returns the first rows. */
+    ResultTable limit(int count) {
+        return new ResultTable(columns, rows.stream().limit(count).toList());
     }
 
-    /**
-     * Checks that a column is there.
-     *
-     * @param column the column
-     */
     private void requireColumn(String column) {
         if (!columns.contains(column)) {
             throw new TroutpierException(
@@ -95,13 +68,7 @@
         }
     }
 
-    /**
-     * Compares two values: as numbers where both are, else as texts.
-     *
-     * @param a one value
-     * @param b the other
-     * @return less than, equal to or more than 0
-     */
+    /** Compares two values as numbers if both are numbers, else as strings. */
     private static int compare(String a, String b) {
         try {
             return Double.compare(Double.parseDouble(a), Double.parseDouble(b));
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/operator/Rights.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/operator/Rights.java
@@ -9,20 +9,18 @@
 import org.troutpier.common.result.TroutpierException;
 
 /**
- * Whose operator asks. Immutable and thread safe.
+ * The rights of an operator. Immutable and thread safe.
  *
- * @param partner the partner whose operator asks; empty for the administrator, who may do
- *     everything
+ * @param partner the partner of the operator; empty for the administrator, who has all rights
  */
 public record Rights(Optional<PartnerId> partner) {
 
-    /** The administrator's rights. */
     private static final Rights ADMINISTRATOR = new Rights(Optional.empty());
 
     /**
-     * Finds an operator's rights.
+     * Determines the rights of the operator that sends a token.
      *
-     * @param authorization the header that carries the token, or null
+     * @param authorization the {@code Authorization} header, or null
      * @param administratorHash the hash of the administrator's token, or null for none
      * @param declarations the declarations in force
      * @return the rights; fails with {@link ResultCode#UNKNOWN_TOKEN}
@@ -44,21 +42,12 @@
         throw new TroutpierException(ResultCode.UNKNOWN_TOKEN, "no operator has this token");
     }
 
-    /**
-     * Returns whether everything may be seen and changed.
-     *
-     * @return whether the administrator asks
-     */
+    /** Returns whether the operator is the administrator. */
     public boolean isAdministrator() {
         return partner.isEmpty();
     }
 
-    /**
-     * Returns whether a partner's things may be seen and changed.
-     *
-     * @param owner the partner
-     * @return whether they may
-     */
+    /** Returns whether what a partner owns may be seen and changed. */
     public boolean covers(PartnerId owner) {
         return partner.isEmpty() || partner.get().equals(owner);
     }
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/operator/package-info.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/operator/package-info.java
@@ -1,2 +1,2 @@
-/** The operators: health, counters, events, declarations and queries. */
+/** The operators' interface: health, metrics, events, declarations and commands. */
 package org.troutpier.daemon.operator;
