--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/DaemonMain.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/DaemonMain.java
@@ -12,7 +12,7 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 
-/** The daemon's command line. Confined to the main thread. */
+/** Command line of the daemon. Confined to the main thread. */
 @Command(
         name = "troutpierd",
         mixinStandardHelpOptions = true,
@@ -20,18 +20,15 @@
         description = "Runs one router.")
 public final class DaemonMain implements Callable<Integer> {
 
-    /** The exit code for wrong settings. */
+    /** The exit code for invalid settings. */
     public static final int INVALID_SETTINGS_EXIT_CODE = 2;
 
-    /** The settings. */
     @Parameters(paramLabel = "SETTINGS", description = "YAML file with the daemon's settings")
     private Path mSettings;
 
-    /** Whether to check the settings only. */
     @Option(names = "--check", description = "check the settings and exit")
     private boolean mCheck;
 
-    /** Created by the command line. */
     private DaemonMain() {}
 
     /**
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/RouterDaemon.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/RouterDaemon.java
@@ -51,63 +51,52 @@
 import org.troutpier.daemon.upstream.OrphanSweeper;
 
 /**
- * One router: its parts, put together from the settings. Thread safe. Invariant: after {@link
- * #stop()} no request in progress has been cut unless the time to wait for it ran out.
+ * A router, assembled from its settings. Thread safe. Invariant: {@link #stop()} cuts no request in
+ * progress unless the drain time runs out.
  */
 public final class RouterDaemon {
 
-    /** Logs starts and stops. */
     private static final Logger LOGGER = LogManager.getLogger(RouterDaemon.class);
 
-    /** How many events are kept. */
-    private static final int RING = 16_384;
+    /** The number of events that are kept. */
+    private static final int EVENT_RING_CAPACITY = 16_384;
 
-    /** How often a stop looks whether requests are left, milliseconds. */
-    private static final long DRAIN_TICK = 20;
+    private static final long DRAIN_POLL_MILLIS = 20;
 
-    /** How long a stop keeps listening, so that the balancer and the peers notice, milliseconds. */
+    /**
+     * How long a stop keeps the callers' server open, so that the load balancer and the peers
+     * notice first.
+     */
     private static final long NOTICE_MILLIS = 1500;
 
-    /** The settings. */
     private final DaemonSettings mSettings;
 
-    /** What every part shares. */
     private final Node mNode;
 
-    /** Whether new work is taken. */
     private final Readiness mReadiness;
 
-    /** The requests that are carried. */
     private final ExchangeRegistry mRegistry = new ExchangeRegistry();
 
-    /** Whether everything was ended. */
     private final AtomicBoolean mClosed = new AtomicBoolean();
 
-    /** Cancels attempts. */
-    private final CancellationRetrier mCancels;
+    private final CancellationRetrier mCancellations;
 
-    /** All upstreams; control thread only. */
+    /** Confined to the control thread. */
     private final UpstreamRegistry mUpstreamRegistry = new UpstreamRegistry();
 
-    /** Who the routers are. */
     private final Membership mMembership;
 
-    /** Where hard facts are kept. */
+    /** Holds claims and the declarations. */
     private final Table mTable;
 
-    /** The declarations in force. */
     private final ConfigurationRegistry mConfigurations;
 
-    /** What this router does about the others. */
     private final PeerController mPeers;
 
-    /** The connections to the other routers. */
     private final PeerMesh mMesh;
 
-    /** The callers' server. */
     private final HttpServer mCallers;
 
-    /** The operators' server. */
     private final HttpServer mOperators;
 
     /**
@@ -117,13 +106,14 @@
      */
     public RouterDaemon(DaemonSettings settings) {
         mSettings = settings;
-        mNode = node(settings);
+        mNode = createNode(settings);
         mReadiness = new Readiness(mNode.events());
-        mMembership = new Membership(self(), mNode.nanos());
-        mTable = table();
+        mMembership = new Membership(createSelf(), mNode.nanos());
+        mTable = createTable();
         mConfigurations = new ConfigurationRegistry(mNode, mTable, mReadiness);
         mPeers =
-                new PeerController(mNode, mMembership, mReadiness, instanceList(), mConfigurations);
+                new PeerController(
+                        mNode, mMembership, mReadiness, createInstanceList(), mConfigurations);
         mMesh =
                 new PeerMesh(
                         mNode,
@@ -132,28 +122,29 @@
                         settings.peerSecret().value(),
                         mPeers::onMessage);
         ControllerReference holder = new ControllerReference();
-        Optional<CoordinatorPermits> coordinator = coordinatorPermits(holder);
-        AdmissionController controller = admissionController(coordinator);
+        Optional<CoordinatorPermits> coordinator = createCoordinatorPermits(holder);
+        AdmissionController controller = createAdmissionController(coordinator);
         holder.mAdmissionController = controller;
         mConfigurations.addListener(controller::apply);
         EngineClient engines = new HttpEngineClient(mNode.calls());
-        mCancels = new CancellationRetrier(mNode, engines);
+        mCancellations = new CancellationRetrier(mNode, engines);
         ExchangeServices services =
                 new ExchangeServices(
                         mNode,
                         controller,
-                        claims(),
+                        createClaimStore(),
                         engines,
-                        mCancels,
+                        mCancellations,
                         new RetryBudget(),
                         mRegistry);
         ChangeProposer proposer =
                 new ChangeProposer(mNode, mMembership, mConfigurations, mTable, mMesh::send);
         new EngineLoadPoller(mNode, mUpstreamRegistry, engines);
-        new OrphanSweeper(mNode, mUpstreamRegistry, engines, mMembership, mCancels, mRegistry);
-        gauges(controller);
+        new OrphanSweeper(
+                mNode, mUpstreamRegistry, engines, mMembership, mCancellations, mRegistry);
+        registerGauges(controller);
         mNode.control()
-                .execute(() -> mPeers.start(mMesh, proposer, coordinator, this::upstreamLeaving));
+                .execute(() -> mPeers.start(mMesh, proposer, coordinator, this::onUpstreamLeaving));
         mCallers =
                 new HttpServer(
                         settings.caller(),
@@ -167,49 +158,31 @@
                         mNode.loops(),
                         ServerLimits.DEFAULT,
                         ServerRefusals.AsJson.INSTANCE,
-                        operatorFront(proposer));
+                        createOperatorHandler(proposer));
         LOGGER.info("started {} on {}", mNode.incarnation(), settings.caller());
     }
 
-    /**
-     * Makes this router as the others see it.
-     *
-     * @return the member
-     */
-    private Membership.Member self() {
+    /** Returns this router as a member. */
+    private Membership.Member createSelf() {
         return new Membership.Member(
                 mNode.incarnation(), mSettings.hall(), mSettings.peer().toString(), false);
     }
 
-    /**
-     * Makes the adapter to the table service.
-     *
-     * @return the table
-     */
-    private Table table() {
+    private Table createTable() {
         DaemonSettings.PlatformSettings platform = mSettings.platform();
         return new Table.WithCircuitBreaker(
                 new Table.OverHttp(mNode.calls(), platform.table(), platform.timeoutMillis()),
                 mNode.nanos());
     }
 
-    /**
-     * Makes the adapter to the instance list.
-     *
-     * @return the list
-     */
-    private InstanceList instanceList() {
+    private InstanceList createInstanceList() {
         DaemonSettings.PlatformSettings platform = mSettings.platform();
         return new InstanceList.OverHttp(
                 mNode.calls(), platform.instanceList(), platform.timeoutMillis());
     }
 
-    /**
-     * Makes the configurations of claims.
-     *
-     * @return the configurations
-     */
-    private ClaimStore claims() {
+    /** Creates the store of claims. */
+    private ClaimStore createClaimStore() {
         DaemonSettings.PlatformSettings platform = mSettings.platform();
         ObjectStore objects =
                 new ObjectStore.OverHttp(
@@ -224,12 +197,12 @@
     }
 
     /**
-     * Makes the permits that come from coordinators, if the settings ask for them.
+     * Creates the permits that coordinators grant, if the settings ask for them.
      *
-     * @param holder holds the controller, which is made later
+     * @param holder holds the controller, which is created later
      * @return the permits, or empty
      */
-    private Optional<CoordinatorPermits> coordinatorPermits(ControllerReference holder) {
+    private Optional<CoordinatorPermits> createCoordinatorPermits(ControllerReference holder) {
         if (mSettings.admission().permits() != DaemonSettings.PermitRule.COORDINATOR) {
             return Optional.empty();
         }
@@ -242,29 +215,18 @@
                         () -> holder.get().pumpAll()));
     }
 
-    /**
-     * Makes the controller.
-     *
-     * @param coordinator the permits that come from coordinators, or empty
-     * @return the controller
-     */
-    private AdmissionController admissionController(Optional<CoordinatorPermits> coordinator) {
-        DecodePermits permits = coordinator.isPresent() ? coordinator.get() : permits();
+    private AdmissionController createAdmissionController(
+            Optional<CoordinatorPermits> coordinator) {
+        DecodePermits permits = coordinator.isPresent() ? coordinator.get() : createLocalPermits();
         return new AdmissionController(
                 mNode,
                 mUpstreamRegistry,
                 permits,
-                selector(mSettings),
+                createSelector(mSettings),
                 mSettings.admission().shed());
     }
 
-    /**
-     * Makes the operators' handler.
-     *
-     * @param proposer carries changes through
-     * @return the handler
-     */
-    private OperatorHandler operatorFront(ChangeProposer proposer) {
+    private OperatorHandler createOperatorHandler(ChangeProposer proposer) {
         return new OperatorHandler(
                 mNode,
                 mReadiness,
@@ -277,29 +239,17 @@
                 mSettings.administratorTokenHash());
     }
 
-    /** Gives the controller to what is made before it. Set once, before any use. */
+    /** Holds the controller for components that are created before it. Set once, before any use. */
     private static final class ControllerReference {
 
-        /** The controller. */
         private volatile AdmissionController mAdmissionController;
 
-        /**
-         * Returns the controller.
-         *
-         * @return the controller
-         */
         AdmissionController get() {
             return mAdmissionController;
         }
     }
 
-    /**
-     * Makes what every part shares.
-     *
-     * @param settings the settings
-     * @return the node
-     */
-    private static Node node(DaemonSettings settings) {
+    private static Node createNode(DaemonSettings settings) {
         EventLoopGroup loops = new NioEventLoopGroup(settings.threads());
         return new Node(
                 Incarnation.start(settings.instance()),
@@ -308,16 +258,12 @@
                 new ControlThread(),
                 new HttpCalls(loops),
                 new MetricRegistry(),
-                new EventRing(settings.instance().value(), RING, new HybridClock()),
+                new EventRing(settings.instance().value(), EVENT_RING_CAPACITY, new HybridClock()),
                 new ElapsedClock());
     }
 
-    /**
-     * Makes the permits that need no coordinator.
-     *
-     * @return the permits
-     */
-    private DecodePermits permits() {
+    /** Creates the permits that need no coordinator. */
+    private DecodePermits createLocalPermits() {
         return switch (mSettings.admission().permits()) {
             case STATIC -> new DecodePermits.ForStaticDivision(() -> mMembership.serving().size());
             case LAGGING -> new DecodePermits.ForLaggingLoad();
@@ -325,13 +271,7 @@
         };
     }
 
-    /**
-     * Makes the selector.
-     *
-     * @param settings the settings
-     * @return the selector
-     */
-    private static PairSelector selector(DaemonSettings settings) {
+    private static PairSelector createSelector(DaemonSettings settings) {
         return switch (settings.admission().pair()) {
             case ROUND_ROBIN -> new PairSelector.ForRoundRobin();
             case LEAST_LOAD -> new PairSelector.ForLeastLoad();
@@ -339,51 +279,37 @@
         };
     }
 
-    /**
-     * Registers what is measured by looking.
-     *
-     * @param controller the controller
-     */
-    private void gauges(AdmissionController controller) {
+    private void registerGauges(AdmissionController controller) {
         mNode.metrics().register("requests-carried", (Gauge<Integer>) () -> mRegistry.all().size());
-        mNode.metrics().register("cancel.pending", (Gauge<Integer>) mCancels::pendingCount);
+        mNode.metrics().register("cancel.pending", (Gauge<Integer>) mCancellations::pendingCount);
         mNode.metrics().register("admission.waiting", (Gauge<Integer>) controller::waiting);
     }
 
     /**
-     * Takes note that the instance list shows an upstream as leaving.
-     *
-     * @param id the upstream
-     * @param leaving whether it is leaving
+     * Records that the instance list shows an upstream as leaving. A listing as not leaving changes
+     * nothing.
      */
-    private void upstreamLeaving(UpstreamId id, boolean leaving) {
+    private void onUpstreamLeaving(UpstreamId id, boolean leaving) {
         UpstreamState state = mUpstreamRegistry.get(id);
         if (state != null && leaving) {
             state.leaving(true);
         }
     }
 
-    /**
-     * Returns where callers come in.
-     *
-     * @return the address
-     */
+    /** Returns the address for callers. */
     public Address callerAddress() {
         return mCallers.address();
     }
 
-    /**
-     * Returns where operators come in.
-     *
-     * @return the address
-     */
+    /** Returns the address for operators. */
     public Address operatorAddress() {
         return mOperators.address();
     }
 
     /**
-     * Stops the router: no new work, then every request in progress to its end, then everything
-     * else. Waits for it.
+     * Stops the router and waits for it: announces that no new work is accepted, closes the
+     * callers' server after {@link #NOTICE_MILLIS}, waits for the requests in progress and closes
+     * everything else.
      */
     public void stop() {
         mReadiness.setStopping();
@@ -397,19 +323,19 @@
     }
 
     /**
-     * Waits.
+     * Sleeps until a time has passed.
      *
-     * @param start since when, by {@link System#nanoTime()}
-     * @param millis until how long after
-     * @param whileBusy whether to stop waiting once no request is left
+     * @param start the start of the time, by {@link System#nanoTime()}
+     * @param millis the time, milliseconds
+     * @param whileBusy whether to return early once nothing is in progress
      */
     private void await(long start, long millis, boolean whileBusy) {
         while (System.nanoTime() - start < TimeUnit.MILLISECONDS.toNanos(millis)) {
-            if (whileBusy && !busy()) {
+            if (whileBusy && !isBusy()) {
                 return;
             }
             try {
-                Thread.sleep(DRAIN_TICK);
+                Thread.sleep(DRAIN_POLL_MILLIS);
             } catch (InterruptedException exception) {
                 Thread.currentThread().interrupt();
                 return;
@@ -417,17 +343,13 @@
         }
     }
 
-    /**
-     * Returns whether something is still in progress.
-     *
-     * @return whether a request, the last bytes of an answer, or a cancel is under way
-     */
-    private boolean busy() {
-        boolean cancelling = mCancels.pendingCount() > 0;
+    /** Returns whether a request, the last bytes of an answer, or a cancellation is in progress. */
+    private boolean isBusy() {
+        boolean cancelling = mCancellations.pendingCount() > 0;
         return !mRegistry.all().isEmpty() || mCallers.busy() > 0 || cancelling;
     }
 
-    /** Ends everything at once; a second call does nothing. */
+    /** Closes everything at once; further calls do nothing. */
     public void close() {
         if (mClosed.getAndSet(true)) {
             return;
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/instancelist/InstanceList.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/instancelist/InstanceList.java
@@ -11,46 +11,34 @@
 public interface InstanceList {
 
     /**
-     * Asks for the list.
+     * Queries the list.
      *
-     * @return the instances; fails where the list is away
+     * @return the instances; fails if the list is unavailable
      */
     CompletableFuture<List<Instance>> list();
 
     /**
-     * One instance as the platform sees it. Immutable and thread safe.
+     * An instance as the platform lists it. Immutable and thread safe.
      *
      * @param id the instance
-     * @param incarnation which start of it, empty for an instance that is no router
-     * @param peer where its peers reach it, empty for an instance that is no router
-     * @param hall its hall, empty where it does not say
+     * @param incarnation the start of the instance, empty for an instance that is no router
+     * @param peer the address for its peers, empty for an instance that is no router
+     * @param hall its data hall, empty if it is unknown
      * @param state {@code live}, {@code leaving} or {@code gone}
      */
     record Instance(String id, String incarnation, String peer, String hall, String state) {
 
-        /**
-         * Returns whether this is a router.
-         *
-         * @return whether it has peers
-         */
+        /** Returns whether the instance is a router. */
         public boolean router() {
             return !incarnation.isEmpty() && !peer.isEmpty();
         }
 
-        /**
-         * Returns whether the platform takes it to be gone.
-         *
-         * @return whether it is gone
-         */
+        /** Returns whether the platform lists the instance as gone. */
         public boolean gone() {
             return "gone".equals(state);
         }
 
-        /**
-         * Returns whether it is leaving.
-         *
-         * @return whether it is leaving
-         */
+        /** Returns whether the platform lists the instance as leaving. */
         public boolean leaving() {
             return "leaving".equals(state);
         }
@@ -59,21 +47,18 @@
     /** The list over HTTP. Thread safe. */
     final class OverHttp implements InstanceList {
 
-        /** Sends the requests. */
         private final HttpCalls mCalls;
 
-        /** The list's URL. */
         private final String mUrl;
 
-        /** How long one call may take, milliseconds. */
         private final int mTimeoutMillis;
 
         /**
-         * Creates a list.
+         * Creates a client of the list.
          *
          * @param calls sends the requests
          * @param url the list's URL
-         * @param timeoutMillis how long one call may take
+         * @param timeoutMillis the timeout of one call, milliseconds
          */
         public OverHttp(HttpCalls calls, String url, int timeoutMillis) {
             mCalls = calls;
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/node/ControlExecutor.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/node/ControlExecutor.java
@@ -3,28 +3,29 @@
 import java.util.concurrent.Executor;
 
 /**
- * Runs the tasks that touch control state: one at a time, in the order in which they were given.
+ * Executes the tasks that access control state, one at a time and in submission order.
  * Implementations are thread safe.
  */
 public interface ControlExecutor extends Executor, AutoCloseable {
 
     /**
-     * Runs a task later.
+     * Executes a task after a delay.
      *
      * @param task the task
-     * @param millis how much later
+     * @param millis the delay, milliseconds
      */
     void schedule(Runnable task, long millis);
 
     /**
-     * Runs a task again and again.
+     * Executes a task repeatedly.
      *
      * @param task the task
-     * @param millis how long from one end to the next start
+     * @param millis the delay before the first run and from the end of one run to the start of the
+     *     next, milliseconds
      */
     void scheduleWithFixedDelay(Runnable task, long millis);
 
-    /** Stops; tasks that wait are dropped. */
+    /** Shuts down; pending tasks are discarded. */
     @Override
     void close();
 }
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/node/ControlThread.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/node/ControlThread.java
@@ -6,15 +6,13 @@
 import org.apache.logging.log4j.Logger;
 
 /**
- * The one thread that owns control state. Thread safe. Invariant: tasks run one at a time, in the
- * order in which they were given; a task that throws is logged and ends no other.
+ * The single thread that owns control state. Thread safe. Invariant: tasks run one at a time in
+ * submission order; a task that throws is logged and does not prevent later tasks.
  */
 public final class ControlThread implements ControlExecutor {
 
-    /** Logs tasks that threw. */
     private static final Logger LOGGER = LogManager.getLogger(ControlThread.class);
 
-    /** Runs the tasks. */
     private final ScheduledThreadPoolExecutor mExecutor;
 
     /** Creates and starts the thread. */
@@ -53,12 +51,7 @@
         mExecutor.scheduleWithFixedDelay(guarded(task), millis, millis, TimeUnit.MILLISECONDS);
     }
 
-    /**
-     * Keeps a task's exceptions from ending others.
-     *
-     * @param task the task
-     * @return the task to run
-     */
+    /** Wraps a task so that an exception does not cancel its next runs. */
     private static Runnable guarded(Runnable task) {
         return () -> {
             try {
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/node/DaemonProcess.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/node/DaemonProcess.java
@@ -6,22 +6,21 @@
 import org.troutpier.common.result.TroutpierException;
 import org.troutpier.common.settings.CheckedYaml;
 
-/** What every daemon's command line does at its start and at its end. Stateless, thread safe. */
+/** Start and shutdown of a daemon's process. Stateless and thread safe. */
 public final class DaemonProcess {
 
-    /** The exit code for wrong settings. */
+    /** The exit code for invalid settings. */
     public static final int INVALID_SETTINGS_EXIT_CODE = 2;
 
-    /** Not to be instantiated. */
     private DaemonProcess() {}
 
     /**
-     * Reads a settings file; what is wrong is told on standard error.
+     * Reads a settings file; prints errors to standard error.
      *
      * @param <T> the settings' type
      * @param file the file
      * @param type the settings' type
-     * @return the settings, or empty where they are wrong
+     * @return the settings, or empty if they are invalid
      */
     public static <T> Optional<T> readSettings(Path file, Class<T> type) {
         try {
@@ -33,8 +32,8 @@
     }
 
     /**
-     * Sets what is done when the process is told to end. The log lines that are left are written
-     * after it.
+     * Registers a shutdown hook. Logging is shut down after it, so that the remaining lines are
+     * written.
      *
      * @param stop stops the daemon without cutting requests; blocks
      */
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/node/EarlySocket.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/node/EarlySocket.java
@@ -7,39 +7,32 @@
 import org.troutpier.common.settings.Address;
 
 /**
- * The callers' socket, opened as a process's first act where its environment names the address.
- * Callers who come while the rest is loaded wait in the system's queue instead of being turned
- * away. Confined to the main thread. Invariants: what is wrong with the address never ends the
- * start, the settings decide; the socket is taken once. The logger is not touched before {@link
- * #take}, because loading it is what takes long.
+ * The callers' socket, opened as the first act of a process if its environment names the address.
+ * Callers that connect while the rest is loaded wait in the listen backlog instead of being
+ * refused. Confined to the main thread. Invariants: an invalid address never prevents the start,
+ * because the settings decide; the socket is taken once. The logger is not touched before {@link
+ * #take}, because loading it takes long.
  */
 public final class EarlySocket {
 
-    /** Names the address, IP:port. */
+    /** The environment variable with the address, IP:port. */
     public static final String VARIABLE = "TROUTPIER_LISTEN";
 
-    /** The socket, or null. */
     private final ListeningSocket mSocket;
 
-    /** Why there is none though an address was named, or null. */
+    /** Why the socket could not be opened, or null. */
     private final Exception mFailure;
 
-    /**
-     * Creates an early socket.
-     *
-     * @param socket the socket, or null
-     * @param failure why there is none though an address was named, or null
-     */
     private EarlySocket(ListeningSocket socket, Exception failure) {
         mSocket = socket;
         mFailure = failure;
     }
 
     /**
-     * Opens the socket.
+     * Opens the socket. A failure is kept until {@link #take}.
      *
-     * @param address where, IP:port, or null for no early socket
-     * @return the socket, or what stands for none
+     * @param address the address, IP:port, or null for no early socket
+     * @return the early socket, which may be empty
      */
     public static EarlySocket open(String address) {
         if (address == null || address.isEmpty()) {
@@ -53,11 +46,11 @@
     }
 
     /**
-     * Hands the socket over, or opens one where there is none at the wanted address.
+     * Returns the early socket, or opens one if there is none at the wanted address.
      *
-     * @param wanted where the settings say that callers come in
+     * @param wanted the callers' address in the settings
      * @return a socket that listens there
-     * @throws IOException if nobody can listen there
+     * @throws IOException if the address cannot be bound
      */
     public ListeningSocket take(Address wanted) throws IOException {
         Logger logger = LogManager.getLogger(EarlySocket.class);
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/node/Invariants.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/node/Invariants.java
@@ -5,22 +5,19 @@
 import org.apache.logging.log4j.Logger;
 
 /**
- * Counts what must never happen; with {@code -Dtroutpier.invariants=fatal} it ends the process, as
- * tests and soak runs want. Thread safe.
+ * Counts violated invariants. With {@code -Dtroutpier.invariants=fatal}, as in tests and soak runs,
+ * a violation halts the process. Thread safe.
  */
 public final class Invariants {
 
-    /** Logs each breach. */
     private static final Logger LOGGER = LogManager.getLogger(Invariants.class);
 
-    /** How many breaches there were. */
-    private static final AtomicLong BROKEN = new AtomicLong();
+    private static final AtomicLong VIOLATIONS = new AtomicLong();
 
-    /** Not to be instantiated. */
     private Invariants() {}
 
     /**
-     * Checks what must hold.
+     * Records a violation if an invariant does not hold.
      *
      * @param holds whether it holds
      * @param name the invariant
@@ -33,25 +30,21 @@
     }
 
     /**
-     * Takes note of a breach.
+     * Records a violation.
      *
      * @param name the invariant
      * @param detail the offending values
      */
     public static void recordViolation(String name, Object detail) {
-        BROKEN.incrementAndGet();
+        VIOLATIONS.incrementAndGet();
         LOGGER.fatal("invariant broken: {} {}", name, detail);
         if ("fatal".equals(System.getProperty("troutpier.invariants"))) {
             Runtime.getRuntime().halt(70);
         }
     }
 
-    /**
-     * Returns how many breaches there were.
-     *
-     * @return the count, 0 in a sound router
-     */
+    /** Returns the number of violations since the process started. */
     public static long violationCount() {
-        return BROKEN.get();
+        return VIOLATIONS.get();
     }
 }
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/node/Node.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/node/Node.java
@@ -10,15 +10,15 @@
 import org.troutpier.common.id.Incarnation;
 
 /**
- * The identity, threads, clock and metrics of one router. Immutable; everything in it is thread
+ * The identity, threads, clock and metrics of one router. Immutable; all components are thread
  * safe.
  *
- * @param incarnation this start of this instance
- * @param hall the hall that it stands in
- * @param loops carries the traffic
- * @param control runs what touches control state, on one thread
+ * @param incarnation this start of the instance
+ * @param hall the data hall of the instance
+ * @param loops the event loops that carry traffic
+ * @param control executes the tasks that access control state, on one thread
  * @param calls sends HTTP requests
- * @param metrics counts
+ * @param metrics the metrics
  * @param events keeps the latest events
  * @param nanos the monotonic clock, nanoseconds
  */
@@ -32,20 +32,12 @@
         EventRing events,
         LongSupplier nanos) {
 
-    /**
-     * Returns the monotonic clock.
-     *
-     * @return milliseconds
-     */
+    /** Returns the time of the monotonic clock in milliseconds. */
     public long millis() {
         return TimeUnit.NANOSECONDS.toMillis(nanos.getAsLong());
     }
 
-    /**
-     * Counts one.
-     *
-     * @param name the counter
-     */
+    /** Increments a counter. */
     public void count(String name) {
         metrics.counter(name).inc();
     }
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/node/Readiness.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/node/Readiness.java
@@ -4,37 +4,30 @@
 import org.troutpier.common.event.EventRing;
 
 /**
- * Whether this router takes new work. Thread safe. Invariant: it takes none without a
+ * Whether this router accepts new work. Thread safe. Invariant: it accepts none without a
  * configuration, while it stops, or while it is fenced.
  */
 public final class Readiness {
 
-    /** Takes note of changes. */
     private final EventRing mEvents;
 
-    /** Whether a configuration was seen. */
     private volatile boolean mConfigured;
 
-    /** Whether a stop was ordered. */
     private volatile boolean mStopping;
 
-    /** Why the router has fenced itself, or null. */
+    /** Why the router fenced itself, or null if it is not fenced. */
     private volatile String mFence;
 
     /**
-     * Creates the state of a router that starts.
+     * Creates the state of a starting router.
      *
-     * @param events takes note of changes
+     * @param events records changes
      */
     public Readiness(EventRing events) {
         mEvents = events;
     }
 
-    /**
-     * Says why no new work is taken.
-     *
-     * @return the reason, or empty where work is taken
-     */
+    /** Returns why no new work is accepted, or empty if it is. */
     public Optional<String> obstacle() {
         if (mStopping) {
             return Optional.of("stopping");
@@ -45,22 +38,18 @@
         return Optional.ofNullable(mFence);
     }
 
-    /** Takes note that a configuration is there. */
+    /** Records that a configuration is available. */
     public void setConfigured() {
         mConfigured = true;
     }
 
-    /** Takes note that a stop was ordered. */
+    /** Records that the router was told to stop. */
     public void setStopping() {
         mStopping = true;
         mEvents.record("stopping", "", "");
     }
 
-    /**
-     * Returns whether a stop was ordered.
-     *
-     * @return whether the router is leaving
-     */
+    /** Returns whether the router was told to stop. */
     public boolean isStopping() {
         return mStopping;
     }
@@ -68,7 +57,7 @@
     /**
      * Fences the router.
      *
-     * @param reason why
+     * @param reason the reason
      */
     public void fence(String reason) {
         if (mFence == null) {
@@ -77,7 +66,7 @@
         mFence = reason;
     }
 
-    /** Lifts the fence. */
+    /** Lifts the fence, if there is one. */
     public void liftFence() {
         if (mFence != null) {
             mEvents.record("fence-lifted", "", mFence);
@@ -85,11 +74,7 @@
         mFence = null;
     }
 
-    /**
-     * Returns whether the router is fenced.
-     *
-     * @return whether it waits for revalidation
-     */
+    /** Returns whether the router is fenced until its configuration is validated again. */
     public boolean isFenced() {
         return mFence != null;
     }
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/node/TimelineAppender.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/node/TimelineAppender.java
@@ -11,43 +11,37 @@
 import org.troutpier.common.event.EventRing;
 
 /**
- * Puts what is logged of a router's beliefs on the time line, so that both show the same events.
- * Thread safe. Requests are put there by whoever logs them, whether their line was written or not.
+ * Records log lines as events, so that the log and the time line show the same. Thread safe. The
+ * events of requests are recorded by the code that logs them, whether or not their line is written.
  */
 public final class TimelineAppender extends AbstractAppender {
 
-    /** The appender's name. */
     private static final String NAME = "timeline";
 
-    /** What the product's loggers begin with. */
-    private static final String PRODUCT = "org.troutpier";
+    private static final String LOGGER_PREFIX = "org.troutpier";
 
-    /** Finds what a line is about: the first of these names with its value. */
+    /** Finds the subject of a line: the value of the first of these names. */
     private static final Pattern SUBJECT = Pattern.compile("\\b(?:id|engine|table|service)=(\\S+)");
 
-    /** Keeps the events. */
     private final EventRing mEvents;
 
-    /**
-     * Creates an appender.
-     *
-     * @param events keeps the events
-     */
     private TimelineAppender(EventRing events) {
         super(NAME, null, null, true, Property.EMPTY_ARRAY);
         mEvents = events;
     }
 
     /**
-     * Puts all that this process logs from now on on a time line.
+     * Records everything that this process logs from now on.
      *
-     * @param events the time line
+     * @param events receives the events
      */
     public static void attach(EventRing events) {
         TimelineAppender appender = new TimelineAppender(events);
         appender.start();
         LoggerContext context = (LoggerContext) LogManager.getContext(false);
-        context.getConfiguration().getLoggerConfig(PRODUCT).addAppender(appender, Level.INFO, null);
+        context.getConfiguration()
+                .getLoggerConfig(LOGGER_PREFIX)
+                .addAppender(appender, Level.INFO, null);
         context.updateLoggers();
     }
 
@@ -55,7 +49,7 @@
     @Override
     public void append(LogEvent event) {
         String logger = event.getLoggerName();
-        if (!logger.startsWith(PRODUCT)) {
+        if (!logger.startsWith(LOGGER_PREFIX)) {
             return;
         }
         String text = event.getMessage().getFormattedMessage();
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/node/package-info.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/node/package-info.java
@@ -1,2 +1,2 @@
-/** The threads, clock, counters, events and readiness of a router. */
+/** The threads, clock, metrics, events and readiness of a router. */
 package org.troutpier.daemon.node;
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/objectstore/ObjectStore.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/objectstore/ObjectStore.java
@@ -15,7 +15,8 @@
      *
      * @param key its key
      * @param object its bytes
-     * @return whether it is certain that it was written
+     * @return whether the store confirmed the write; false says nothing about whether it was
+     *     written
      */
     CompletableFuture<Boolean> write(String key, byte[] object);
 
@@ -23,31 +24,27 @@
      * Reads an object.
      *
      * @param key its key
-     * @return its bytes, or empty where there is none; fails where the store is away
+     * @return its bytes, or empty if it does not exist; fails if the store is unavailable
      */
     CompletableFuture<Optional<byte[]>> read(String key);
 
     /** The object store over HTTP. Thread safe. */
     final class OverHttp implements ObjectStore {
 
-        /** The status of a missing object. */
-        private static final int MISSING = 404;
+        private static final int NOT_FOUND = 404;
 
-        /** Sends the requests. */
         private final HttpCalls mCalls;
 
-        /** The store's URL. */
         private final String mUrl;
 
-        /** How long one call may take, milliseconds. */
         private final int mTimeoutMillis;
 
         /**
-         * Creates a store.
+         * Creates a client of the store.
          *
          * @param calls sends the requests
          * @param url the store's URL
-         * @param timeoutMillis how long one call may take
+         * @param timeoutMillis the timeout of one call, milliseconds
          */
         public OverHttp(HttpCalls calls, String url, int timeoutMillis) {
             mCalls = calls;
@@ -58,17 +55,17 @@
         /** {@inheritDoc} */
         @Override
         public CompletableFuture<Boolean> write(String key, byte[] object) {
-            return mCalls.call(object("PUT", key).withBody(object))
+            return mCalls.call(objectCall("PUT", key).withBody(object))
                     .handle((reply, failure) -> failure == null && reply.ok());
         }
 
         /** {@inheritDoc} */
         @Override
         public CompletableFuture<Optional<byte[]>> read(String key) {
-            return mCalls.call(object("GET", key))
+            return mCalls.call(objectCall("GET", key))
                     .thenApply(
                             reply -> {
-                                if (reply.status() == MISSING) {
+                                if (reply.status() == NOT_FOUND) {
                                     return Optional.empty();
                                 }
                                 if (!reply.ok()) {
@@ -80,14 +77,7 @@
                             });
         }
 
-        /**
-         * Starts a call about one object.
-         *
-         * @param method the HTTP method
-         * @param key the object's key
-         * @return the call
-         */
-        private HttpCall object(String method, String key) {
+        private HttpCall objectCall(String method, String key) {
             return HttpCall.of(method, mUrl + "/objects/" + key).withTimeout(mTimeoutMillis);
         }
     }
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/objectstore/package-info.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/objectstore/package-info.java
@@ -1,2 +1,2 @@
-/** The platform's object store, where kept answers lie. */
+/** Client of the platform's object store, which holds kept answers. */
 package org.troutpier.daemon.objectstore;
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/package-info.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/package-info.java
@@ -1,2 +1,2 @@
-/** The router daemon: how its parts are put together. */
+/** The router daemon: its command line and the assembly of its components. */
 package org.troutpier.daemon;
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/settings/DaemonSettings.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/settings/DaemonSettings.java
@@ -11,22 +11,22 @@
 import org.troutpier.common.settings.Secret;
 
 /**
- * The daemon's settings. Immutable and thread safe. What is routed where is never set here but
- * declared through the table service.
+ * The settings of the daemon. Immutable and thread safe. Routes are not set here but declared
+ * through the table service.
  *
  * @param instance the name of this instance
- * @param hall the hall that it stands in
- * @param caller where callers come in
- * @param operator where operators come in
- * @param peer where other routers come in
- * @param peerSecret what routers prove to each other that they know
- * @param administratorTokenHash the SHA-256 hash of the token that may declare partners; null for
- *     none
- * @param platform where the platform's services are
- * @param callerLimits what the callers' port bounds
+ * @param hall the data hall of this instance
+ * @param caller the address for callers
+ * @param operator the address for operators
+ * @param peer the address for other routers
+ * @param peerSecret the secret by which routers authenticate each other
+ * @param administratorTokenHash the SHA-256 hash of the administrator's token, which may declare
+ *     partners; null for none
+ * @param platform the platform's services
+ * @param callerLimits the limits of the callers' server
  * @param admission how requests are admitted and placed
- * @param threads how many threads carry traffic
- * @param drainMillis how long a stop waits for requests in progress
+ * @param threads the number of threads that carry traffic
+ * @param drainMillis how long a stop waits for requests in progress, milliseconds
  */
 public record DaemonSettings(
         InstanceId instance,
@@ -42,23 +42,18 @@
         Integer threads,
         Integer drainMillis) {
 
-    /** How many threads carry traffic unless said otherwise. */
     private static final int DEFAULT_THREADS = 2;
 
-    /** The most threads that may be set. */
     private static final int MAX_THREADS = 64;
 
-    /** How long a stop waits unless said otherwise, milliseconds. */
-    private static final int DEFAULT_DRAIN = 900_000;
+    private static final int DEFAULT_DRAIN_MILLIS = 900_000;
 
-    /** The longest a stop may wait, milliseconds. */
-    private static final int MAX_DRAIN = 86_400_000;
+    private static final int MAX_DRAIN_MILLIS = 86_400_000;
 
-    /** The callers' limits unless said otherwise. */
-    private static final ServerLimits DEFAULT_LIMITS =
+    private static final ServerLimits DEFAULT_CALLER_LIMITS =
             new ServerLimits(4000, 4 * 1024 * 1024, 16 * 1024, 10_000, 60_000);
 
-    /** Checks the fields and fills the defaults. */
+    /** Validates the components and sets defaults. */
     public DaemonSettings {
         Check.present("instance", instance);
         Check.present("hall", hall);
@@ -71,59 +66,45 @@
                 administratorTokenHash == null || Tokens.isHash(administratorTokenHash),
                 "must be a SHA-256 hash: " + administratorTokenHash);
         Check.present("platform", platform);
-        callerLimits = callerLimits == null ? DEFAULT_LIMITS : callerLimits;
+        callerLimits = callerLimits == null ? DEFAULT_CALLER_LIMITS : callerLimits;
         admission = admission == null ? AdmissionSettings.DEFAULT : admission;
         threads = threads == null ? DEFAULT_THREADS : threads;
         Check.range("threads", threads, 1, MAX_THREADS);
-        drainMillis = drainMillis == null ? DEFAULT_DRAIN : drainMillis;
-        Check.range("drainMillis", drainMillis, 0, MAX_DRAIN);
+        drainMillis = drainMillis == null ? DEFAULT_DRAIN_MILLIS : drainMillis;
+        Check.range("drainMillis", drainMillis, 0, MAX_DRAIN_MILLIS);
     }
 
     /**
-     * Where the platform's services are. Immutable and thread safe.
+     * The platform's services. Immutable and thread safe.
      *
-     * @param table the table service
-     * @param objectStore the object store
-     * @param instanceList the instance list
-     * @param timeoutMillis how long one call may take
+     * @param table the URL of the table service
+     * @param objectStore the URL of the object store
+     * @param instanceList the URL of the instance list
+     * @param timeoutMillis the timeout of one call, milliseconds
      */
     public record PlatformSettings(
             String table, String objectStore, String instanceList, Integer timeoutMillis) {
 
-        /** How long one call may take unless said otherwise, milliseconds. */
-        private static final int DEFAULT_TIMEOUT = 1000;
+        private static final int DEFAULT_TIMEOUT_MILLIS = 1000;
 
-        /** The longest that may be set, milliseconds. */
-        private static final int MAX_TIMEOUT = 60_000;
+        private static final int MAX_TIMEOUT_MILLIS = 60_000;
 
-        /** Checks the fields and fills the defaults. */
+        /** Validates the components and sets defaults. */
         public PlatformSettings {
             checkUrl("table", table);
             checkUrl("objectStore", objectStore);
             checkUrl("instanceList", instanceList);
-            timeoutMillis = timeoutMillis == null ? DEFAULT_TIMEOUT : timeoutMillis;
-            Check.range("timeoutMillis", timeoutMillis, 1, MAX_TIMEOUT);
+            timeoutMillis = timeoutMillis == null ? DEFAULT_TIMEOUT_MILLIS : timeoutMillis;
+            Check.range("timeoutMillis", timeoutMillis, 1, MAX_TIMEOUT_MILLIS);
         }
 
-        /**
-         * Checks a URL.
-         *
-         * @param field the field it stands in
-         * @param url the URL
-         */
         private static void checkUrl(String field, String url) {
             Check.present(field, url);
-            boolean right = url.matches("http://[0-9.:\\[\\]a-fA-F]+") && !url.endsWith("/");
-            Check.that(field, right && valid(url), "must be http://IP:port but is " + url);
+            boolean matches = url.matches("http://[0-9.:\\[\\]a-fA-F]+") && !url.endsWith("/");
+            Check.that(field, matches && hasPort(url), "must be http://IP:port but is " + url);
         }
 
-        /**
-         * Returns whether a text is a URL with a port.
-         *
-         * @param url the text
-         * @return whether it is
-         */
-        private static boolean valid(String url) {
+        private static boolean hasPort(String url) {
             try {
                 return URI.create(url).getPort() > 0;
             } catch (IllegalArgumentException exception) {
@@ -137,26 +118,26 @@
         /** Each router has the same fixed part of every engine. */
         @JsonProperty("static")
         STATIC,
-        /** Each router goes by the engines' lagging load. */
+        /** Each router relies on the load that engines publish, which lags. */
         @JsonProperty("lagging")
         LAGGING,
-        /** The engine's coordinator hands out permits. */
+        /** The coordinator of the engine grants permits. */
         @JsonProperty("coordinator")
         COORDINATOR,
-        /** Nothing is reserved: a baseline for measurements. */
+        /** Nothing is reserved; a baseline for measurements. */
         @JsonProperty("unlimited")
         UNLIMITED
     }
 
-    /** How a prefill and a decode engine are chosen. */
+    /** How a pair of a prefill and a decode engine is selected. */
     public enum PairRule {
         /** By the predicted time to the first token. */
         @JsonProperty("predicted")
         PREDICTED,
-        /** In turn: a baseline for measurements. */
+        /** In turn; a baseline for measurements. */
         @JsonProperty("round-robin")
         ROUND_ROBIN,
-        /** By the lagging load: a baseline for measurements. */
+        /** By the published load, which lags; a baseline for measurements. */
         @JsonProperty("least-load")
         LEAST_LOAD
     }
@@ -165,16 +146,16 @@
      * How requests are admitted and placed. Immutable and thread safe.
      *
      * @param permits how decode slots are shared among routers
-     * @param pair how a prefill and a decode engine are chosen
-     * @param shed whether a request whose target is out of reach is refused on arrival
+     * @param pair how a pair of a prefill and a decode engine is selected
+     * @param shed whether a request that cannot meet its target is refused on arrival
      */
     public record AdmissionSettings(PermitRule permits, PairRule pair, Boolean shed) {
 
-        /** What the measurements chose. */
+        /** The settings that apply if none are given. */
         public static final AdmissionSettings DEFAULT =
                 new AdmissionSettings(PermitRule.COORDINATOR, PairRule.PREDICTED, true);
 
-        /** Fills the defaults. */
+        /** Sets defaults. */
         public AdmissionSettings {
             permits = permits == null ? PermitRule.COORDINATOR : permits;
             pair = pair == null ? PairRule.PREDICTED : pair;
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/settings/package-info.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/settings/package-info.java
@@ -1,2 +1,2 @@
-/** The daemon's own settings: addresses, hall, credentials and bounds only. */
+/** The daemon's own settings: addresses, hall, credentials and limits only. */
 package org.troutpier.daemon.settings;
