--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/configuration/ChangeProposer.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/configuration/ChangeProposer.java
@@ -65,6 +65,7 @@
     /** The changes in progress, by id. */
     private final Map<String, Change> mChanges = new HashMap<>();
 
+    /** The steps of a change. */
     private enum Step {
         /** Members are asked whether they can activate the change. */
         PREPARING,
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/upstream/CancellationRetrier.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/upstream/CancellationRetrier.java
@@ -29,6 +29,7 @@
     /** The cancellations that are not confirmed yet. */
     private final Map<Key, Pending> mPending = new HashMap<>();
 
+    /** Identifies an attempt at an engine. */
     private record Key(UpstreamId engine, String attempt) {}
 
     /** A cancellation that is not confirmed yet. */
