--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/admission/AdmissionController.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/admission/AdmissionController.java
@@ -82,7 +82,7 @@
         mSelector = selector;
         mShed = shed;
         mPredictionError = node.metrics().histogram("admission.prediction-error-micros");
-        node.control().every(this::sweep, SWEEP_INTERVAL_MILLIS);
+        node.control().scheduleWithFixedDelay(this::sweep, SWEEP_INTERVAL_MILLIS);
     }
 
     /** Applies new declarations and starts what they allow. */
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/admission/CoordinatorPermits.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/admission/CoordinatorPermits.java
@@ -172,8 +172,8 @@
         mUpstreamRegistry = registry;
         mSender = sender;
         mOnPermits = onPermits;
-        node.control().every(this::tick, TICK_INTERVAL_MILLIS);
-        node.control().every(this::report, REPORT_INTERVAL_MILLIS);
+        node.control().scheduleWithFixedDelay(this::tick, TICK_INTERVAL_MILLIS);
+        node.control().scheduleWithFixedDelay(this::report, REPORT_INTERVAL_MILLIS);
     }
 
     /** {@inheritDoc} */
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/claim/ClaimSettler.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/claim/ClaimSettler.java
@@ -173,7 +173,7 @@
     /** Schedules another try if the result is unknown and the claim has not expired. */
     private void retryIfUnknown(Claim claim, SettlementResult settled, Runnable retry) {
         if (settled == SettlementResult.UNKNOWN && isUnexpired(claim)) {
-            mNode.control().later(retry, SETTLE_RETRY_MILLIS);
+            mNode.control().schedule(retry, SETTLE_RETRY_MILLIS);
         } else {
             mOnDone.accept(claim);
         }
@@ -187,7 +187,7 @@
      */
     void abandonLater(Claim intended) {
         mOnDone.accept(intended);
-        mNode.control().later(() -> abandon(intended), SETTLE_RETRY_MILLIS);
+        mNode.control().schedule(() -> abandon(intended), SETTLE_RETRY_MILLIS);
     }
 
     /** Tries once to undo a claim that may have been written. */
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/cluster/LoadRelay.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/cluster/LoadRelay.java
@@ -149,7 +149,7 @@
         if (!mRelayScheduled) {
             mRelayScheduled = true;
             long remaining = MIN_RELAY_MILLIS - (mNode.millis() - mLastRelayMillis);
-            mNode.control().later(this::relay, Math.max(BATCH_MILLIS, remaining));
+            mNode.control().schedule(this::relay, Math.max(BATCH_MILLIS, remaining));
         }
     }
 
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/cluster/MemberRegistry.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/cluster/MemberRegistry.java
@@ -131,7 +131,7 @@
                 mOwnVersion = write.version();
                 register();
             }
-            default -> mNode.control().later(this::register, RETRY_MILLIS);
+            default -> mNode.control().schedule(this::register, RETRY_MILLIS);
         }
     }
 
@@ -183,7 +183,7 @@
         if (!current) {
             long delayMillis = TablePollTimings.randomRestoreDelayMillis();
             LOGGER.info("router registers again inMillis={}", delayMillis);
-            mNode.control().later(this::register, delayMillis);
+            mNode.control().schedule(this::register, delayMillis);
         }
     }
 
@@ -199,7 +199,7 @@
         if (instance.equals(mNode.incarnation().instance())) {
             mOwnVersion = row.deleted() ? 0 : row.version();
             if (mLoaded && member.isEmpty()) {
-                mNode.control().later(this::register, RETRY_MILLIS);
+                mNode.control().schedule(this::register, RETRY_MILLIS);
             }
         }
         if (row.deleted()) {
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/cluster/PeerExchange.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/cluster/PeerExchange.java
@@ -141,7 +141,7 @@
                         new PeerMesh.Peers(mMembership, () -> mPlan.connectionTargets()), this);
         mRelay = new LoadRelay(node, mLinks, loads, () -> mPlan);
         mTables = new TableExchange(node.hall(), mLinks, () -> mPlan, mRelay::groupMembers);
-        node.control().every(this::tick, TICK_MILLIS);
+        node.control().scheduleWithFixedDelay(this::tick, TICK_MILLIS);
     }
 
     /**
@@ -172,7 +172,7 @@
     private void schedulePlan() {
         if (!mPlanScheduled) {
             mPlanScheduled = true;
-            mNode.control().later(this::updatePlan, LoadRelay.BATCH_MILLIS);
+            mNode.control().schedule(this::updatePlan, LoadRelay.BATCH_MILLIS);
         }
     }
 
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/cluster/QuarantineTable.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/cluster/QuarantineTable.java
@@ -116,7 +116,7 @@
                 new TableExchange.ForWholeTable(pages));
         mQuarantine.onLocalChange(report -> mNode.control().execute(() -> onLocalChange(report)));
         mQuarantine.onMergedChange(report -> mNode.control().execute(() -> store(report)));
-        mNode.control().every(this::cleanUp, CLEANUP_MILLIS);
+        mNode.control().scheduleWithFixedDelay(this::cleanUp, CLEANUP_MILLIS);
     }
 
     /** Announces and stores a record that this router found. */
@@ -189,7 +189,7 @@
 
     private void retryWrite() {
         mNode.control()
-                .later(
+                .schedule(
                         () -> {
                             mWriting = false;
                             write();
@@ -234,7 +234,7 @@
                             mPending.merge(request, stored.record(), CrashRecord::merge));
         }
         mRows.clear();
-        mNode.control().later(this::write, TablePollTimings.randomRestoreDelayMillis());
+        mNode.control().schedule(this::write, TablePollTimings.randomRestoreDelayMillis());
     }
 
     /**
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/node/ControlThread.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/node/ControlThread.java
@@ -6,15 +6,13 @@
 import org.apache.logging.log4j.Logger;
 
 /**
- * The one thread that owns control state. Thread safe. Invariant: tasks run one at a time, in the
- * order in which they were given; a task that throws is logged and ends no other.
+ * The single thread that owns control state. Thread safe. Invariant: tasks run one at a time in
+ * submission order; a task that throws is logged and does not prevent later tasks.
  */
-public final class ControlThread implements Control {
+public final class ControlThread implements ControlExecutor {
 
-    /** Logs tasks that threw. */
     private static final Logger LOGGER = LogManager.getLogger(ControlThread.class);
 
-    /** Runs the tasks. */
     private final ScheduledThreadPoolExecutor mExecutor;
 
     /** Creates and starts the thread. */
@@ -41,7 +39,7 @@
 
     /** {@inheritDoc} */
     @Override
-    public void later(Runnable task, long millis) {
+    public void schedule(Runnable task, long millis) {
         if (!mExecutor.isShutdown()) {
             mExecutor.schedule(guarded(task), millis, TimeUnit.MILLISECONDS);
         }
@@ -49,23 +47,18 @@
 
     /** {@inheritDoc} */
     @Override
-    public void every(Runnable task, long millis) {
+    public void scheduleWithFixedDelay(Runnable task, long millis) {
         mExecutor.scheduleWithFixedDelay(guarded(task), millis, millis, TimeUnit.MILLISECONDS);
     }
 
-    /**
-     * Keeps a task's exceptions from ending others.
-     *
-     * @param task the task
-     * @return the task to run
-     */
+    /** Wraps a task so that an exception does not cancel its next runs. */
     private static Runnable guarded(Runnable task) {
         return () -> {
             try {
                 task.run();
             } catch (RuntimeException exception) {
                 LOGGER.error("control task failed", exception);
-                Invariants.broken("control-task", exception.toString());
+                Invariants.recordViolation("control-task", exception.toString());
             }
         };
     }
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/operator/Inventory.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/operator/Inventory.java
@@ -22,31 +22,23 @@
 import org.troutpier.daemon.request.RequestExchange;
 
 /**
- * What this router can show: requests, upstreams, capacity, routers, classes, partners, changes.
- * Confined to the control thread. Invariant: no row of another partner is ever made for an
- * operator.
+ * Answers queries about requests, upstreams, capacity, routers, classes, partners and changes.
+ * Confined to the control thread. Invariant: an operator never gets a row about another partner.
  */
 final class Inventory {
 
-    /** Nanoseconds in a millisecond. */
-    private static final long NANOS = 1_000_000L;
+    private static final long NANOS_PER_MILLI = 1_000_000L;
 
-    /** The router's identity, threads, clock and metrics. */
     private final Node mNode;
 
-    /** The requests that this router carries. */
     private final ExchangeRegistry mRegistry;
 
-    /** All upstreams. */
     private final UpstreamRegistry mUpstreamRegistry;
 
-    /** Who the routers are. */
     private final Membership mMembership;
 
-    /** The declarations in force. */
     private final ConfigurationRegistry mConfigurations;
 
-    /** Provides the versions of the other routers. */
     private final PeerController mPeers;
 
     /**
@@ -55,9 +47,9 @@
      * @param node the router's identity, threads, clock and metrics
      * @param registry the requests that this router carries
      * @param upstreamRegistry all upstreams
-     * @param membership who the routers are
+     * @param membership knows the routers
      * @param configurations the declarations in force
-     * @param peers knows the versions of the other routers
+     * @param peers knows the configuration versions of the other routers
      */
     Inventory(
             Node node,
@@ -75,13 +67,13 @@
     }
 
     /**
-     * Makes the rows of a kind of thing.
+     * Returns the rows about a kind of thing.
      *
      * @param thing the kind
-     * @param rights whose operator asks
+     * @param rights the rights of the operator
      * @return the rows
      */
-    Shown show(String thing, Rights rights) {
+    ResultTable show(String thing, Rights rights) {
         return switch (thing) {
             case "requests" -> requests(rights);
             case "upstreams" -> upstreams(rights);
@@ -100,13 +92,7 @@
         };
     }
 
-    /**
-     * Shows the requests that this router carries.
-     *
-     * @param rights whose operator asks
-     * @return the rows
-     */
-    private Shown requests(Rights rights) {
+    private ResultTable requests(Rights rights) {
         List<Map<String, String>> rows = new ArrayList<>();
         long now = mNode.nanos().getAsLong();
         for (RequestExchange running : mRegistry.all()) {
@@ -118,19 +104,14 @@
                                 "class", running.requestClass().name(),
                                 "state", running.currentStage().label(),
                                 "upstream", running.currentUpstream(),
-                                "age_ms", (now - running.arrivalNanos()) / NANOS));
+                                "age_ms", (now - running.arrivalNanos()) / NANOS_PER_MILLI));
             }
         }
-        return new Shown(List.of("id", "partner", "class", "state", "upstream", "age_ms"), rows);
+        return new ResultTable(
+                List.of("id", "partner", "class", "state", "upstream", "age_ms"), rows);
     }
 
-    /**
-     * Shows the upstreams.
-     *
-     * @param rights whose operator asks
-     * @return the rows
-     */
-    private Shown upstreams(Rights rights) {
+    private ResultTable upstreams(Rights rights) {
         List<Map<String, String>> rows = new ArrayList<>();
         long now = mNode.nanos().getAsLong();
         for (UpstreamState state : mUpstreamRegistry.all()) {
@@ -145,24 +126,18 @@
                                 "slots", state.declaration().slots(),
                                 "mine", state.localRequests(),
                                 "running", state.estimatedRunning(),
-                                "state", condition(state, now)));
+                                "state", upstreamState(state, now)));
             }
         }
-        return new Shown(
+        return new ResultTable(
                 List.of(
                         "id", "owner", "role", "serves", "hall", "slots", "mine", "running",
                         "state"),
                 rows);
     }
 
-    /**
-     * Says how an upstream fares.
-     *
-     * @param state the upstream
-     * @param now the time
-     * @return one word
-     */
-    private static String condition(UpstreamState state, long now) {
+    /** Returns the state of an upstream as one word. */
+    private static String upstreamState(UpstreamState state, long now) {
         if (state.declaration().draining()) {
             return "draining";
         }
@@ -172,13 +147,8 @@
         return state.isUsable(now) ? "live" : "silent";
     }
 
-    /**
-     * Shows what each model or service could take.
-     *
-     * @param rights whose operator asks
-     * @return the rows
-     */
-    private Shown capacity(Rights rights) {
+    /** Returns the number and load of the usable upstreams, by model or service and role. */
+    private ResultTable capacity(Rights rights) {
         Map<String, int[]> sums = new LinkedHashMap<>();
         long now = mNode.nanos().getAsLong();
         for (UpstreamState state : mUpstreamRegistry.all()) {
@@ -201,15 +171,10 @@
                                         "upstreams", sum[0],
                                         "slots", sum[1],
                                         "running", sum[2])));
-        return new Shown(List.of("serves", "role", "upstreams", "slots", "running"), rows);
+        return new ResultTable(List.of("serves", "role", "upstreams", "slots", "running"), rows);
     }
 
-    /**
-     * Shows the routers.
-     *
-     * @return the rows
-     */
-    private Shown routers() {
+    private ResultTable routers() {
         Map<Incarnation, Long> versions = mPeers.configurationVersions();
         List<Map<String, String>> rows = new ArrayList<>();
         for (Membership.Member member : mMembership.live()) {
@@ -223,16 +188,10 @@
                             "leaving", member.leaving(),
                             "heard", heard));
         }
-        return new Shown(List.of("id", "hall", "version", "leaving", "heard"), rows);
+        return new ResultTable(List.of("id", "hall", "version", "leaving", "heard"), rows);
     }
 
-    /**
-     * Shows the request classes.
-     *
-     * @param rights whose operator asks
-     * @return the rows
-     */
-    private Shown classes(Rights rights) {
+    private ResultTable classes(Rights rights) {
         List<Map<String, String>> rows = new ArrayList<>();
         for (ClassDeclaration declared : mConfigurations.current().classes()) {
             if (rights.covers(declared.partner())) {
@@ -248,7 +207,7 @@
                                 "deadline_ms", declared.deadlineMillis()));
             }
         }
-        return new Shown(
+        return new ResultTable(
                 List.of(
                         "name",
                         "partner",
@@ -261,14 +220,8 @@
                 rows);
     }
 
-    /**
-     * Shows the partners.
-     *
-     * @param rights whose operator asks
-     * @return the rows
-     */
-    private Shown partners(Rights rights) {
-        Declarations visible = ShareEdit.visible(mConfigurations.current(), rights);
+    private ResultTable partners(Rights rights) {
+        Declarations visible = DeclarationAccess.visible(mConfigurations.current(), rights);
         List<Map<String, String>> rows =
                 visible.partners().stream()
                         .map(
@@ -279,15 +232,11 @@
                                                 "queue_limit", partner.queueLimit(),
                                                 "in_flight_limit", partner.inFlightLimit()))
                         .toList();
-        return new Shown(List.of("id", "share", "queue_limit", "in_flight_limit"), rows);
+        return new ResultTable(List.of("id", "share", "queue_limit", "in_flight_limit"), rows);
     }
 
-    /**
-     * Shows the changes that this router has seen lately.
-     *
-     * @return the rows
-     */
-    private Shown changes() {
+    /** Returns the steps of changes that are still in the event ring. */
+    private ResultTable changes() {
         List<Map<String, String>> rows = new ArrayList<>();
         for (Event event : mNode.events().about("")) {
             if (event.kind().startsWith("change-") || event.kind().equals("version")) {
@@ -298,13 +247,13 @@
                                 "detail", event.detail()));
             }
         }
-        return new Shown(List.of("change", "step", "detail"), rows);
+        return new ResultTable(List.of("change", "step", "detail"), rows);
     }
 
     /**
-     * Makes a row.
+     * Creates a row.
      *
-     * @param cells names and values by turns
+     * @param cells alternating names and values
      * @return the row
      */
     private static Map<String, String> row(Object... cells) {
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/peer/PeerController.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/peer/PeerController.java
@@ -131,11 +131,11 @@
         mProposer = proposer;
         mPermits = permits;
         mLeavingListener = leaving;
-        mNode.control().every(this::tick, TICK_INTERVAL_MILLIS);
-        mNode.control().every(this::sendHeartbeat, HEARTBEAT_INTERVAL_MILLIS);
-        mNode.control().every(this::requestInstanceList, LIST_INTERVAL_MILLIS);
-        mNode.control().every(this::pull, PULL_INTERVAL_MILLIS);
-        mNode.control().every(this::revalidate, REVALIDATE_INTERVAL_MILLIS);
+        mNode.control().scheduleWithFixedDelay(this::tick, TICK_INTERVAL_MILLIS);
+        mNode.control().scheduleWithFixedDelay(this::sendHeartbeat, HEARTBEAT_INTERVAL_MILLIS);
+        mNode.control().scheduleWithFixedDelay(this::requestInstanceList, LIST_INTERVAL_MILLIS);
+        mNode.control().scheduleWithFixedDelay(this::pull, PULL_INTERVAL_MILLIS);
+        mNode.control().scheduleWithFixedDelay(this::revalidate, REVALIDATE_INTERVAL_MILLIS);
         mNode.control().execute(this::requestInstanceList);
     }
 
@@ -209,7 +209,7 @@
                         mNode.events().clock().next(),
                         mConfigurations.current().version(),
                         mReadiness.isStopping(),
-                        mReadiness.fenced()));
+                        mReadiness.isFenced()));
     }
 
     private void requestInstanceList() {
@@ -241,7 +241,7 @@
 
     private void pull() {
         mConfigurations
-                .pull()
+                .refresh()
                 .thenAccept(
                         answered -> {
                             if (answered) {
@@ -255,7 +255,7 @@
     }
 
     private void revalidate() {
-        if (mInitialPullSent && (mReadiness.fenced() || mReadiness.obstacle().isPresent())) {
+        if (mInitialPullSent && (mReadiness.isFenced() || mReadiness.obstacle().isPresent())) {
             revalidateNow();
         }
     }
@@ -263,7 +263,7 @@
     /** Requests the latest version from the table or, if that does not answer, from all peers. */
     private void revalidateNow() {
         mConfigurations
-                .pull()
+                .refresh()
                 .thenAccept(
                         answered ->
                                 mNode.control()
@@ -271,7 +271,7 @@
                                                 () -> {
                                                     if (answered) {
                                                         recordPlatformAnswer();
-                                                        mConfigurations.validated("table");
+                                                        mConfigurations.onValidated("table");
                                                     } else {
                                                         pullFromPeers();
                                                     }
@@ -305,11 +305,11 @@
         } else if (message instanceof PeerMessage.Prepare prepare) {
             mMesh.send(sender, new PeerMessage.Prepared(prepare.change(), obstacle(prepare)));
         } else if (message instanceof PeerMessage.Prepared prepared) {
-            mProposer.prepared(sender, prepared);
+            mProposer.onPrepared(sender, prepared);
         } else if (message instanceof PeerMessage.Activate activate) {
             onActivate(sender, activate);
         } else if (message instanceof PeerMessage.Activated activated) {
-            mProposer.activated(sender, activated);
+            mProposer.onActivated(sender, activated);
         } else if (message instanceof PeerMessage.Pull pull) {
             answerPull(sender, pull);
         }
@@ -331,7 +331,7 @@
     /** Returns why a change cannot be put in force here, or an empty text if it can. */
     private String obstacle(PeerMessage.Prepare prepare) {
         Declarations current = mConfigurations.current();
-        if (mReadiness.fenced()) {
+        if (mReadiness.isFenced()) {
             return "fenced";
         }
         if (prepare.next().version() <= current.version()
@@ -349,7 +349,7 @@
         mConfigurations.adopt(activate.next(), "peer " + from.instance());
         boolean answersPull = activate.change().isEmpty();
         if (answersPull) {
-            mConfigurations.validated("peer " + from.instance());
+            mConfigurations.onValidated("peer " + from.instance());
         } else {
             long version = mConfigurations.current().version();
             mMesh.send(from, new PeerMessage.Activated(activate.change(), version));
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/request/CompletionExchange.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/request/CompletionExchange.java
@@ -18,7 +18,7 @@
 import org.troutpier.daemon.claim.StoredAnswer;
 import org.troutpier.daemon.placement.PromptBlocks;
 import org.troutpier.daemon.upstream.AttemptEnd;
-import org.troutpier.daemon.upstream.Engines;
+import org.troutpier.daemon.upstream.EngineClient;
 import org.troutpier.daemon.upstream.TokenEvent;
 
 /**
@@ -60,7 +60,7 @@
     private int mTokensBefore;
 
     /** Aborts the call to the upstream of the current step. */
-    private Engines.Abort mAbort = () -> {};
+    private EngineClient.Abort mAbort = () -> {};
 
     private Grant mCurrentGrant;
 
@@ -136,8 +136,8 @@
                                 SILENCE_CHECK_INTERVAL_MILLIS,
                                 SILENCE_CHECK_INTERVAL_MILLIS,
                                 TimeUnit.MILLISECONDS);
-        Engines.PrefillOrder order =
-                new Engines.PrefillOrder(
+        EngineClient.PrefillRequest order =
+                new EngineClient.PrefillRequest(
                         attempt,
                         services().node().incarnation(),
                         requestClass().partner().value(),
@@ -147,7 +147,7 @@
                         mTokens);
         mAbort =
                 services()
-                        .engines()
+                        .engineClient()
                         .prefill(
                                 grant.prefill(),
                                 order,
@@ -159,7 +159,7 @@
      * Receives the result of the prefill on any thread and ignores it if the attempt is no longer
      * current.
      */
-    private final class PrefillHandler implements Engines.PrefillListener {
+    private final class PrefillHandler implements EngineClient.PrefillListener {
 
         private final String mListenedAttempt;
 
@@ -180,7 +180,7 @@
 
         /** {@inheritDoc} */
         @Override
-        public void onPrefillEnd(AttemptEnd end) {
+        public void onPrefillFailure(AttemptEnd end) {
             runOnLoop(
                     () -> {
                         if (isCurrent(mListenedAttempt)) {
@@ -208,8 +208,8 @@
         recordEvent("decode", grant.main().id().value());
         mLastProgressNanos = now();
         mDecodeMayHold = true;
-        Engines.DecodeOrder order =
-                new Engines.DecodeOrder(
+        EngineClient.DecodeRequest order =
+                new EngineClient.DecodeRequest(
                         mAttempt,
                         services().node().incarnation(),
                         arrival().call(),
@@ -218,7 +218,7 @@
                         mRequest.maxTokens() - mTokens);
         mAbort =
                 services()
-                        .engines()
+                        .engineClient()
                         .decode(
                                 grant.main(),
                                 order,
@@ -230,7 +230,7 @@
      * Receives the events of the decode engine on any thread and ignores those of an attempt that
      * is no longer current.
      */
-    private final class DecodeHandler implements Engines.DecodeListener {
+    private final class DecodeHandler implements EngineClient.DecodeListener {
 
         private final String mListenedAttempt;
 
@@ -251,7 +251,7 @@
 
         /** {@inheritDoc} */
         @Override
-        public void onWhole() {
+        public void onComplete() {
             runOnLoop(
                     () -> {
                         if (isCurrent(mListenedAttempt)) {
@@ -262,7 +262,7 @@
 
         /** {@inheritDoc} */
         @Override
-        public void onDecodeEnd(AttemptEnd end) {
+        public void onDecodeFailure(AttemptEnd end) {
             runOnLoop(
                     () -> {
                         if (isCurrent(mListenedAttempt)) {
--- a/troutpier-daemon/src/test/java/org/troutpier/daemon/admission/ManualControl.java
+++ b/troutpier-daemon/src/test/java/org/troutpier/daemon/admission/ManualControl.java
@@ -4,10 +4,10 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Queue;
-import org.troutpier.daemon.node.Control;
+import org.troutpier.daemon.node.ControlExecutor;
 
-/** Control thread for tests that runs tasks only when asked to. */
-final class ManualControl implements Control {
+/** ControlExecutor thread for tests that runs tasks only when asked to. */
+final class ManualControl implements ControlExecutor {
 
     private final Queue<Runnable> mTasks = new ArrayDeque<>();
     private final List<Runnable> mPeriodicTasks = new ArrayList<>();
@@ -18,12 +18,12 @@
     }
 
     @Override
-    public void later(Runnable task, long millis) {
+    public void schedule(Runnable task, long millis) {
         mTasks.add(task);
     }
 
     @Override
-    public void every(Runnable task, long millis) {
+    public void scheduleWithFixedDelay(Runnable task, long millis) {
         mPeriodicTasks.add(task);
     }
 
--- a/troutpier-daemon/src/test/java/org/troutpier/daemon/cluster/LoadViewTest.java
+++ b/troutpier-daemon/src/test/java/org/troutpier/daemon/cluster/LoadViewTest.java
@@ -7,12 +7,12 @@
 import java.util.List;
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
-import org.troutpier.daemon.node.ManualTime;
+import org.troutpier.daemon.node.ManualClock;
 
 /** Tests when decisions are run by {@link LoadView.ForDecisions}. */
 public final class LoadViewTest {
 
-    private ManualTime mTime;
+    private ManualClock mTime;
     private List<Runnable> mQueries;
     private int mDecisions;
     private LoadView mView;
@@ -20,7 +20,7 @@
 
     @BeforeMethod
     void start() {
-        mTime = new ManualTime();
+        mTime = new ManualClock();
         mQueries = new ArrayList<>();
         mDecisions = 0;
         mMetrics = new MetricRegistry();
@@ -36,11 +36,11 @@
     @Test
     public void decisionsWaitForOneAnswer() {
         decide(3);
-        mTime.pass(1);
+        mTime.advance(1);
         assertEquals(mDecisions, 0);
         assertEquals(mQueries.size(), 1);
         mQueries.get(0).run();
-        mTime.pass(1);
+        mTime.advance(1);
         assertEquals(mDecisions, 3);
     }
 
@@ -52,7 +52,7 @@
                 });
         decide(1);
         mQueries.get(0).run();
-        mTime.pass(1);
+        mTime.advance(1);
         assertEquals(mDecisions, 1);
     }
 
@@ -60,10 +60,10 @@
     public void aFreshViewIsNotQueriedAgain() {
         decide(1);
         mQueries.get(0).run();
-        mTime.pass(LoadView.ForDecisions.MAX_AGE_MILLIS);
+        mTime.advance(LoadView.ForDecisions.MAX_AGE_MILLIS);
         decide(1);
         assertEquals(mDecisions, 2);
-        mTime.pass(1);
+        mTime.advance(1);
         decide(1);
         assertEquals(mQueries.size(), 2);
     }
@@ -71,7 +71,7 @@
     @Test
     public void aDecisionIsMadeInTimeWithoutAnAnswer() {
         decide(1);
-        mTime.pass(LoadView.ForDecisions.MAX_WAIT_MILLIS);
+        mTime.advance(LoadView.ForDecisions.MAX_WAIT_MILLIS);
         assertEquals(mDecisions, 1);
         assertEquals(mMetrics.counter("view.unanswered").getCount(), 1);
     }
@@ -79,14 +79,14 @@
     @Test
     public void aLateAnswerDoesNotEndALaterQuery() {
         decide(1);
-        mTime.pass(
+        mTime.advance(
                 LoadView.ForDecisions.MAX_WAIT_MILLIS + LoadView.ForDecisions.MAX_AGE_MILLIS + 1);
         decide(1);
         mQueries.get(0).run();
-        mTime.pass(1);
+        mTime.advance(1);
         assertEquals(mDecisions, 1);
         mQueries.get(1).run();
-        mTime.pass(1);
+        mTime.advance(1);
         assertEquals(mDecisions, 2);
     }
 }
--- a/troutpier-daemon/src/test/java/org/troutpier/daemon/cluster/PeerExchangeTest.java
+++ b/troutpier-daemon/src/test/java/org/troutpier/daemon/cluster/PeerExchangeTest.java
@@ -24,7 +24,7 @@
 import org.troutpier.daemon.limit.LastAnnouncedRate;
 import org.troutpier.daemon.limit.RateReport;
 import org.troutpier.daemon.limit.RecentUsage;
-import org.troutpier.daemon.node.ManualTime;
+import org.troutpier.daemon.node.ManualClock;
 import org.troutpier.daemon.node.Node;
 import org.troutpier.daemon.node.TestNode;
 import org.troutpier.daemon.organisation.UsageReport;
@@ -53,7 +53,7 @@
     private static final UpstreamIncarnation ENGINE = UpstreamIncarnation.of("engine");
     private static final long RECOVERY_MILLIS = 8000;
 
-    private ManualTime mTime;
+    private ManualClock mTime;
     private static final RoutingConfiguration VERSION_ONE =
             new RoutingConfiguration(
                     1, List.of(), List.of(), List.of(), ServerLimits.DEFAULT, new byte[] {1});
@@ -99,7 +99,7 @@
         int mConfigurationsSent;
 
         final Member mSelf;
-        final ManualTime.PausableControl mControl = mTime.control();
+        final ManualClock.PausableControlExecutor mControl = mTime.control();
         final PeerLoads mLoads = new PeerLoads();
         final Set<Incarnation> mConnected = new HashSet<>();
         final List<SharedPage> mPages = new ArrayList<>();
@@ -152,7 +152,7 @@
                                     mLeaving.addAll(upstreams);
                                 }
                             });
-            mControl.every(this::report, 100);
+            mControl.scheduleWithFixedDelay(this::report, 100);
         }
 
         int mCalls = 1;
@@ -254,7 +254,7 @@
 
     @BeforeMethod
     void start() {
-        mTime = new ManualTime();
+        mTime = new ManualClock();
         mRouters = new LinkedHashMap<>();
         mCutLinks = new HashSet<>();
     }
@@ -299,7 +299,7 @@
     @Test
     public void fewRoutersExchangeLoadsDirectly() {
         routers(8);
-        mTime.pass(1000);
+        mTime.advance(1000);
         assertAggregatesComplete();
     }
 
@@ -310,27 +310,27 @@
     @Test
     public void aVersionThatAllReadFromTheStoreIsNotForwarded() {
         routers(8);
-        mTime.pass(1000);
+        mTime.advance(1000);
         int apart = 0;
         for (Router router : mRouters.values()) {
-            mTime.pass(apart++ % 3 * 10L);
+            mTime.advance(apart++ % 3 * 10L);
             router.mConfiguration.adoptIfNewer(VERSION_ONE, "store");
         }
-        mTime.pass(2000);
+        mTime.advance(2000);
         assertEquals(configurationsSent(), 0);
     }
 
     @Test
     public void aRouterWithoutTheStoreReceivesTheVersionWithinASecond() {
         routers(8);
-        mTime.pass(1000);
+        mTime.advance(1000);
         Router last = mRouters.values().stream().skip(7).findFirst().orElseThrow();
         for (Router router : mRouters.values()) {
             if (router != last) {
                 router.mConfiguration.adoptIfNewer(VERSION_ONE, "store");
             }
         }
-        mTime.pass(1000);
+        mTime.advance(1000);
         assertEquals(last.mConfiguration.version(), 1);
         assertTrue(configurationsSent() <= 7, "configurations sent " + configurationsSent());
     }
@@ -338,16 +338,16 @@
     @Test
     public void manyRoutersExchangeLoadsOverRelays() {
         routers(MANY_ROUTERS);
-        mTime.pass(2000);
+        mTime.advance(2000);
         assertAggregatesComplete();
     }
 
     @Test
     public void aRoutersMessagesDoNotGrowWithTheFleet() {
         routers(MANY_ROUTERS);
-        mTime.pass(2000);
+        mTime.advance(2000);
         mRouters.values().forEach(router -> router.mSent = 0);
-        mTime.pass(1000);
+        mTime.advance(1000);
         List<Integer> sent =
                 mRouters.values().stream().map(router -> router.mSent).sorted().toList();
         assertTrue(sent.get(MANY_ROUTERS / 2) <= 12, "messages a second at most routers " + sent);
@@ -357,9 +357,9 @@
     @Test
     public void anUnchangedLoadIsForwardedRarely() {
         routers(MANY_ROUTERS);
-        mTime.pass(2000);
+        mTime.advance(2000);
         mRouters.values().forEach(router -> router.mSent = 0);
-        mTime.pass(1000);
+        mTime.advance(1000);
         int most = mRouters.values().stream().mapToInt(router -> router.mSent).max().orElseThrow();
         assertTrue(most <= 80, "messages a second at a relay though nothing changed: " + most);
     }
@@ -371,11 +371,11 @@
     @Test
     public void aRouterWithoutDecisionsReceivesFewReports() {
         routers(MANY_ROUTERS);
-        mTime.pass(2000);
+        mTime.advance(2000);
         mRouters.values().forEach(router -> router.mMessagesReceived = 0);
         for (int round = 0; round < 20; round++) {
             mRouters.values().forEach(router -> router.mCalls++);
-            mTime.pass(100);
+            mTime.advance(100);
         }
         List<Integer> received =
                 mRouters.values().stream()
@@ -388,7 +388,7 @@
 
     private Router changeOneOfMany() {
         routers(MANY_ROUTERS);
-        mTime.pass(2000);
+        mTime.advance(2000);
         Router changed = List.copyOf(mRouters.values()).get(MANY_ROUTERS - 1);
         changed.mCalls = 5;
         changed.report();
@@ -400,14 +400,14 @@
         for (Router router : routers) {
             router.mControl.execute(() -> router.mExchange.refreshLoads(() -> answers[0]++));
         }
-        mTime.pass(2 * ROUND_TRIP_MILLIS);
+        mTime.advance(2 * ROUND_TRIP_MILLIS);
         return answers[0];
     }
 
     @Test
     public void aChangedLoadIsKnownImmediatelyAfterAQuery() {
         Router changed = changeOneOfMany();
-        mTime.pass(60);
+        mTime.advance(60);
         assertEquals(countAnswers(liveRouters()), MANY_ROUTERS);
         for (Router router : liveRouters()) {
             int calls = router == changed ? MANY_ROUTERS - 1 : MANY_ROUTERS - 2 + changed.mCalls;
@@ -419,7 +419,7 @@
     @Test
     public void aLoadIsKnownImmediatelyInItsHallAfterAQuery() {
         Router changed = changeOneOfMany();
-        mTime.pass(ROUND_TRIP_MILLIS / 2);
+        mTime.advance(ROUND_TRIP_MILLIS / 2);
         List<Router> peers = new ArrayList<>(liveRouters());
         peers.removeIf(router -> !router.mSelf.hall().equals(changed.mSelf.hall()));
         peers.remove(changed);
@@ -434,13 +434,13 @@
     @Test
     public void aDeadOrFrozenRelayIsReplaced() {
         routers(MANY_ROUTERS);
-        mTime.pass(2000);
+        mTime.advance(2000);
         List<Router> all = List.copyOf(mRouters.values());
         all.get(0).mDead = true;
         all.get(1).mControl.pause(true);
-        mTime.pass(RECOVERY_MILLIS);
+        mTime.advance(RECOVERY_MILLIS);
         all.get(1).mDead = true;
-        mTime.pass(RECOVERY_MILLIS);
+        mTime.advance(RECOVERY_MILLIS);
         assertAggregatesComplete();
     }
 
@@ -448,10 +448,10 @@
     private <T> void assertReachesAllImmediately(
             T notice, BiConsumer<PeerExchange, T> report, Function<Router, List<T>> received) {
         routers(MANY_ROUTERS);
-        mTime.pass(2000);
+        mTime.advance(2000);
         List<Router> all = List.copyOf(mRouters.values());
         report.accept(all.get(MANY_ROUTERS - 1).mExchange, notice);
-        mTime.pass(20);
+        mTime.advance(20);
         for (Router router : all.subList(0, MANY_ROUTERS - 1)) {
             assertEquals(received.apply(router), List.of(notice), "reported to " + router.mSelf);
         }
@@ -475,18 +475,18 @@
     @Test
     public void anAnnouncedRateAndItsUsageAreCountedOnceAtEachRouter() {
         routers(MANY_ROUTERS);
-        mTime.pass(2000);
+        mTime.advance(2000);
         List<Router> all = List.copyOf(mRouters.values());
         RecentUsage one = new RecentUsage(1, 1, 2);
         RateReport sent = new RateReport(LastAnnouncedRate.NEVER, one, List.of(2L));
         all.forEach(router -> router.mRates = Map.of(ENGINE, sent));
         all.get(MANY_ROUTERS - 1).mRates =
                 Map.of(ENGINE, new RateReport(new LastAnnouncedRate(3.6, 100), one, List.of(2L)));
-        mTime.pass(1000);
+        mTime.advance(1000);
         for (Router router : all) {
             router.mExchange.refreshLoads(() -> {});
         }
-        mTime.pass(20);
+        mTime.advance(20);
         for (Router router : all.subList(0, MANY_ROUTERS - 1)) {
             RateReport rate = router.mLoads.rate(ENGINE, mTime.millis());
             assertEquals(rate.named().perSecond(), 3.6, "named at " + router.mSelf);
@@ -502,10 +502,10 @@
     @Test
     public void aRefusalIsAnnouncedToAll() {
         routers(MANY_ROUTERS);
-        mTime.pass(2000);
+        mTime.advance(2000);
         List<Router> all = List.copyOf(mRouters.values());
         all.get(MANY_ROUTERS - 1).mExchange.announceRefusal("key");
-        mTime.pass(500);
+        mTime.advance(500);
         for (Router router : all.subList(0, MANY_ROUTERS - 1)) {
             assertTrue(router.mRefusals.contains("key"), "sent to " + router.mSelf);
         }
@@ -514,14 +514,14 @@
     @Test
     public void aTableReaderSharesPagesWithItsHallOnly() {
         routers(MANY_ROUTERS);
-        mTime.pass(2000);
+        mTime.advance(2000);
         List<Router> all = List.copyOf(mRouters.values());
         List<Row> rows = List.of(new Row(TABLE, "", "k", new byte[0], 2, false));
         all.forEach(
                 router ->
                         new TableExchange.ForPages(router.mExchange.tables(), TABLE)
                                 .publish(1, 2, 0, rows));
-        mTime.pass(100);
+        mTime.advance(100);
         for (int number = 0; number < MANY_ROUTERS; number++) {
             int expected = number < HALLS ? 0 : 1;
             assertEquals(all.get(number).mPages.size(), expected, "pages at " + number);
@@ -532,12 +532,12 @@
     private VersionedRows followTable() {
         VersionedRows rows = new VersionedRows();
         rows.put(new Key(TABLE, "", "leaving"), "");
-        mTime.pass(2000);
+        mTime.advance(2000);
         for (Router router : mRouters.values()) {
             router.follow(rows);
-            mTime.pass(90);
+            mTime.advance(90);
         }
-        mTime.pass(3000);
+        mTime.advance(3000);
         return rows;
     }
 
@@ -560,11 +560,11 @@
         List<Router> all = List.copyOf(mRouters.values());
         all.subList(0, 3).forEach(router -> router.mStore.mSilent = true);
         rows.drop(new Key(TABLE, "", "leaving"));
-        mTime.pass(1900);
+        mTime.advance(1900);
         assertKeys(all);
         rows.put(new Key(TABLE, "", "coming"), "");
         rows.forget();
-        mTime.pass(1900);
+        mTime.advance(1900);
         assertKeys(all, "coming");
     }
 
@@ -574,10 +574,10 @@
         VersionedRows rows = followTable();
         Router unanswered = List.copyOf(mRouters.values()).get(2);
         unanswered.mStore.mSilent = true;
-        mTime.pass(5000);
+        mTime.advance(5000);
         unanswered.mStore.mSilent = false;
         rows.drop(new Key(TABLE, "", "leaving"));
-        mTime.pass(800);
+        mTime.advance(800);
         assertKeys(List.of(unanswered));
         assertTrue(
                 mTime.millis() - unanswered.mTableKeys.mUnbrokenSince > 5800, "there was no gap");
@@ -592,7 +592,7 @@
             all.get(number).mStore.mSilent = true;
         }
         rows.drop(new Key(TABLE, "", "leaving"));
-        mTime.pass(4000);
+        mTime.advance(4000);
         assertKeys(all);
     }
 
@@ -602,10 +602,10 @@
         VersionedRows rows = followTable();
         List<Router> all = List.copyOf(mRouters.values());
         all.forEach(router -> router.mStore.mSilent = true);
-        mTime.pass(10_000);
+        mTime.advance(10_000);
         all.forEach(router -> router.mStore.mSilent = false);
         rows.drop(new Key(TABLE, "", "leaving"));
-        mTime.pass(1200);
+        mTime.advance(1200);
         assertKeys(all);
         for (Router router : all) {
             assertTrue(
@@ -624,7 +624,7 @@
     private void injectFaults(long seed) {
         Random random = new Random(seed);
         routers(MANY_ROUTERS);
-        mTime.pass(2000);
+        mTime.advance(2000);
         for (int round = 0; round < 12; round++) {
             List<Router> live = liveRouters();
             Router frozen = live.get(random.nextInt(live.size()));
@@ -636,11 +636,11 @@
                 mCutLinks.add(Set.of(one.mSelf.incarnation(), other.mSelf.incarnation()));
             }
             killed.mDead = true;
-            mTime.pass(random.nextInt(3000));
+            mTime.advance(random.nextInt(3000));
             frozen.mControl.pause(false);
-            mTime.pass(random.nextInt(3000));
+            mTime.advance(random.nextInt(3000));
             mCutLinks.clear();
-            mTime.pass(RECOVERY_MILLIS);
+            mTime.advance(RECOVERY_MILLIS);
             assertAggregatesComplete();
         }
     }
--- a/troutpier-daemon/src/test/java/org/troutpier/daemon/cluster/QuarantineTableTest.java
+++ b/troutpier-daemon/src/test/java/org/troutpier/daemon/cluster/QuarantineTableTest.java
@@ -9,7 +9,7 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 import org.troutpier.common.id.UpstreamIncarnation;
-import org.troutpier.daemon.node.ManualTime;
+import org.troutpier.daemon.node.ManualClock;
 import org.troutpier.daemon.node.Node;
 import org.troutpier.daemon.node.TestNode;
 import org.troutpier.daemon.quarantine.CrashRecord;
@@ -28,7 +28,7 @@
     private static final RequestFingerprint REQUEST =
             RequestFingerprint.of("host", "/guilty", new byte[0]);
 
-    private ManualTime mTime;
+    private ManualClock mTime;
     private VersionedRows mRows;
 
     /** A router that no other reaches. */
@@ -37,7 +37,7 @@
         final FakeRowStore mStore = new FakeRowStore(mRows);
         final Quarantine mQuarantine =
                 new Quarantine(SETTINGS, mTime::millis, new MetricRegistry());
-        final ManualTime.PausableControl mControl = mTime.control();
+        final ManualClock.PausableControlExecutor mControl = mTime.control();
         final QuarantineTable mTable;
 
         Router(String name) {
@@ -62,13 +62,13 @@
 
     @BeforeMethod
     void start() {
-        mTime = new ManualTime();
+        mTime = new ManualClock();
         mRows = new VersionedRows();
     }
 
     private Router router(String name) {
         Router router = new Router(name);
-        mTime.pass(100);
+        mTime.advance(100);
         return router;
     }
 
@@ -81,7 +81,7 @@
         Router one = router("one");
         Router other = router("other");
         one.crash(1, 2, 3);
-        mTime.pass(SETTINGS.knownMillis());
+        mTime.advance(SETTINGS.knownMillis());
         assertTrue(other.isQuarantined());
     }
 
@@ -91,7 +91,7 @@
         Router other = router("other");
         one.crash(1, 2);
         other.crash(3, 4);
-        mTime.pass(SETTINGS.knownMillis());
+        mTime.advance(SETTINGS.knownMillis());
         assertTrue(one.isQuarantined() && other.isQuarantined());
         assertEquals(one.mQuarantine.records(), other.mQuarantine.records());
         assertEquals(one.mQuarantine.records().get(REQUEST).ended().size(), 4);
@@ -100,7 +100,7 @@
     @Test
     public void aRouterStartedAfterALossOfAllLoadsTheQuarantine() {
         router("one").crash(1, 2, 3);
-        mTime.pass(SETTINGS.knownMillis());
+        mTime.advance(SETTINGS.knownMillis());
         assertTrue(router("later").isQuarantined());
     }
 
@@ -109,11 +109,11 @@
         Router one = router("one");
         VersionedRows.Copy copy = mRows.copy();
         one.crash(1, 2, 3);
-        mTime.pass(2L * SETTINGS.knownMillis());
+        mTime.advance(2L * SETTINGS.knownMillis());
         assertEquals(rows(), 1);
         mRows.restore(copy);
         assertEquals(rows(), 0);
-        mTime.pass(3L * SETTINGS.knownMillis());
+        mTime.advance(3L * SETTINGS.knownMillis());
         assertTrue(one.isQuarantined());
         assertEquals(rows(), 1);
         assertTrue(router("later").isQuarantined());
@@ -125,10 +125,10 @@
         Router frozen = router("still");
         frozen.mControl.pause(true);
         one.crash(1, 2, 3);
-        mTime.pass(10_000);
+        mTime.advance(10_000);
         assertFalse(frozen.isQuarantined());
         frozen.mControl.pause(false);
-        mTime.pass(SETTINGS.knownMillis());
+        mTime.advance(SETTINGS.knownMillis());
         assertTrue(frozen.isQuarantined());
     }
 
@@ -137,10 +137,10 @@
         Router one = router("one");
         one.mStore.mAway = true;
         one.crash(1, 2, 3);
-        mTime.pass(10_000);
+        mTime.advance(10_000);
         assertEquals(rows(), 0);
         one.mStore.mAway = false;
-        mTime.pass(1000);
+        mTime.advance(1000);
         assertTrue(router("later").isQuarantined());
     }
 
@@ -149,13 +149,13 @@
         Router one = router("one");
         one.mStore.mCarrier = (work, answer) -> answer.run();
         one.crash(1, 2, 3);
-        mTime.pass(1000);
+        mTime.advance(1000);
         one.mStore.mCarrier =
                 (work, answer) -> {
                     work.run();
                     answer.run();
                 };
-        mTime.pass(1000);
+        mTime.advance(1000);
         assertTrue(router("later").isQuarantined());
     }
 
@@ -173,7 +173,7 @@
             CrashRecord found = router.mQuarantine.records().get(REQUEST);
             routers.forEach(each -> each.mQuarantine.merge(new CrashReport(REQUEST, found)));
         }
-        mTime.pass(SETTINGS.knownMillis());
+        mTime.advance(SETTINGS.knownMillis());
         assertTrue(router("later").isQuarantined());
     }
 
@@ -185,7 +185,7 @@
     public void aTableOlderThanTheRowRemovesNothing() {
         Router one = router("one");
         one.crash(1, 2, 3);
-        mTime.pass(SETTINGS.knownMillis() / 10);
+        mTime.advance(SETTINGS.knownMillis() / 10);
         assertEquals(rows(), 1);
         one.mTable.onSnapshot(List.of());
         assertTrue(one.isQuarantined());
@@ -195,10 +195,10 @@
     public void aSingleCrashWritesNoRow() {
         Router one = router("one");
         one.crash(1);
-        mTime.pass(1000);
+        mTime.advance(1000);
         assertEquals(rows(), 0);
         one.crash(2);
-        mTime.pass(1000);
+        mTime.advance(1000);
         assertEquals(rows(), 1);
     }
 
@@ -207,9 +207,9 @@
         Router one = router("one");
         Router other = router("other");
         one.crash(1, 2, 3);
-        mTime.pass(SETTINGS.knownMillis());
+        mTime.advance(SETTINGS.knownMillis());
         assertEquals(other.mQuarantine.clear(REQUEST.shortName()), 1);
-        mTime.pass(SETTINGS.knownMillis());
+        mTime.advance(SETTINGS.knownMillis());
         assertFalse(one.isQuarantined());
         assertFalse(router("later").isQuarantined());
     }
@@ -218,18 +218,18 @@
     public void aRowDeletedByAnOperatorClearsTheRequest() {
         Router one = router("one");
         one.crash(1, 2, 3);
-        mTime.pass(SETTINGS.knownMillis());
+        mTime.advance(SETTINGS.knownMillis());
         mRows.drop(new Key(QuarantineTable.TABLE, "", REQUEST.value()));
-        mTime.pass(SETTINGS.knownMillis());
+        mTime.advance(SETTINGS.knownMillis());
         assertFalse(one.isQuarantined());
     }
 
     @Test
     public void expiredRowsAreDeleted() {
         router("one").crash(1, 2, 3);
-        mTime.pass(55_000);
+        mTime.advance(55_000);
         assertEquals(rows(), 1);
-        mTime.pass(12_000);
+        mTime.advance(12_000);
         assertEquals(rows(), 0);
     }
 
@@ -240,7 +240,7 @@
         Router one = router("one");
         assertTrue(one.mQuarantine.isEmpty());
         one.crash(1, 2, 3);
-        mTime.pass(SETTINGS.knownMillis());
+        mTime.advance(SETTINGS.knownMillis());
         assertTrue(router("later").isQuarantined());
     }
 }
--- a/troutpier-daemon/src/test/java/org/troutpier/daemon/cluster/ReportSchedulerTest.java
+++ b/troutpier-daemon/src/test/java/org/troutpier/daemon/cluster/ReportSchedulerTest.java
@@ -4,18 +4,18 @@
 
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
-import org.troutpier.daemon.node.ManualTime;
+import org.troutpier.daemon.node.ManualClock;
 
 /** Tests how often a router reports its load. */
 public final class ReportSchedulerTest {
 
-    private ManualTime mTime;
+    private ManualClock mTime;
     private int mReports;
     private ReportScheduler mScheduler;
 
     @BeforeMethod
     void start() {
-        mTime = new ManualTime();
+        mTime = new ManualClock();
         mReports = 0;
         mScheduler = new ReportScheduler(mTime.loop(), this::report);
         mScheduler.recordReport();
@@ -31,27 +31,27 @@
     public void addedTokensAreReportedFiveTimesASecond() {
         for (int token = 0; token < 200; token++) {
             mScheduler.onTokensAdded();
-            mTime.pass(5);
+            mTime.advance(5);
         }
         assertEquals(mReports, 5, 1);
     }
 
     @Test
     public void aCallIsReportedImmediatelyIfTheLastReportIsOld() {
-        mTime.pass(ReportScheduler.CALL_INTERVAL_MILLIS);
+        mTime.advance(ReportScheduler.CALL_INTERVAL_MILLIS);
         mScheduler.onCallChange();
-        mTime.pass(1);
+        mTime.advance(1);
         assertEquals(mReports, 1);
     }
 
     @Test
     public void aCallDoesNotWaitForAReportOfTokens() {
         mScheduler.onTokensAdded();
-        mTime.pass(10);
+        mTime.advance(10);
         mScheduler.onCallChange();
-        mTime.pass(ReportScheduler.CALL_INTERVAL_MILLIS - 10);
+        mTime.advance(ReportScheduler.CALL_INTERVAL_MILLIS - 10);
         assertEquals(mReports, 1);
-        mTime.pass(ReportScheduler.TOKEN_INTERVAL_MILLIS);
+        mTime.advance(ReportScheduler.TOKEN_INTERVAL_MILLIS);
         assertEquals(mReports, 1);
     }
 
@@ -59,7 +59,7 @@
     public void addedTokensDoNotDelayAReportOfACall() {
         mScheduler.onCallChange();
         mScheduler.onTokensAdded();
-        mTime.pass(ReportScheduler.CALL_INTERVAL_MILLIS);
+        mTime.advance(ReportScheduler.CALL_INTERVAL_MILLIS);
         assertEquals(mReports, 1);
     }
 
@@ -67,7 +67,7 @@
     public void frequentCallsAreReportedTwentyTimesASecond() {
         for (int call = 0; call < 1000; call++) {
             mScheduler.onCallChange();
-            mTime.pass(1);
+            mTime.advance(1);
         }
         assertEquals(mReports, 20, 1);
     }
