--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/upstream/EngineLoadPoller.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/upstream/EngineLoadPoller.java
@@ -49,7 +49,8 @@
                             (load, failure) ->
                                     mNode.control().execute(() -> onLoad(declaration.id(), load)));
             if (declaration.role() == Role.PREFILL) {
-                mEngineClient.cacheEvents(declaration, state.lastEventNumber())
+                mEngineClient
+                        .cacheEvents(declaration, state.lastEventNumber())
                         .thenAccept(
                                 events ->
                                         mNode.control()
