--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/admission/CoordinatorPermits.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/admission/CoordinatorPermits.java
@@ -210,13 +210,13 @@
     /** {@inheritDoc} */
     @Override
     public void requestPermits(Iterable<UpstreamState> decodes, int waiting) {
-        int engines = 0;
+        int engineCount = 0;
         for (UpstreamState ignored : decodes) {
-            engines++;
+            engineCount++;
         }
-        int each = Math.max(1, (waiting + engines - 1) / engines);
+        int perEngine = Math.max(1, (waiting + engineCount - 1) / engineCount);
         for (UpstreamState decode : decodes) {
-            requestUnlessPending(decode.declaration().id(), each);
+            requestUnlessPending(decode.declaration().id(), perEngine);
         }
     }
 
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/admission/Grant.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/admission/Grant.java
@@ -100,9 +100,9 @@
      * @return whether it was not released before
      */
     boolean releasePrefill() {
-        boolean first = !mPrefillReleased;
+        boolean firstCall = !mPrefillReleased;
         mPrefillReleased = true;
-        return first;
+        return firstCall;
     }
 
     /**
@@ -111,8 +111,8 @@
      * @return whether it was not released before
      */
     boolean releaseMain() {
-        boolean first = !mMainReleased;
+        boolean firstCall = !mMainReleased;
         mMainReleased = true;
-        return first;
+        return firstCall;
     }
 }
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/claim/ClaimSettler.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/claim/ClaimSettler.java
@@ -102,10 +102,10 @@
     void recordAnswerInBackground(Claim claim, Optional<StoredAnswer> answer) {
         recordAnswer(claim, answer)
                 .thenAccept(
-                        settled ->
+                        result ->
                                 retryIfUnknown(
                                         claim,
-                                        settled,
+                                        result,
                                         () -> recordAnswerInBackground(claim, answer)));
     }
 
@@ -124,8 +124,8 @@
                                         ? CompletableFuture.completedFuture(SettlementResult.DONE)
                                         : readBack(claim, next, write.outcome()))
                 .whenComplete(
-                        (settled, failure) -> {
-                            if (settled != SettlementResult.UNKNOWN) {
+                        (result, failure) -> {
+                            if (result != SettlementResult.UNKNOWN) {
                                 mOnDone.accept(claim);
                             }
                         });
@@ -165,14 +165,14 @@
     void settleInBackground(Claim claim, Function<ClaimRow, ClaimRow> change) {
         settle(claim, change)
                 .thenAccept(
-                        settled ->
+                        result ->
                                 retryIfUnknown(
-                                        claim, settled, () -> settleInBackground(claim, change)));
+                                        claim, result, () -> settleInBackground(claim, change)));
     }
 
     /** Schedules another try if the result is unknown and the claim has not expired. */
-    private void retryIfUnknown(Claim claim, SettlementResult settled, Runnable retry) {
-        if (settled == SettlementResult.UNKNOWN && isUnexpired(claim)) {
+    private void retryIfUnknown(Claim claim, SettlementResult result, Runnable retry) {
+        if (result == SettlementResult.UNKNOWN && isUnexpired(claim)) {
             mNode.control().later(retry, SETTLE_RETRY_MILLIS);
         } else {
             mOnDone.accept(claim);
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/request/CompletionExchange.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/request/CompletionExchange.java
@@ -198,11 +198,11 @@
      */
     private void startDecode(String handle) {
         Grant grant = mCurrentGrant;
-        long took = now() - mLastProgressNanos;
+        long tookNanos = now() - mLastProgressNanos;
         services()
                 .node()
                 .control()
-                .execute(() -> services().controller().onPrefillEnd(grant, took));
+                .execute(() -> services().controller().onPrefillEnd(grant, tookNanos));
         setStage(Stage.TRANSFER);
         setUpstream(grant.main().id().value());
         recordEvent("decode", grant.main().id().value());
@@ -310,11 +310,11 @@
         recordEvent("first-token", "");
         mPrefillMayHold = false;
         Grant grant = mCurrentGrant;
-        long step = now - mLastProgressNanos;
+        long stepNanos = now - mLastProgressNanos;
         services()
                 .node()
                 .control()
-                .execute(() -> services().controller().onFirstToken(grant, step));
+                .execute(() -> services().controller().onFirstToken(grant, stepNanos));
         if (mFirstTokenNanos == 0) {
             mFirstTokenNanos = now;
         }
@@ -350,16 +350,18 @@
      */
     private void countGoodput() {
         final long nanosPerMilli = 1_000_000L;
-        long first = (mFirstTokenNanos - arrivalNanos()) / nanosPerMilli;
-        long between =
+        long firstTokenMillis = (mFirstTokenNanos - arrivalNanos()) / nanosPerMilli;
+        long meanTokenMillis =
                 mTokens < 2
                         ? 0
                         : (mLastProgressNanos - mFirstTokenNanos) / (mTokens - 1) / nanosPerMilli;
         boolean firstInTime =
-                !requestClass().hasTarget() || first <= requestClass().firstTokenMillis();
-        boolean restInTime =
-                requestClass().perTokenMillis() == 0 || between <= requestClass().perTokenMillis();
-        count(firstInTime && restInTime ? "good" : "late");
+                !requestClass().hasTarget()
+                        || firstTokenMillis <= requestClass().firstTokenMillis();
+        boolean tokensInTime =
+                requestClass().perTokenMillis() == 0
+                        || meanTokenMillis <= requestClass().perTokenMillis();
+        count(firstInTime && tokensInTime ? "good" : "late");
     }
 
     /** Adds to a counter of the partner. */
@@ -373,11 +375,11 @@
         if (!isCurrent(mAttempt)) {
             return;
         }
-        long silent = now() - mLastProgressNanos;
+        long silentNanos = now() - mLastProgressNanos;
         switch (currentStage()) {
-            case PREFILL -> abandonAfter(silent, PREFILL_TIMEOUT_NANOS, "no prefill");
-            case TRANSFER -> abandonAfter(silent, TRANSFER_TIMEOUT_NANOS, "no first token");
-            case DECODE -> abandonAfter(silent, TOKEN_TIMEOUT_NANOS, "no next token");
+            case PREFILL -> abandonAfter(silentNanos, PREFILL_TIMEOUT_NANOS, "no prefill");
+            case TRANSFER -> abandonAfter(silentNanos, TRANSFER_TIMEOUT_NANOS, "no first token");
+            case DECODE -> abandonAfter(silentNanos, TOKEN_TIMEOUT_NANOS, "no next token");
             default -> {
                 // nothing is awaited
             }
@@ -387,12 +389,12 @@
     /**
      * Ends the attempt if the time since the last progress exceeds a timeout.
      *
-     * @param silent time since the last progress, nanoseconds
-     * @param timeout the timeout, nanoseconds
+     * @param silentNanos time since the last progress
+     * @param timeoutNanos the timeout
      * @param missing what has not arrived
      */
-    private void abandonAfter(long silent, long timeout, String missing) {
-        if (silent > timeout) {
+    private void abandonAfter(long silentNanos, long timeoutNanos, String missing) {
+        if (silentNanos > timeoutNanos) {
             count("given-up");
             AttemptEnd end = AttemptEnd.lost(missing + " from " + currentUpstream());
             onAttemptEnd(currentStage() == Stage.PREFILL ? end : endAfterPrefill(end));
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/request/RequestExchange.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/request/RequestExchange.java
@@ -320,15 +320,15 @@
         mServices
                 .claims()
                 .recordAnswer(mClaim, answerToKeep(answer, keep))
-                .thenAccept(settled -> runOnLoop(() -> onRecorded(answer, keep, settled)));
+                .thenAccept(result -> runOnLoop(() -> onRecorded(answer, keep, result)));
     }
 
     /** Continues after an attempt to record the answer. */
-    private void onRecorded(StoredAnswer answer, boolean keep, SettlementResult settled) {
+    private void onRecorded(StoredAnswer answer, boolean keep, SettlementResult result) {
         if (isOver()) {
             return;
         }
-        switch (settled) {
+        switch (result) {
             case DONE -> {
                 mClaim = null;
                 sendAndFinish(answer);
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/request/ServiceExchange.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/request/ServiceExchange.java
@@ -133,8 +133,10 @@
         Map<String, String> headers = new LinkedHashMap<>();
         for (Map.Entry<String, String> header : exchange().headers()) {
             String name = header.getKey().toLowerCase(Locale.ROOT);
-            boolean length = name.equals("content-length");
-            if (!HOP_BY_HOP_HEADERS.contains(name) && !ROUTER_HEADERS.contains(name) && !length) {
+            boolean contentLength = name.equals("content-length");
+            if (!HOP_BY_HOP_HEADERS.contains(name)
+                    && !ROUTER_HEADERS.contains(name)
+                    && !contentLength) {
                 headers.merge(header.getKey(), header.getValue(), (a, b) -> a + ", " + b);
             }
         }
@@ -303,18 +305,18 @@
             exchange().end();
             return;
         }
-        FullHttpResponse whole =
+        FullHttpResponse response =
                 new DefaultFullHttpResponse(
                         HttpVersion.HTTP_1_1,
                         HttpResponseStatus.valueOf(answer.status()),
                         Unpooled.wrappedBuffer(answer.body()));
-        answer.headers().forEach(whole.headers()::set);
-        whole.headers().set(ID_HEADER, id().value());
+        answer.headers().forEach(response.headers()::set);
+        response.headers().set(ID_HEADER, id().value());
         boolean head = exchange().method().equals("HEAD");
         if (!head && answer.status() != HttpResponseStatus.NO_CONTENT.code()) {
-            whole.headers().setInt(HttpHeaderNames.CONTENT_LENGTH, answer.body().length);
+            response.headers().setInt(HttpHeaderNames.CONTENT_LENGTH, answer.body().length);
         }
-        exchange().answer(whole);
+        exchange().answer(response);
     }
 
     /** {@inheritDoc} */
--- a/troutpier-daemon/src/test/java/org/troutpier/daemon/admission/CoordinatorPermitsTest.java
+++ b/troutpier-daemon/src/test/java/org/troutpier/daemon/admission/CoordinatorPermitsTest.java
@@ -213,7 +213,7 @@
             }
             assertTrue(held() <= SLOTS, "seed " + seed + " round " + round + ": " + held());
         }
-        assertEquals(last.mUsed, SLOTS, "seed " + seed + ": no slot was forgotten");
+        assertEquals(last.mUsed, SLOTS, "seed " + seed + ": a permit was lost");
     }
 
     @Test
@@ -258,6 +258,6 @@
             mRouters.forEach(one -> one.mControl.runPeriodicTasks());
             assertTrue(held() <= SLOTS, "round " + round + ": " + held());
         }
-        assertTrue(held() > SLOTS - lost, "the lost permits are given again");
+        assertTrue(held() > SLOTS - lost, "the lost permits are granted again");
     }
 }
--- a/troutpier-daemon/src/test/java/org/troutpier/daemon/request/OutcomeTrackerTest.java
+++ b/troutpier-daemon/src/test/java/org/troutpier/daemon/request/OutcomeTrackerTest.java
@@ -56,12 +56,12 @@
                     }
                 }
             }
-            Family told = tracker.reportableCode(codes[random.nextInt(codes.length)]).family();
+            Family reported = tracker.reportableCode(codes[random.nextInt(codes.length)]).family();
             if (ran) {
-                assertNotEquals(told, Family.NOT_RUN, "seed " + seed);
+                assertNotEquals(reported, Family.NOT_RUN, "seed " + seed);
             }
             if (lost) {
-                assertEquals(told, Family.OUTCOME_UNKNOWN, "seed " + seed);
+                assertEquals(reported, Family.OUTCOME_UNKNOWN, "seed " + seed);
             }
         }
     }
