--- a/troutpier-daemon/src/test/java/org/troutpier/daemon/ChangeUnderFailureTest.java
+++ b/troutpier-daemon/src/test/java/org/troutpier/daemon/ChangeUnderFailureTest.java
@@ -24,7 +24,7 @@
 import org.troutpier.daemon.peer.PeerMessage;
 import org.troutpier.standins.fault.Fault;
 
-/** What must hold for changes of the declarations, under the failures they are meant for. */
+/** End-to-end tests of declaration changes under failures of members and the table. */
 public class ChangeUnderFailureTest {
 
     private RouterTestRig mRig;
@@ -59,7 +59,7 @@
                         .withTimeout(20_000));
     }
 
-    private static int inForce(RouterTestRig rig, int router) {
+    private static int deadlineInForce(RouterTestRig rig, int router) {
         JsonNode declarations =
                 rig.call(
                                 HttpCall.of("GET", rig.operatorUrl(router, "/v1/declarations"))
@@ -80,19 +80,19 @@
     }
 
     @Test
-    public void anAcceptedChangeIsInForceEverywhereWhenItIsTold() {
+    public void acceptedChangeIsInForceEverywhere() {
         RouterTestRig rig = rig(4);
         for (int change = 0; change < 20; change++) {
             int value = 30_000 + change;
             assertEquals(code(propose(rig, change % 4, value).join()), "accepted");
             for (int router = 0; router < 4; router++) {
-                assertEquals(inForce(rig, router), value, "router " + router);
+                assertEquals(deadlineInForce(rig, router), value, "router " + router);
             }
         }
     }
 
     @Test
-    public void ofTwoChangesAtOneMomentOneIsRefusedOrBothAreInOrder() {
+    public void concurrentChangesAreSerializedOrOneIsRefused() {
         RouterTestRig rig = rig(2);
         for (int round = 0; round < 10; round++) {
             CompletableFuture<HttpReply> first = propose(rig, 0, 40_000 + round);
@@ -108,31 +108,31 @@
             }
             long accepted = replies.stream().filter(HttpReply::ok).count();
             assertEquals(versions.size(), accepted, "no version is told twice");
-            assertEquals(inForce(rig, 0), inForce(rig, 1));
+            assertEquals(deadlineInForce(rig, 0), deadlineInForce(rig, 1));
         }
     }
 
     @Test
-    public void aChangeIsRefusedWhileTheTableIsAway() {
+    public void changeIsRefusedWhileTableIsUnavailable() {
         RouterTestRig rig = rig(2);
-        int before = inForce(rig, 0);
+        int before = deadlineInForce(rig, 0);
         RouterTestRig.fault(rig.mTable.server(), Fault.OUTAGE, 60_000, 0);
         assertEquals(code(propose(rig, 0, 33_333).join()), "TP-124");
-        assertEquals(inForce(rig, 0), before);
-        assertEquals(inForce(rig, 1), before);
+        assertEquals(deadlineInForce(rig, 0), before);
+        assertEquals(deadlineInForce(rig, 1), before);
     }
 
     @Test
-    public void aCommitWhoseAcknowledgementIsLostIsAccepted() {
+    public void commitWithLostAcknowledgementIsAccepted() {
         RouterTestRig rig = rig(2);
         RouterTestRig.fault(rig.mTable.server(), Fault.LOST_ACK, 60_000, 0);
         HttpReply reply = propose(rig, 0, 34_444).join();
         assertEquals(code(reply), "accepted", reply.text());
-        assertEquals(inForce(rig, 1), 34_444);
+        assertEquals(deadlineInForce(rig, 1), 34_444);
     }
 
     @Test
-    public void aChangeCutByAnOutageIsNeverInForceInPart() throws Exception {
+    public void changeDuringOutageIsInForceEverywhereOrNowhere() throws Exception {
         RouterTestRig rig = rig(3);
         for (int round = 0; round < 6; round++) {
             int value = 60_000 + round;
@@ -142,33 +142,35 @@
             HttpReply reply = told.join();
             boolean refused = "not-run".equals(reply.headers().get("Troutpier-Family"));
             RouterTestRig.await(
-                    () -> inForce(rig, 0) == inForce(rig, 1) && inForce(rig, 1) == inForce(rig, 2),
+                    () ->
+                            deadlineInForce(rig, 0) == deadlineInForce(rig, 1)
+                                    && deadlineInForce(rig, 1) == deadlineInForce(rig, 2),
                     "all routers agree");
             if (reply.ok()) {
-                assertEquals(inForce(rig, 0), value);
+                assertEquals(deadlineInForce(rig, 0), value);
             } else if (refused) {
-                assertFalse(inForce(rig, 0) == value, reply.text());
+                assertFalse(deadlineInForce(rig, 0) == value, reply.text());
             }
         }
     }
 
     @Test
-    public void aMemberThatDoesNotAnswerIsNamedAndLeftOutOnceItIsGone() {
+    public void unresponsiveMemberIsReportedAndExcludedOnceGone() {
         RouterTestRig rig = rig(3);
         RouterTestRig.fault(rig.mInstances.server(), Fault.OUTAGE, 60_000, 0);
         rig.mRouters.get(2).close();
         HttpReply refused = propose(rig, 0, 35_555).join();
         assertEquals(code(refused), "TP-402", refused.text());
         assertTrue(refused.text().contains("router-3"), refused.text());
-        assertEquals(inForce(rig, 0), 20_000);
-        assertEquals(inForce(rig, 1), 20_000);
+        assertEquals(deadlineInForce(rig, 0), 20_000);
+        assertEquals(deadlineInForce(rig, 1), 20_000);
         RouterTestRig.fault(rig.mInstances.server(), Fault.OUTAGE, 0, 0);
         RouterTestRig.await(() -> propose(rig, 0, 36_666).join().ok(), "the member is left out");
-        assertEquals(inForce(rig, 1), 36_666);
+        assertEquals(deadlineInForce(rig, 1), 36_666);
     }
 
     @Test
-    public void aRouterThatJoinsDuringChangesHasTheLatest() {
+    public void joiningRouterHasLatestChange() {
         RouterTestRig rig = rig(2);
         rig.addRouter();
         int value = 70_000;
@@ -180,13 +182,15 @@
             }
             ready = rig.call(HttpCall.of("GET", rig.operatorUrl(2, "/readyz"))).ok();
             if (ready) {
-                assertTrue(inForce(rig, 2) >= accepted, inForce(rig, 2) + " < " + accepted);
+                assertTrue(
+                        deadlineInForce(rig, 2) >= accepted,
+                        deadlineInForce(rig, 2) + " < " + accepted);
             }
         }
     }
 
     @Test
-    public void aWrongChangeIsRefusedAndNamesTheFault() {
+    public void invalidCommandIsRefusedWithReason() {
         RouterTestRig rig = rig(1);
         assertEquals(
                 code(rig.command(0, RouterTestRig.OPERATOR, "set class nothing x = 1")), "TP-104");
@@ -204,7 +208,7 @@
     }
 
     @Test
-    public void anOperatorSeesItsOwnPartnersThingsOnly() {
+    public void operatorSeesOnlyItsOwnPartner() {
         RouterTestRig rig = rig(1);
         rig.complete(0, RouterTestRig.TRUST_CALLER, null, "minutes", 2000);
         RouterTestRig.await(
@@ -228,7 +232,7 @@
     }
 
     @Test
-    public void aDrainedUpstreamGetsNoNewWork() {
+    public void drainedUpstreamGetsNoNewWork() {
         RouterTestRig rig = rig(2);
         assertTrue(rig.command(0, RouterTestRig.OPERATOR, "drain service-2").ok());
         RouterTestRig.Outcome outcome = rig.service(1, "machine-status", null, "/m", "m").get();
@@ -238,7 +242,7 @@
     }
 
     @Test
-    public void aStrangersFramesAreRefusedAndCounted() throws IOException {
+    public void malformedPeerFrameIsRefusedAndCounted() throws IOException {
         RouterTestRig rig = rig(1);
         try (Socket socket = new Socket("127.0.0.1", rig.mPeerPorts.get(0))) {
             send(socket, "not a message".getBytes(StandardCharsets.UTF_8));
@@ -248,7 +252,7 @@
     }
 
     @Test
-    public void aStrangerWithoutTheSecretIsRefusedAndNeverAMember() throws IOException {
+    public void peerWithoutSecretIsRefused() throws IOException {
         RouterTestRig rig = rig(1);
         ObjectMapper mapper = new ObjectMapper(new MessagePackFactory());
         try (Socket socket = new Socket("127.0.0.1", rig.mPeerPorts.get(0))) {
--- a/troutpier-daemon/src/test/java/org/troutpier/daemon/RequestUnderFailureTest.java
+++ b/troutpier-daemon/src/test/java/org/troutpier/daemon/RequestUnderFailureTest.java
@@ -23,7 +23,7 @@
 import org.troutpier.standins.engine.PrefixBlocks;
 import org.troutpier.standins.fault.Fault;
 
-/** What must hold for one request, under the failures it is meant for. */
+/** End-to-end tests of single requests under failures of upstreams, routers and the platform. */
 public class RequestUnderFailureTest {
 
     private RouterTestRig mRig;
@@ -46,8 +46,10 @@
         return mRig;
     }
 
-    /** Earns retries: each first try earns a tenth of one. */
-    private static void earnRetries(RouterTestRig rig, int retries) {
+    /**
+     * Sends first tries until the budget allows the retries: each first try earns a tenth of one.
+     */
+    private static void earnRetryBudget(RouterTestRig rig, int retries) {
         for (int call = 0; call < retries * 10; call++) {
             assertEquals(
                     rig.service(0, "machine-status", null, "/warm", "warm").get().mStatus, 200);
@@ -55,9 +57,9 @@
     }
 
     @Test
-    public void aCallThatMustNotBeRepeatedRunsOnceWhenItsAnswerIsLost() {
+    public void nonRepeatableCallRunsOnceWhenAnswerIsLost() {
         RouterTestRig rig = rig(1, 1, 1, 2);
-        earnRetries(rig, 2);
+        earnRetryBudget(rig, 2);
         rig.mServices.forEach(one -> RouterTestRig.fault(one.server(), Fault.LOST_ACK, 10_000, 0));
         Outcome outcome = rig.service(0, "parts-status", null, "/orders", "order-1").get();
         assertEquals(outcome.mFamily, "outcome-unknown", outcome.toString());
@@ -65,7 +67,7 @@
     }
 
     @Test
-    public void aCallWhoseUpstreamCannotBeReachedGoesElsewhereAndRunsOnce() {
+    public void callToUnreachableUpstreamIsReroutedAndRunsOnce() {
         RouterTestRig rig = rig(1, 1, 1, 2);
         rig.mServices.get(0).close();
         for (int call = 0; call < 6; call++) {
@@ -76,9 +78,9 @@
     }
 
     @Test
-    public void aCallThatWasLostIsToldAsUnknownWhenItsRetriesAreSpent() {
+    public void lostCallIsReportedAsUnknownWhenRetriesAreExhausted() {
         RouterTestRig rig = rig(1, 1, 1, 1);
-        earnRetries(rig, 1);
+        earnRetryBudget(rig, 1);
         RouterTestRig.fault(rig.mServices.get(0).server(), Fault.LOST_ACK, 10_000, 0);
         Outcome outcome = rig.service(0, "machine-status", null, "/m", "status-1").get();
         assertEquals(outcome.mFamily, "outcome-unknown", outcome.toString());
@@ -86,7 +88,7 @@
     }
 
     @Test
-    public void aCallThatNoUpstreamCanTakeIsToldAsNotRunAtOnce() {
+    public void callWithoutAvailableUpstreamIsReportedAsNotRunAtOnce() {
         RouterTestRig rig = rig(1, 1, 1, 1);
         rig.mServices.get(0).close();
         long start = System.nanoTime();
@@ -97,7 +99,7 @@
     }
 
     @Test
-    public void aCallThatIsNotAnsweredByItsDeadlineIsNeverToldAsNotRun() {
+    public void callPastDeadlineIsNeverReportedAsNotRun() {
         RouterTestRig rig = rig(1, 1, 1, 1);
         RouterTestRig.fault(rig.mServices.get(0).server(), Fault.HANG, 10_000, 0);
         Outcome outcome = rig.service(0, "parts-status", null, "/orders", "order-3").get();
@@ -106,7 +108,7 @@
     }
 
     @Test
-    public void aKeyedCallThatWasLostIsNotRunAgainWhenAskedAgainElsewhere() {
+    public void lostKeyedCallIsNotRunAgainAtAnotherRouter() {
         RouterTestRig rig = rig(2, 1, 1, 2);
         rig.mServices.forEach(one -> RouterTestRig.fault(one.server(), Fault.LOST_ACK, 1500, 0));
         Outcome first = rig.service(0, "parts-status", "key-1", "/orders", "order-4").get();
@@ -124,7 +126,7 @@
     }
 
     @Test
-    public void aKeyedCallOfARouterThatDiedIsNotRunAgain() {
+    public void keyedCallOfCrashedRouterIsNotRunAgain() {
         RouterTestRig rig = rig(2, 1, 1, 1);
         RouterTestRig.fault(rig.mServices.get(0).server(), Fault.DELAY, 3000, 1200);
         rig.service(0, "parts-status", "key-2", "/orders", "order-5");
@@ -149,7 +151,7 @@
     }
 
     @Test
-    public void aKeyedCallIsRefusedAsNotRunWhileTheTableIsAway() {
+    public void keyedCallIsRefusedAsNotRunWhileTableIsUnavailable() {
         RouterTestRig rig = rig(1, 1, 1, 1);
         RouterTestRig.fault(rig.mTable.server(), Fault.OUTAGE, 60_000, 0);
         Outcome outcome = rig.service(0, "parts-status", "key-3", "/orders", "order-6").get();
@@ -160,7 +162,7 @@
     }
 
     @Test
-    public void aRefusedKeyCanBeAskedAgainAfterTheTableIsBack() {
+    public void refusedKeyCanBeRetriedOnceTableIsAvailable() {
         RouterTestRig rig = rig(2, 1, 1, 1);
         RouterTestRig.fault(rig.mTable.server(), Fault.LOST_ACK, 700, 0);
         RouterTestRig.fault(rig.mTable.server(), Fault.DELAY, 700, 600);
@@ -175,7 +177,7 @@
     }
 
     @Test
-    public void aClaimWhoseAcknowledgementIsLostIsSettledByReadingBack() {
+    public void claimWithLostAcknowledgementIsSettledByReadBack() {
         RouterTestRig rig = rig(1, 1, 1, 1);
         RouterTestRig.fault(rig.mTable.server(), Fault.LOST_ACK, 60_000, 0);
         Outcome outcome = rig.service(0, "parts-status", "key-5", "/orders", "order-8").get();
@@ -184,37 +186,38 @@
     }
 
     @Test
-    public void oneKeyAskedAtTwoRoutersAtOnceRunsOnce() {
+    public void sameKeyAtTwoRoutersConcurrentlyRunsOnce() {
         RouterTestRig rig = rig(2, 1, 1, 0);
         List<Outcome> outcomes = new ArrayList<>();
         for (int ask = 0; ask < 6; ask++) {
             outcomes.add(rig.complete(ask % 2, RouterTestRig.TRUST_CALLER, "key-6", "minutes", 20));
         }
-        long whole = outcomes.stream().filter(outcome -> outcome.get().whole()).count();
+        long whole = outcomes.stream().filter(outcome -> outcome.get().isComplete()).count();
         assertEquals(whole, 1, outcomes.toString());
         assertTrue(
-                outcomes.stream().allMatch(one -> one.whole() || one.mCode.equals("TP-200")),
+                outcomes.stream().allMatch(one -> one.isComplete() || one.mCode.equals("TP-200")),
                 outcomes.toString());
         assertEquals(rig.decodes("finished"), 1);
         Outcome again = rig.complete(1, RouterTestRig.TRUST_CALLER, "key-6", "minutes", 20).get();
-        assertTrue(again.whole(), "the kept answer is given again: " + again);
+        assertTrue(again.isComplete(), "the kept answer is given again: " + again);
         assertEquals(rig.decodes("finished"), 1);
     }
 
     @Test
-    public void oneKeyForTwoRequestsIsRefused() {
+    public void keyReuseForAnotherRequestIsRefused() {
         RouterTestRig rig = rig(1, 1, 1, 0);
-        assertTrue(rig.complete(0, RouterTestRig.TRUST_CALLER, "key-7", "one", 2).get().whole());
+        assertTrue(
+                rig.complete(0, RouterTestRig.TRUST_CALLER, "key-7", "one", 2).get().isComplete());
         assertEquals(
                 rig.complete(0, RouterTestRig.TRUST_CALLER, "key-7", "two", 2).get().mCode,
                 "TP-110");
         assertTrue(
-                rig.complete(0, RouterTestRig.CALLER, "key-7", "two", 2).get().whole(),
+                rig.complete(0, RouterTestRig.CALLER, "key-7", "two", 2).get().isComplete(),
                 "another partner's key of the same text is another key");
     }
 
     @Test
-    public void anAnswerForAnotherRequestIsNeverHandedOn() {
+    public void answerOfAnotherRequestIsNeverForwarded() {
         RouterTestRig rig = rig(1, 1, 1, 1);
         RouterTestRig.fault(rig.mDecodes.get(0).server(), Fault.WRONG_ID, 60_000, 0);
         Outcome outcome = rig.complete(0, RouterTestRig.CALLER, null, "log", 5).get();
@@ -227,15 +230,15 @@
     }
 
     @Test
-    public void anAnswerThatIsCutIsContinuedWhereItBrokeOff() {
+    public void cutStreamIsResumedWhereItBrokeOff() {
         RouterTestRig rig = rig(1, 1, 2, 1);
-        earnRetries(rig, 1);
+        earnRetryBudget(rig, 1);
         RouterTestRig.fault(rig.mDecodes.get(0).server(), Fault.CUT, 60_000, 7);
         RouterTestRig.fault(rig.mDecodes.get(1).server(), Fault.CUT, 60_000, 7);
         Outcome outcome = rig.complete(0, RouterTestRig.CALLER, null, "log", 30);
         RouterTestRig.await(() -> outcome.tokens() == 7, "it broke off");
         rig.mDecodes.forEach(engine -> RouterTestRig.fault(engine.server(), Fault.CUT, 0, 0));
-        assertTrue(outcome.get().whole(), outcome.toString());
+        assertTrue(outcome.get().isComplete(), outcome.toString());
         StringBuilder expected = new StringBuilder();
         StringBuilder text = new StringBuilder();
         for (int index = 0; index < 30; index++) {
@@ -250,17 +253,17 @@
     }
 
     @Test
-    public void anAnswerThatCannotBeContinuedHasNoEndMark() {
+    public void streamThatCannotBeResumedHasNoEndMark() {
         RouterTestRig rig = rig(1, 1, 1, 0);
         RouterTestRig.fault(rig.mDecodes.get(0).server(), Fault.CUT, 60_000, 3);
         Outcome outcome = rig.complete(0, RouterTestRig.CALLER, null, "log", 30).get();
-        assertFalse(outcome.whole(), outcome.toString());
+        assertFalse(outcome.isComplete(), outcome.toString());
         assertFalse(outcome.mEnded, "the connection is cut, so the caller can tell");
         assertTrue(outcome.mBody.toString().contains("TP-3"), outcome.toString());
     }
 
     @Test
-    public void aSupersededHolderSendsNoEndMark() {
+    public void supersededClaimHolderSendsNoEndMark() {
         RouterTestRig rig = rig(1, 1, 1, 0);
         Outcome outcome = rig.complete(0, RouterTestRig.TRUST_CALLER, "key-8", "minutes", 60);
         RouterTestRig.await(() -> outcome.tokens() > 3, "it answers");
@@ -273,17 +276,17 @@
         claim.put("epoch", 2);
         claim.put("attempt", "another-router's");
         assertTrue(rig.call(HttpCall.of("PUT", row).withJson(claim)).ok());
-        assertFalse(outcome.get().whole(), outcome.toString());
+        assertFalse(outcome.get().isComplete(), outcome.toString());
         assertTrue(outcome.mBody.toString().contains("TP-204"), outcome.toString());
     }
 
     @Test
-    public void aSummaryOfARouterThatDiedArrivesExactlyOnceInTheEnd() {
+    public void keyedCompletionOfCrashedRouterIsDeliveredExactlyOnce() {
         RouterTestRig rig = rig(2, 1, 1, 0);
         Outcome first = rig.complete(0, RouterTestRig.TRUST_CALLER, "key-9", "minutes", 400);
         RouterTestRig.await(() -> first.tokens() > 3, "it answers");
         rig.mRouters.get(0).close();
-        assertFalse(first.get().whole(), first.toString());
+        assertFalse(first.get().isComplete(), first.toString());
         Outcome[] last = new Outcome[1];
         RouterTestRig.await(
                 () -> {
@@ -293,11 +296,11 @@
                     return last[0].mStatus == 200;
                 },
                 "the other router takes over");
-        assertTrue(last[0].whole(), last[0].toString());
+        assertTrue(last[0].isComplete(), last[0].toString());
     }
 
     @Test
-    public void theEndMarkWaitsUntilTheOutcomeIsRecorded() {
+    public void endMarkIsWithheldUntilOutcomeIsRecorded() {
         RouterTestRig rig = rig(1, 1, 1, 0);
         Outcome outcome = rig.complete(0, RouterTestRig.TRUST_CALLER, "key-10", "minutes", 10);
         RouterTestRig.await(() -> outcome.tokens() > 3, "it answers");
@@ -311,11 +314,11 @@
                 "the outcome is being recorded");
         assertFalse(outcome.mBody.toString().contains("[DONE]"), outcome.toString());
         RouterTestRig.fault(rig.mTable.server(), Fault.OUTAGE, 0, 0);
-        assertTrue(outcome.get().whole(), outcome.toString());
+        assertTrue(outcome.get().isComplete(), outcome.toString());
     }
 
     @Test
-    public void nothingStaysHeldForACallerThatIsGone() {
+    public void enginesReleaseRequestsOfDisconnectedCaller() {
         RouterTestRig rig = rig(1, 1, 1, 0);
         Outcome outcome = rig.complete(0, RouterTestRig.CALLER, null, "log", 5000);
         RouterTestRig.await(() -> outcome.tokens() > 3, "it answers");
@@ -329,7 +332,7 @@
     }
 
     @Test
-    public void nothingStaysHeldForARouterThatIsGone() {
+    public void enginesReleaseRequestsOfCrashedRouter() {
         RouterTestRig rig = rig(2, 1, 2, 0);
         for (int request = 0; request < 8; request++) {
             rig.complete(0, RouterTestRig.CALLER, null, "log " + request, 5000);
@@ -341,7 +344,7 @@
     }
 
     @Test
-    public void aLeavingUpstreamGetsNoNewWork() {
+    public void leavingUpstreamGetsNoNewWork() {
         RouterTestRig rig = rig(1, 1, 2, 0);
         RouterTestRig.fault(rig.mDecodes.get(0).server(), Fault.LEAVING, 60_000, 0);
         RouterTestRig.await(
@@ -356,13 +359,15 @@
         long before = rig.mDecodes.get(0).server().ran().all().size();
         for (int request = 0; request < 10; request++) {
             assertTrue(
-                    rig.complete(0, RouterTestRig.CALLER, null, "log " + request, 2).get().whole());
+                    rig.complete(0, RouterTestRig.CALLER, null, "log " + request, 2)
+                            .get()
+                            .isComplete());
         }
         assertEquals(rig.mDecodes.get(0).server().ran().all().size(), before);
     }
 
     @Test
-    public void aPlannedStopCutsNoRequestInProgress() throws Exception {
+    public void gracefulStopCutsNoRequestInProgress() throws Exception {
         RouterTestRig rig = rig(1, 1, 1, 1);
         Outcome stream = rig.complete(0, RouterTestRig.CALLER, null, "log", 300);
         Address router = rig.mRouters.get(0).callerAddress();
@@ -385,7 +390,7 @@
                                     .mCode
                                     .equals("TP-123"),
                     "no new work is taken");
-            assertTrue(stream.get().whole(), stream.toString());
+            assertTrue(stream.get().isComplete(), stream.toString());
             assertEquals(stream.tokens(), 300);
             String rest = new String(download.getInputStream().readAllBytes());
             assertEquals(rest.substring(rest.indexOf("\r\n\r\n") + 4).length(), 9_000_000);
@@ -394,15 +399,15 @@
     }
 
     @Test
-    public void aStalledTransferIsGivenUpAndItsSlotFreed() {
+    public void stalledKvTransferIsAbortedAndSlotFreed() {
         RouterTestRig rig = rig(1, 2, 1, 1);
-        earnRetries(rig, 1);
+        earnRetryBudget(rig, 1);
         RouterTestRig.fault(rig.mPrefills.get(0).server(), Fault.STALL, 60_000, 0);
         RouterTestRig.fault(rig.mPrefills.get(1).server(), Fault.STALL, 60_000, 0);
         Outcome outcome = rig.complete(0, RouterTestRig.CALLER, null, "log", 5);
         RouterTestRig.await(() -> rig.held(rig.mDecodes.get(0).server()) == 1, "the slot is held");
         rig.mPrefills.forEach(one -> RouterTestRig.fault(one.server(), Fault.STALL, 0, 0));
-        assertTrue(outcome.get().whole(), outcome.toString());
+        assertTrue(outcome.get().isComplete(), outcome.toString());
         RouterTestRig.await(() -> rig.heldByAll() == 0, "nothing is held");
         assertEquals(rig.metrics(0).path("requests.association.given-up").asInt(), 1);
     }
@@ -423,7 +428,7 @@
     }
 
     @Test
-    public void onePartnersFullHouseDoesNotRefuseTheOther() {
+    public void partnerAtItsLimitDoesNotAffectOtherPartner() {
         RouterTestRig base =
                 new RouterTestRig().withEngines(1, 1, new DecodeModel(4, 8000, 100, 100, false));
         mRig = base.withRouters(1);
@@ -434,9 +439,9 @@
             flood.add(base.complete(0, RouterTestRig.CALLER, null, "log " + request, 20));
         }
         Outcome other = base.complete(0, RouterTestRig.TRUST_CALLER, null, "minutes", 20).get();
-        assertTrue(other.whole(), other.toString());
+        assertTrue(other.isComplete(), other.toString());
         long done = flood.stream().filter(one -> one.mEnded).count();
         assertTrue(done < 25, "the other partner waited for " + done + " of the flood");
-        flood.forEach(one -> assertTrue(one.get().whole(), one.toString()));
+        flood.forEach(one -> assertTrue(one.get().isComplete(), one.toString()));
     }
 }
--- a/troutpier-daemon/src/test/java/org/troutpier/daemon/ResultCodeTableTest.java
+++ b/troutpier-daemon/src/test/java/org/troutpier/daemon/ResultCodeTableTest.java
@@ -13,7 +13,7 @@
 public class ResultCodeTableTest {
 
     @Test
-    public void theDocumentedTableIsTheCode() throws IOException {
+    public void documentedTableMatchesCode() throws IOException {
         List<String> documented =
                 Files.readAllLines(Path.of("..", "docs", "RESULT_CODES.md")).stream()
                         .filter(line -> line.startsWith("| TP-"))
--- a/troutpier-daemon/src/test/java/org/troutpier/daemon/RouterTestRig.java
+++ b/troutpier-daemon/src/test/java/org/troutpier/daemon/RouterTestRig.java
@@ -53,7 +53,7 @@
 import org.troutpier.standins.platform.TableStandin;
 import org.troutpier.standins.service.PlainService;
 
-/** Routers and stand-ins in one process, for tests of what they do together. */
+/** Runs routers and stand-ins in one process for end-to-end tests. */
 final class RouterTestRig implements AutoCloseable {
 
     static final String ADMINISTRATOR = "administrator";
@@ -280,7 +280,7 @@
                 50_000);
     }
 
-    /** What a caller got. */
+    /** The response that a caller received. */
     static final class Outcome implements ReplyListener {
         volatile int mStatus;
         volatile String mCode = "";
@@ -288,7 +288,7 @@
         volatile boolean mEnded;
         volatile boolean mFailed;
         final StringBuffer mBody = new StringBuffer();
-        final CompletableFuture<Outcome> mOver = new CompletableFuture<>();
+        final CompletableFuture<Outcome> mFuture = new CompletableFuture<>();
         volatile HttpCalls.Ongoing mOngoing;
 
         @Override
@@ -306,16 +306,16 @@
         @Override
         public void onEnd() {
             mEnded = true;
-            mOver.complete(this);
+            mFuture.complete(this);
         }
 
         @Override
         public void onFailure(CallFailedException failure) {
             mFailed = true;
-            mOver.complete(this);
+            mFuture.complete(this);
         }
 
-        boolean whole() {
+        boolean isComplete() {
             return mEnded && mStatus == 200 && mBody.toString().contains("data: [DONE]");
         }
 
@@ -325,7 +325,7 @@
 
         Outcome get() {
             try {
-                return mOver.get(40, TimeUnit.SECONDS);
+                return mFuture.get(40, TimeUnit.SECONDS);
             } catch (Exception exception) {
                 throw new IllegalStateException("no outcome; so far " + mBody, exception);
             }
--- a/troutpier-daemon/src/test/java/org/troutpier/daemon/SessionGoldenTest.java
+++ b/troutpier-daemon/src/test/java/org/troutpier/daemon/SessionGoldenTest.java
@@ -15,7 +15,7 @@
 import org.troutpier.standins.fault.Fault;
 import org.troutpier.testing.RawSession;
 
-/** Whole sessions as they go over the wire, held against files. */
+/** Compares complete sessions on the wire with approved files. */
 @UseReporter(QuietReporter.class)
 public class SessionGoldenTest {
 
--- a/troutpier-daemon/src/test/java/org/troutpier/daemon/node/DaemonProcessTest.java
+++ b/troutpier-daemon/src/test/java/org/troutpier/daemon/node/DaemonProcessTest.java
@@ -8,11 +8,10 @@
 import org.testng.annotations.Test;
 import org.troutpier.daemon.settings.DaemonSettings;
 
-/** What a daemon's command line does at its start. */
 public final class DaemonProcessTest {
 
     @Test
-    public void wrongSettingsAreToldAndNotTaken() throws IOException {
+    public void invalidSettingsAreRejected() throws IOException {
         Path file = Files.createTempFile("settings", ".yaml");
         try {
             Files.writeString(file, "instance: one\nunknown: 1\n");
--- a/troutpier-daemon/src/test/java/org/troutpier/daemon/node/EarlySocketTest.java
+++ b/troutpier-daemon/src/test/java/org/troutpier/daemon/node/EarlySocketTest.java
@@ -11,12 +11,11 @@
 import org.troutpier.common.http.ListeningSocket;
 import org.troutpier.common.settings.Address;
 
-/** What becomes of a socket that was opened before the settings were read. */
 public final class EarlySocketTest {
 
     private static final Address ANY = new Address("127.0.0.1", 0);
 
-    private static Address free() throws IOException {
+    private static Address freeAddress() throws IOException {
         ListeningSocket socket = ListeningSocket.open(ANY);
         Address address = socket.address();
         socket.close();
@@ -24,8 +23,8 @@
     }
 
     @Test
-    public void callersComeInBeforeAnybodyAccepts() throws IOException {
-        Address address = free();
+    public void connectionsQueueBeforeAccept() throws IOException {
+        Address address = freeAddress();
         EarlySocket early = EarlySocket.open(address.toString());
         try (Socket caller = new Socket(address.host(), address.port())) {
             assertEquals(caller.getPort(), address.port());
@@ -36,8 +35,8 @@
     }
 
     @Test
-    public void theSettingsDecideWhereCallersComeIn() throws IOException {
-        Address wrong = free();
+    public void settingsOverrideEarlyAddress() throws IOException {
+        Address wrong = freeAddress();
         EarlySocket early = EarlySocket.open(wrong.toString());
         ListeningSocket taken = early.take(ANY);
         assertNotEquals(taken.address(), wrong);
@@ -46,14 +45,14 @@
     }
 
     @Test
-    public void aWrongOrMissingAddressDoesNotEndTheStart() throws IOException {
+    public void invalidOrMissingAddressDoesNotPreventStart() throws IOException {
         for (String address : new String[] {null, "", "no address", "127.0.0.1:99999"}) {
             EarlySocket.open(address).take(ANY).close();
         }
     }
 
     @Test
-    public void anAddressThatIsTakenIsToldWhenItIsNeeded() throws IOException {
+    public void addressInUseFailsOnTake() throws IOException {
         ListeningSocket other = ListeningSocket.open(ANY);
         EarlySocket early = EarlySocket.open(other.address().toString());
         assertThrows(IOException.class, () -> early.take(other.address()));
--- a/troutpier-daemon/src/test/java/org/troutpier/daemon/node/ManualClock.java
+++ b/troutpier-daemon/src/test/java/org/troutpier/daemon/node/ManualClock.java
@@ -5,7 +5,7 @@
 import java.util.concurrent.TimeUnit;
 import org.troutpier.daemon.serving.TrafficLoop;
 
-/** A clock that tests move, and the tasks that wait for it. Confined to the test's thread. */
+/** A clock that tests advance, with its scheduled tasks. Confined to the test's thread. */
 public final class ManualClock {
 
     private final PriorityQueue<Task> mTasks =
@@ -34,12 +34,12 @@
         }
     }
 
-    /** Returns the time, milliseconds. */
+    /** Returns the time in milliseconds. */
     public long millis() {
         return mMillis;
     }
 
-    /** Returns the time, nanoseconds. */
+    /** Returns the time in nanoseconds. */
     public long nanos() {
         return TimeUnit.MILLISECONDS.toNanos(mMillis);
     }
@@ -50,11 +50,11 @@
         return task;
     }
 
-    /** Moves the clock and runs what is due. */
+    /** Advances the clock and runs the tasks that are due. */
     public void advance(long millis) {
         long until = mMillis + millis;
         if (mRunning) {
-            throw new IllegalStateException("the clock is moved by its own task");
+            throw new IllegalStateException("clock advanced from one of its own tasks");
         }
         mRunning = true;
         while (!mTasks.isEmpty() && mTasks.peek().at() <= until) {
@@ -66,7 +66,7 @@
         mRunning = false;
     }
 
-    /** Returns a traffic loop on this clock. */
+    /** Creates a traffic loop that uses this clock. */
     public TrafficLoop loop() {
         return new TrafficLoop() {
             @Override
@@ -87,17 +87,17 @@
         };
     }
 
-    /** Returns a control thread on this clock, which may be paused. */
+    /** Creates a control executor that uses this clock and can be paused. */
     public PausableControlExecutor control() {
         return new PausableControlExecutor();
     }
 
-    /** A control thread that may stand still. */
+    /** A control executor that can be paused. */
     public final class PausableControlExecutor implements ControlExecutor {
 
         private boolean mPaused;
 
-        /** Stands still or goes on. */
+        /** Pauses or resumes the executor. */
         public void pause(boolean paused) {
             mPaused = paused;
         }
--- a/troutpier-daemon/src/test/java/org/troutpier/daemon/node/TestNode.java
+++ b/troutpier-daemon/src/test/java/org/troutpier/daemon/node/TestNode.java
@@ -8,20 +8,19 @@
 import org.troutpier.common.id.Incarnation;
 import org.troutpier.common.id.InstanceId;
 
-/** Makes routers' nodes that neither serve nor call anybody. */
+/** Creates nodes without event loops and HTTP client. */
 public final class TestNode {
 
-    /** How many events each keeps. */
     private static final int EVENTS = 16;
 
     private TestNode() {}
 
-    /** A start of a router, in a hall that does not matter. */
+    /** Creates the node of a new start of a router, in an arbitrary hall. */
     public static Node of(String name, ControlExecutor control, LongSupplier nanos) {
         return of(Incarnation.start(new InstanceId(name)), new HallId("hall"), control, nanos);
     }
 
-    /** A known start of a router in a hall. */
+    /** Creates the node of a given start of a router in a given hall. */
     public static Node of(
             Incarnation incarnation, HallId hall, ControlExecutor control, LongSupplier nanos) {
         return new Node(
--- a/troutpier-daemon/src/test/java/org/troutpier/daemon/operator/DeclarationAccessTest.java
+++ b/troutpier-daemon/src/test/java/org/troutpier/daemon/operator/DeclarationAccessTest.java
@@ -50,7 +50,7 @@
                 List.of());
     }
 
-    private static void refused(DeclarationPart part, ResultCode code) {
+    private static void assertRefused(DeclarationPart part, ResultCode code) {
         TroutpierException why =
                 expectThrows(
                         TroutpierException.class,
@@ -59,7 +59,7 @@
     }
 
     @Test
-    public void replacesTheOwnPartOnly() {
+    public void replacesOnlyOwnPart() {
         DeclarationPart part =
                 new DeclarationPart(List.of(), List.of(upstream("t-2", TRUST)), List.of());
         Declarations next = DeclarationAccess.withPart(whole(), part, TRUSTS);
@@ -69,21 +69,21 @@
     }
 
     @Test
-    public void refusesAnothersUpstream() {
-        refused(
+    public void refusesUpstreamOfAnotherPartner() {
+        assertRefused(
                 new DeclarationPart(List.of(), List.of(upstream("x", ASSOCIATION)), List.of()),
                 ResultCode.WRONG_PARTNER);
     }
 
     @Test
-    public void refusesALargerShare() {
-        refused(
+    public void refusesChangedShare() {
+        assertRefused(
                 new DeclarationPart(List.of(partner(TRUST, 90)), List.of(), List.of()),
                 ResultCode.WRONG_PARTNER);
     }
 
     @Test
-    public void refusesTheNameOfAnothersUpstream() {
+    public void refusesUpstreamIdOfAnotherPartner() {
         DeclarationPart part =
                 new DeclarationPart(List.of(), List.of(upstream("a-1", TRUST)), List.of());
         expectThrows(
@@ -92,7 +92,7 @@
     }
 
     @Test
-    public void showsTheOwnPartOnly() {
+    public void showsOnlyOwnPart() {
         Declarations visible = DeclarationAccess.visible(whole(), TRUSTS);
         assertEquals(visible.upstreams().size(), 1);
         assertEquals(visible.partners().size(), 1);
--- a/troutpier-daemon/src/test/java/org/troutpier/daemon/settings/DaemonSettingsTest.java
+++ b/troutpier-daemon/src/test/java/org/troutpier/daemon/settings/DaemonSettingsTest.java
@@ -11,7 +11,7 @@
 
 public class DaemonSettingsTest {
 
-    private static final String RIGHT =
+    private static final String VALID =
             """
             instance: router-1
             hall: lautoka
@@ -26,8 +26,8 @@
             """;
 
     @Test
-    public void takesRightSettingsAndFillsDefaults() {
-        DaemonSettings settings = CheckedYaml.parse("f.yaml", RIGHT, DaemonSettings.class);
+    public void validSettingsGetDefaults() {
+        DaemonSettings settings = CheckedYaml.parse("f.yaml", VALID, DaemonSettings.class);
         assertEquals(settings.instance().value(), "router-1");
         assertEquals(settings.threads().intValue(), 2);
         assertTrue(settings.admission().shed());
@@ -50,7 +50,7 @@
     }
 
     @Test(dataProvider = "wrong")
-    public void refusesWrongSettingsWithFileLineAndField(
+    public void invalidSettingsAreRejectedWithFileLineAndField(
             String part, String instead, String message) {
         TroutpierException why =
                 expectThrows(
@@ -58,7 +58,7 @@
                         () ->
                                 CheckedYaml.parse(
                                         "f.yaml",
-                                        RIGHT.replace(part, instead),
+                                        VALID.replace(part, instead),
                                         DaemonSettings.class));
         assertTrue(why.getMessage().contains(message), why.getMessage());
     }
