--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/RouterDaemon.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/RouterDaemon.java
@@ -307,9 +307,8 @@
     }
 
     /**
-     * Stops the router and waits for it: announces that no new work is accepted, closes the
-     * callers' server after {@link #NOTICE_MILLIS}, waits for the requests in progress and closes
-     * everything else.
+     * Stops the router and waits for it: becomes unready, stops listening for callers after {@link
+     * #NOTICE_MILLIS}, waits for the requests in progress and closes everything else.
      */
     public void stop() {
         mReadiness.setStopping();
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/caller/CallerHandler.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/caller/CallerHandler.java
@@ -60,7 +60,7 @@
 
     private final Readiness mReadiness;
 
-    /** Knows whether the process resumes after a stall. */
+    /** Detects whether this process was just paused. */
     private final PeerController mPeers;
 
     /**
@@ -69,7 +69,7 @@
      * @param services what every exchange uses
      * @param configurations the declarations in force
      * @param readiness whether new work is accepted
-     * @param peers knows whether the process resumes after a stall
+     * @param peers detects whether this process was just paused
      */
     public CallerHandler(
             ExchangeServices services,
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/operator/OperatorHandler.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/operator/OperatorHandler.java
@@ -55,7 +55,7 @@
 
     private final Membership mMembership;
 
-    /** Knows whether the process resumes after a stall. */
+    /** Detects whether this process was just paused. */
     private final PeerController mPeers;
 
     private final CommandHandler mCommands;
@@ -71,7 +71,7 @@
      * @param configurations the declarations in force
      * @param proposer runs changes of the declarations
      * @param membership knows the routers
-     * @param peers knows whether the process resumes after a stall
+     * @param peers detects whether this process was just paused
      * @param commands executes queries and commands
      * @param administratorHash the hash of the administrator's token, or null for none
      */
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/upstream/EngineLoadPoller.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/upstream/EngineLoadPoller.java
@@ -11,7 +11,7 @@
 
 /**
  * Polls the load and the cache events that engines publish. Confined to the control thread. An
- * engine that does not answer is recorded as silent, so that it gets no work for a while.
+ * engine that does not answer several times in a row gets no work for a while.
  */
 public final class EngineLoadPoller {
 
