--- a/troutpier-cli/src/main/java/org/troutpier/cli/RouterClient.java
+++ b/troutpier-cli/src/main/java/org/troutpier/cli/RouterClient.java
@@ -8,7 +8,7 @@
 import java.util.concurrent.TimeUnit;
 import org.troutpier.common.http.CallFailedException;
 import org.troutpier.common.http.HttpCall;
-import org.troutpier.common.http.HttpCalls;
+import org.troutpier.common.http.HttpClient;
 import org.troutpier.common.http.HttpReply;
 import org.troutpier.common.result.TroutpierException;
 import org.troutpier.common.settings.Address;
@@ -23,7 +23,7 @@
     private final EventLoopGroup mLoops = new NioEventLoopGroup(1);
 
     /** Sends the requests. */
-    private final HttpCalls mCalls = new HttpCalls(mLoops);
+    private final HttpClient mCalls = new HttpClient(mLoops);
 
     /** The operator's token. */
     private final String mToken;
@@ -88,7 +88,7 @@
             try {
                 return checked(send(body == null ? call : call.withJson(body)));
             } catch (CallFailedException exception) {
-                if (exception.sent() && body != null) {
+                if (exception.mayHaveBeenSent() && body != null) {
                     throw new CliException(
                             ExitCode.UNKNOWN,
                             router + " did not answer; ask `show changes` what became of it");
@@ -112,7 +112,7 @@
         } catch (TroutpierException exception) {
             throw new CliException(ExitCode.UNKNOWN, "the router answers " + reply.status());
         }
-        if (reply.ok()) {
+        if (reply.isSuccessful()) {
             return body;
         }
         JsonNode error = body.path("error");
--- a/troutpier-cli/src/main/java/org/troutpier/cli/Timeline.java
+++ b/troutpier-cli/src/main/java/org/troutpier/cli/Timeline.java
@@ -51,7 +51,7 @@
         for (Address process : processes) {
             try {
                 HttpReply reply = mClient.get(process, "/events");
-                if (!reply.ok()) {
+                if (!reply.isSuccessful()) {
                     mSilent.add(process);
                     continue;
                 }
--- a/troutpier-cli/src/test/java/org/troutpier/cli/NoticesCommandTest.java
+++ b/troutpier-cli/src/test/java/org/troutpier/cli/NoticesCommandTest.java
@@ -7,7 +7,7 @@
 import org.testng.annotations.AfterMethod;
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
-import org.troutpier.common.http.Answers;
+import org.troutpier.common.http.HttpResponses;
 import org.troutpier.daemon.serving.UpstreamNotices;
 
 /** How operators look at what upstreams say of themselves. */
@@ -24,8 +24,8 @@
                         exchange ->
                                 exchange.answer(
                                         exchange.path().equals(UpstreamNotices.PATH)
-                                                ? Answers.json(200, notices)
-                                                : Answers.json(404, List.of())));
+                                                ? HttpResponses.json(200, notices)
+                                                : HttpResponses.json(404, List.of())));
     }
 
     @AfterMethod(alwaysRun = true)
--- a/troutpier-cli/src/test/java/org/troutpier/cli/OrganisationsCommandTest.java
+++ b/troutpier-cli/src/test/java/org/troutpier/cli/OrganisationsCommandTest.java
@@ -13,7 +13,7 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 import org.troutpier.common.declaration.KeyHash;
-import org.troutpier.common.http.Answers;
+import org.troutpier.common.http.HttpResponses;
 import org.troutpier.common.http.ServerLimits;
 import org.troutpier.common.id.PartnerId;
 import org.troutpier.daemon.limit.UsageSettings;
@@ -71,7 +71,9 @@
         mNow = 20_000;
         use.admit(coast, 60);
         use.admit(coast, 4000);
-        mRouter = new RouterStandin(exchange -> exchange.answer(Answers.json(200, use.statuses())));
+        mRouter =
+                new RouterStandin(
+                        exchange -> exchange.answer(HttpResponses.json(200, use.statuses())));
     }
 
     @AfterMethod(alwaysRun = true)
--- a/troutpier-cli/src/test/java/org/troutpier/cli/RatesCommandTest.java
+++ b/troutpier-cli/src/test/java/org/troutpier/cli/RatesCommandTest.java
@@ -7,7 +7,7 @@
 import org.testng.annotations.AfterMethod;
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
-import org.troutpier.common.http.Answers;
+import org.troutpier.common.http.HttpResponses;
 import org.troutpier.daemon.serving.UpstreamRates;
 
 /** How operators look at the rates that upstreams name. */
@@ -24,8 +24,8 @@
                         exchange ->
                                 exchange.answer(
                                         exchange.path().equals(UpstreamRates.PATH)
-                                                ? Answers.json(200, rates)
-                                                : Answers.json(404, List.of())));
+                                                ? HttpResponses.json(200, rates)
+                                                : HttpResponses.json(404, List.of())));
     }
 
     @AfterMethod(alwaysRun = true)
--- a/troutpier-common/src/main/java/org/troutpier/common/collection/AgingMap.java
+++ b/troutpier-common/src/main/java/org/troutpier/common/collection/ExpiringMap.java
@@ -13,7 +13,7 @@
  * @param <K> the keys' type
  * @param <V> the values' type
  */
-public final class AgingMap<K, V> {
+public final class ExpiringMap<K, V> {
 
     /** How many entries are kept. */
     private final int mMost;
@@ -39,7 +39,7 @@
      * @param most how many entries are kept
      * @param millis how long an entry is kept, milliseconds
      */
-    public AgingMap(int most, long millis) {
+    public ExpiringMap(int most, long millis) {
         mMost = most;
         mMillis = millis;
     }
--- a/troutpier-common/src/main/java/org/troutpier/common/declaration/ClassDeclaration.java
+++ b/troutpier-common/src/main/java/org/troutpier/common/declaration/ClassDeclaration.java
@@ -34,7 +34,7 @@
         int firstTokenMillis,
         int perTokenMillis,
         int deadlineMillis,
-        TableRule whenTableUnavailable,
+        TableOutagePolicy whenTableUnavailable,
         AnswerCommit answerCommit,
         Integer keepAnswerSeconds,
         Integer maxBodyBytes) {
@@ -68,7 +68,7 @@
     }
 
     /** What to do with a keyed request while the table is away. */
-    public enum TableRule {
+    public enum TableOutagePolicy {
         /** Refuse it as not run. */
         @JsonProperty("refuse")
         REFUSE,
@@ -102,10 +102,10 @@
                 firstTokenMillis <= deadlineMillis,
                 "must not be later than deadlineMillis");
         whenTableUnavailable =
-                whenTableUnavailable == null ? TableRule.REFUSE : whenTableUnavailable;
+                whenTableUnavailable == null ? TableOutagePolicy.REFUSE : whenTableUnavailable;
         Check.that(
                 "whenTableUnavailable",
-                repeatable || whenTableUnavailable == TableRule.REFUSE,
+                repeatable || whenTableUnavailable == TableOutagePolicy.REFUSE,
                 "must be refuse for a class that is not repeatable");
         answerCommit = answerCommit == null ? AnswerCommit.BEFORE_END_MARK : answerCommit;
         keepAnswerSeconds = keepAnswerSeconds == null ? DEFAULT_KEEP : keepAnswerSeconds;
--- a/troutpier-common/src/main/java/org/troutpier/common/declaration/Declarations.java
+++ b/troutpier-common/src/main/java/org/troutpier/common/declaration/Declarations.java
@@ -57,7 +57,7 @@
         }
         Check.that(
                 "partners",
-                shares <= PartnerDeclaration.WHOLE,
+                shares <= PartnerDeclaration.TOTAL_SHARE,
                 "have shares that add up to " + shares + ", more than the whole");
     }
 
@@ -158,7 +158,7 @@
      * @param newChangeId the change that makes it
      * @return new declarations
      */
-    public Declarations as(long newVersion, String newChangeId) {
+    public Declarations withVersion(long newVersion, String newChangeId) {
         return new Declarations(newVersion, newChangeId, partners, upstreams, classes);
     }
 }
--- a/troutpier-common/src/main/java/org/troutpier/common/declaration/PartnerDeclaration.java
+++ b/troutpier-common/src/main/java/org/troutpier/common/declaration/PartnerDeclaration.java
@@ -24,7 +24,7 @@
         Integer inFlightLimit) {
 
     /** The whole that shares are hundredths of. */
-    public static final int WHOLE = 100;
+    public static final int TOTAL_SHARE = 100;
 
     /** The most that either limit may be. */
     private static final int MAX_LIMIT = 100_000;
@@ -38,7 +38,7 @@
     /** Checks the fields and fills the defaults. */
     public PartnerDeclaration {
         Check.present("id", id);
-        Check.range("share", share, 1, WHOLE);
+        Check.range("share", share, 1, TOTAL_SHARE);
         callerTokenHashes = List.copyOf(Check.present("callerTokenHashes", callerTokenHashes));
         operatorTokenHashes =
                 List.copyOf(Check.present("operatorTokenHashes", operatorTokenHashes));
--- a/troutpier-common/src/main/java/org/troutpier/common/declaration/Tokens.java
+++ b/troutpier-common/src/main/java/org/troutpier/common/declaration/Tokens.java
@@ -46,7 +46,7 @@
      * @param authorization the header's value, or null
      * @return the token, if it carries one
      */
-    public static Optional<String> bearer(String authorization) {
+    public static Optional<String> parseBearer(String authorization) {
         boolean carries =
                 authorization != null
                         && authorization.regionMatches(true, 0, BEARER, 0, BEARER.length());
--- a/troutpier-common/src/main/java/org/troutpier/common/event/EventRing.java
+++ b/troutpier-common/src/main/java/org/troutpier/common/event/EventRing.java
@@ -55,7 +55,7 @@
      * @param subject the subject, or empty for all
      * @return the events
      */
-    public List<Event> about(String subject) {
+    public List<Event> eventsAbout(String subject) {
         List<Event> found = new ArrayList<>();
         for (int slot = 0; slot < mEvents.length(); slot++) {
             Event event = mEvents.get(slot);
--- a/troutpier-common/src/main/java/org/troutpier/common/http/CallFailedException.java
+++ b/troutpier-common/src/main/java/org/troutpier/common/http/CallFailedException.java
@@ -28,7 +28,7 @@
      *
      * @return false only when that is certain
      */
-    public boolean sent() {
+    public boolean mayHaveBeenSent() {
         return mSent;
     }
 }
--- a/troutpier-common/src/main/java/org/troutpier/common/http/ExchangeHandler.java
+++ b/troutpier-common/src/main/java/org/troutpier/common/http/ExchangeHandler.java
@@ -31,7 +31,7 @@
     private final HttpHandler mHandler;
 
     /** Bounds the arrival of requests. */
-    private final ArrivalTimer mTimer;
+    private final RequestTimeoutHandler mTimer;
 
     /** Makes the answers to what cannot be read. */
     private final ServerRefusals mRefusals;
@@ -60,7 +60,7 @@
      */
     ExchangeHandler(
             HttpHandler handler,
-            ArrivalTimer timer,
+            RequestTimeoutHandler timer,
             ServerRefusals refusals,
             AtomicInteger busy,
             BooleanSupplier draining,
@@ -71,7 +71,7 @@
         mBusy = busy;
         mDraining = draining;
         mBacklog = backlog;
-        timer.serving(this::serving);
+        timer.setServingCheck(this::isServing);
     }
 
     /**
@@ -79,21 +79,22 @@
      *
      * @return whether an exchange is being served
      */
-    boolean serving() {
-        return mExchange != null && !mExchange.over();
+    boolean isServing() {
+        return mExchange != null && !mExchange.isOver();
     }
 
     /** {@inheritDoc} */
     @Override
     protected void channelRead0(ChannelHandlerContext context, FullHttpRequest request) {
-        if (serving()) {
-            mExchange.gone();
+        if (isServing()) {
+            mExchange.handleClose();
             context.close();
             return;
         }
         mTimer.stop();
         if (request.decoderResult().isFailure()) {
-            Refusing.refuseAndClose(context.channel(), mRefusals, ResultCode.MALFORMED_REQUEST);
+            RefusalWriter.refuseAndClose(
+                    context.channel(), mRefusals, ResultCode.MALFORMED_REQUEST);
             return;
         }
         mExchange =
@@ -133,16 +134,16 @@
      * @param exchange the request
      */
     private void handle(HttpExchange exchange) {
-        if (exchange.over()) {
+        if (exchange.isOver()) {
             return;
         }
         try {
             mHandler.handle(exchange);
         } catch (TroutpierException exception) {
-            exchange.answer(Answers.refusal(exception.code(), exception.detail()));
+            exchange.answer(HttpResponses.refusal(exception.code(), exception.detail()));
         } catch (RuntimeException exception) {
             LOGGER.error("handler failed", exception);
-            exchange.answer(Answers.refusal(ResultCode.INTERNAL, "see the router's log"));
+            exchange.answer(HttpResponses.refusal(ResultCode.INTERNAL, "see the router's log"));
         }
     }
 
@@ -150,7 +151,7 @@
     @Override
     public void channelWritabilityChanged(ChannelHandlerContext context) {
         if (mExchange != null && context.channel().isWritable()) {
-            mExchange.becameWritable();
+            mExchange.handleWritable();
         }
     }
 
@@ -158,14 +159,14 @@
     @Override
     public void channelInactive(ChannelHandlerContext context) {
         if (mExchange != null) {
-            mExchange.gone();
+            mExchange.handleClose();
         }
     }
 
     /** {@inheritDoc} */
     @Override
     public void userEventTriggered(ChannelHandlerContext context, Object event) {
-        boolean idle = !serving();
+        boolean idle = !isServing();
         boolean asked = event instanceof IdleStateEvent || event == HttpServer.Idle.CLOSE;
         if (asked && idle) {
             context.close();
--- a/troutpier-common/src/main/java/org/troutpier/common/http/HttpCall.java
+++ b/troutpier-common/src/main/java/org/troutpier/common/http/HttpCall.java
@@ -68,7 +68,7 @@
      * @return a new request
      */
     public HttpCall withJson(Object value) {
-        return withBody(Json.bytes(value)).withHeader("Content-Type", Answers.JSON);
+        return withBody(Json.bytes(value)).withHeader("Content-Type", HttpResponses.JSON);
     }
 
     /**
--- a/troutpier-common/src/main/java/org/troutpier/common/http/HttpCalls.java
+++ b/troutpier-common/src/main/java/org/troutpier/common/http/HttpClient.java
@@ -30,7 +30,7 @@
  * Sends requests with AsyncHttpClient. Thread safe. The library's own retries, redirects, cookies
  * and proxies are off: each would break a promise about what was sent where.
  */
-public final class HttpCalls implements AutoCloseable {
+public final class HttpClient implements AutoCloseable {
 
     /** How long a connection may take to open, milliseconds. */
     private static final int CONNECT_MILLIS = 1000;
@@ -46,7 +46,7 @@
      *
      * @param loops carries the traffic
      */
-    public HttpCalls(EventLoopGroup loops) {
+    public HttpClient(EventLoopGroup loops) {
         mClient =
                 new DefaultAsyncHttpClient(
                         new DefaultAsyncHttpClientConfig.Builder()
@@ -62,7 +62,7 @@
                                 .setDisableUrlEncodingForBoundRequests(true)
                                 .setProxyServerSelector(ProxyServerSelector.NO_PROXY_SELECTOR)
                                 .setTcpNoDelay(true)
-                                .setSslEngineFactory(HttpCalls::refuseSecured)
+                                .setSslEngineFactory(HttpClient::refuseSecured)
                                 .build());
     }
 
@@ -87,7 +87,7 @@
      */
     public CompletableFuture<HttpReply> call(HttpCall call) {
         Gatherer gatherer = new Gatherer();
-        Ongoing ongoing = send(call, gatherer);
+        OngoingCall ongoing = send(call, gatherer);
         gatherer.mReply.whenComplete(
                 (reply, failure) -> {
                     if (failure instanceof CancellationException) {
@@ -104,7 +104,7 @@
      * @param listener hears the answer
      * @return the exchange, to pause or abort it
      */
-    public Ongoing send(HttpCall call, ReplyListener listener) {
+    public OngoingCall send(HttpCall call, ReplyListener listener) {
         RequestBuilder request =
                 new RequestBuilder(call.method(), true)
                         .setUrl(call.url())
@@ -113,7 +113,7 @@
         if (call.body().length > 0) {
             request.setBody(call.body());
         }
-        Ongoing ongoing = new Ongoing(listener, () -> silent(call));
+        OngoingCall ongoing = new OngoingCall(listener, () -> silent(call));
         if (call.fresh()) {
             request.setHeader("Connection", "close");
             request.setChannelPoolPartitioning((uri, virtualHost, proxy) -> ongoing);
@@ -166,7 +166,7 @@
     }
 
     /** An exchange under way; thread safe. Invariant: the listener hears one end at most. */
-    public static final class Ongoing implements AsyncHandler<Void> {
+    public static final class OngoingCall implements AsyncHandler<Void> {
 
         /** Receives the answer. */
         private final ReplyListener mListener;
@@ -195,7 +195,7 @@
          * @param listener hears the answer
          * @param onSilent runs when the other side did not answer in time
          */
-        Ongoing(ReplyListener listener, Runnable onSilent) {
+        OngoingCall(ReplyListener listener, Runnable onSilent) {
             mListener = listener;
             mOnSilent = onSilent;
         }
@@ -267,7 +267,7 @@
          *
          * @return false only when that is certain
          */
-        public boolean sent() {
+        public boolean mayHaveBeenSent() {
             return mSent;
         }
 
--- a/troutpier-common/src/main/java/org/troutpier/common/http/HttpExchange.java
+++ b/troutpier-common/src/main/java/org/troutpier/common/http/HttpExchange.java
@@ -198,7 +198,7 @@
      *
      * @return whether the status has left
      */
-    public boolean begun() {
+    public boolean hasBegun() {
         return mBegun;
     }
 
@@ -207,7 +207,7 @@
      *
      * @return whether nothing more can be said
      */
-    public boolean over() {
+    public boolean isOver() {
         return mEnded || !mChannel.isActive();
     }
 
@@ -216,7 +216,7 @@
      *
      * @return whether to write on
      */
-    public boolean writable() {
+    public boolean isWritable() {
         return mChannel.isWritable();
     }
 
@@ -236,7 +236,7 @@
      *
      * @param action the action
      */
-    public void onGone(Runnable action) {
+    public void onDisconnect(Runnable action) {
         mOnGone = action;
     }
 
@@ -255,7 +255,7 @@
      * @param answer the answer; ownership passes here
      */
     public void answer(FullHttpResponse answer) {
-        if (mBegun || over()) {
+        if (mBegun || isOver()) {
             answer.release();
             return;
         }
@@ -272,7 +272,7 @@
      * @param headers the headers; chunked unless they give a length
      */
     public void begin(int status, HttpHeaders headers) {
-        if (mBegun || over()) {
+        if (mBegun || isOver()) {
             return;
         }
         mBegun = true;
@@ -293,7 +293,7 @@
      * @param part the part
      */
     public void write(byte[] part) {
-        if (!mBegun || over()) {
+        if (!mBegun || isOver()) {
             return;
         }
         ByteBuf buffer = mChannel.alloc().ioBuffer(part.length).writeBytes(part);
@@ -302,7 +302,7 @@
 
     /** Ends a streamed answer whole. */
     public void end() {
-        if (!mBegun || over()) {
+        if (!mBegun || isOver()) {
             return;
         }
         mEnded = true;
@@ -310,7 +310,7 @@
     }
 
     /** Cuts a streamed answer: the connection closes without the end, so the caller can tell. */
-    public void cut() {
+    public void abort() {
         if (!mEnded) {
             mEnded = true;
             mChannel.close().addListener(closed -> mOnFlushed.run());
@@ -343,7 +343,7 @@
     }
 
     /** Called when the connection has closed. */
-    void gone() {
+    void handleClose() {
         if (!mEnded) {
             mEnded = true;
             mOnFlushed.run();
@@ -352,7 +352,7 @@
     }
 
     /** Called when the connection takes more again. */
-    void becameWritable() {
+    void handleWritable() {
         mOnWritable.run();
     }
 }
--- a/troutpier-common/src/main/java/org/troutpier/common/http/HttpReply.java
+++ b/troutpier-common/src/main/java/org/troutpier/common/http/HttpReply.java
@@ -17,7 +17,7 @@
      *
      * @return whether it lies in the two hundreds
      */
-    public boolean ok() {
+    public boolean isSuccessful() {
         return status / 100 == 2;
     }
 
--- a/troutpier-common/src/main/java/org/troutpier/common/http/Answers.java
+++ b/troutpier-common/src/main/java/org/troutpier/common/http/HttpResponses.java
@@ -11,7 +11,7 @@
 import org.troutpier.common.result.ResultCode;
 
 /** Makes whole HTTP answers. Stateless and thread safe. */
-public final class Answers {
+public final class HttpResponses {
 
     /** Carries the result code's label. */
     public static final String CODE_HEADER = "Troutpier-Code";
@@ -26,7 +26,7 @@
     private static final long MILLIS_PER_SECOND = 1000;
 
     /** Not to be instantiated. */
-    private Answers() {}
+    private HttpResponses() {}
 
     /**
      * Makes a JSON answer.
--- a/troutpier-common/src/main/java/org/troutpier/common/http/HttpServer.java
+++ b/troutpier-common/src/main/java/org/troutpier/common/http/HttpServer.java
@@ -106,12 +106,12 @@
             ServerRefusals refusals,
             HttpHandler handler) {
         this(listen(address), loops, limits, refusals, handler);
-        accept();
+        startAccepting();
     }
 
     /**
      * Creates a server on a socket that listens already. It accepts nothing before {@link
-     * #accept()}.
+     * #startAccepting()}.
      *
      * @param socket the socket
      * @param loops carries the traffic
@@ -156,7 +156,7 @@
     }
 
     /** Begins to accept connections; a second call changes nothing. */
-    public void accept() {
+    public void startAccepting() {
         mAcceptedAt.compareAndSet(0, System.nanoTime());
         mListener.config().setAutoRead(true);
     }
@@ -166,7 +166,7 @@
      *
      * @return whether new callers come in
      */
-    public boolean accepting() {
+    public boolean isAccepting() {
         return mListener.isActive() && mListener.config().isAutoRead();
     }
 
@@ -176,7 +176,7 @@
      *
      * @return whether it is that soon after the start
      */
-    private boolean backlog() {
+    private boolean mayHaveBacklog() {
         long accepted = mAcceptedAt.get();
         return accepted != 0 && System.nanoTime() - accepted < BACKLOG_NANOS;
     }
@@ -195,7 +195,7 @@
      *
      * @return the count
      */
-    public int connections() {
+    public int connectionCount() {
         return mConnections.get();
     }
 
@@ -204,7 +204,7 @@
      *
      * @return the count
      */
-    public int busy() {
+    public int activeExchanges() {
         return mBusy.get();
     }
 
@@ -243,7 +243,8 @@
             boolean tooMany = mConnections.incrementAndGet() > limits.connections();
             mOpen.add(channel);
             channel.closeFuture().addListener(closed -> mConnections.decrementAndGet());
-            ArrivalTimer timer = new ArrivalTimer(limits.requestMillis(), mRefusals);
+            RequestTimeoutHandler timer =
+                    new RequestTimeoutHandler(limits.requestMillis(), mRefusals);
             ChannelPipeline pipeline = channel.pipeline();
             pipeline.addLast(
                     new IdleStateHandler(0, 0, limits.idleMillis(), TimeUnit.MILLISECONDS));
@@ -251,7 +252,7 @@
             pipeline.addLast(
                     new HttpServerCodec(MAX_REQUEST_LINE, limits.headerBytes(), MAX_CHUNK));
             if (tooMany) {
-                pipeline.addLast(new RefuseAll(ResultCode.TOO_MANY_CONNECTIONS, mRefusals));
+                pipeline.addLast(new RefuseAllHandler(ResultCode.TOO_MANY_CONNECTIONS, mRefusals));
                 return;
             }
             ExchangeHandler exchanges =
@@ -261,15 +262,15 @@
                             mRefusals,
                             mBusy,
                             mDraining::get,
-                            HttpServer.this::backlog);
+                            HttpServer.this::mayHaveBacklog);
             pipeline.addLast(
-                    new HeadScreen(
+                    new RequestHeadFilter(
                             mHandler,
                             mRefusals,
                             timer,
                             limits.bodyBytes(),
                             mDraining::get,
-                            exchanges::serving));
+                            exchanges::isServing));
             pipeline.addLast(new Aggregator(limits.bodyBytes(), mRefusals));
             pipeline.addLast(exchanges);
         }
@@ -295,7 +296,7 @@
         /** {@inheritDoc} */
         @Override
         protected void handleOversizedMessage(ChannelHandlerContext context, HttpMessage message) {
-            Refusing.refuseAndClose(context.channel(), mRefusals, ResultCode.BODY_TOO_LARGE);
+            RefusalWriter.refuseAndClose(context.channel(), mRefusals, ResultCode.BODY_TOO_LARGE);
         }
     }
 }
--- a/troutpier-common/src/main/java/org/troutpier/common/http/Refusing.java
+++ b/troutpier-common/src/main/java/org/troutpier/common/http/RefusalWriter.java
@@ -7,10 +7,10 @@
 import org.troutpier.common.result.ResultCode;
 
 /** Refuses a request and closes its connection. Stateless and thread safe. */
-final class Refusing {
+final class RefusalWriter {
 
     /** Not to be instantiated. */
-    private Refusing() {}
+    private RefusalWriter() {}
 
     /**
      * Refuses with the code's own meaning.
--- a/troutpier-common/src/main/java/org/troutpier/common/http/RefuseAll.java
+++ b/troutpier-common/src/main/java/org/troutpier/common/http/RefuseAllHandler.java
@@ -6,7 +6,7 @@
 import org.troutpier.common.result.ResultCode;
 
 /** Refuses whatever arrives on a connection. Confined to the connection's event loop. */
-final class RefuseAll extends ChannelInboundHandlerAdapter {
+final class RefuseAllHandler extends ChannelInboundHandlerAdapter {
 
     /** Why everything is refused. */
     private final ResultCode mCode;
@@ -23,7 +23,7 @@
      * @param code why everything is refused
      * @param refusals makes the answer
      */
-    RefuseAll(ResultCode code, ServerRefusals refusals) {
+    RefuseAllHandler(ResultCode code, ServerRefusals refusals) {
         mCode = code;
         mRefusals = refusals;
     }
@@ -34,7 +34,7 @@
         ReferenceCountUtil.release(message);
         if (!mRefused) {
             mRefused = true;
-            Refusing.refuseAndClose(context.channel(), mRefusals, mCode);
+            RefusalWriter.refuseAndClose(context.channel(), mRefusals, mCode);
         }
     }
 
--- a/troutpier-common/src/main/java/org/troutpier/common/http/HeadScreen.java
+++ b/troutpier-common/src/main/java/org/troutpier/common/http/RequestHeadFilter.java
@@ -20,7 +20,7 @@
  * connection's event loop. Invariant: a head is refused only where no earlier request of the
  * connection waits for its answer, so answers keep their order.
  */
-final class HeadScreen extends ChannelInboundHandlerAdapter {
+final class RequestHeadFilter extends ChannelInboundHandlerAdapter {
 
     /**
      * Refusals after which the connection stays: they concern who asks, and the next request may
@@ -36,7 +36,7 @@
     private final ServerRefusals mRefusals;
 
     /** Bounds the arrival of requests. */
-    private final ArrivalTimer mTimer;
+    private final RequestTimeoutHandler mTimer;
 
     /** The longest body that is read only to be thrown away, bytes. */
     private final int mBodyBytes;
@@ -63,10 +63,10 @@
      * @param draining tells whether each answer is the last one of its connection
      * @param serving tells whether an earlier request waits for its answer
      */
-    HeadScreen(
+    RequestHeadFilter(
             HttpHandler handler,
             ServerRefusals refusals,
-            ArrivalTimer timer,
+            RequestTimeoutHandler timer,
             int bodyBytes,
             BooleanSupplier draining,
             BooleanSupplier serving) {
@@ -89,7 +89,7 @@
             if (head.decoderResult().isFailure()) {
                 mClosing = true;
                 ReferenceCountUtil.release(message);
-                Refusing.refuseAndClose(context.channel(), mRefusals, unreadable(head));
+                RefusalWriter.refuseAndClose(context.channel(), mRefusals, unreadable(head));
                 return;
             }
             Optional<TroutpierException> refusal =
@@ -124,14 +124,14 @@
      * @param why the refusal
      */
     private void refuse(ChannelHandlerContext context, HttpRequest head, TroutpierException why) {
-        FullHttpResponse answer = Answers.refusal(why.code(), why.detail());
+        FullHttpResponse answer = HttpResponses.refusal(why.code(), why.detail());
         if (!stays(head, why.code())) {
             mClosing = true;
-            Refusing.refuseAndClose(context.channel(), answer);
+            RefusalWriter.refuseAndClose(context.channel(), answer);
             return;
         }
         mDiscarding = true;
-        mTimer.answered();
+        mTimer.markAnswered();
         HttpUtil.setKeepAlive(answer, true);
         context.channel().writeAndFlush(answer);
     }
--- a/troutpier-common/src/main/java/org/troutpier/common/http/ArrivalTimer.java
+++ b/troutpier-common/src/main/java/org/troutpier/common/http/RequestTimeoutHandler.java
@@ -11,7 +11,7 @@
  * Bounds the time from a request's first byte to its last, so that a caller who drips bytes holds
  * nothing for long. Confined to the connection's event loop.
  */
-final class ArrivalTimer extends ChannelInboundHandlerAdapter {
+final class RequestTimeoutHandler extends ChannelInboundHandlerAdapter {
 
     /** How long a request may take, milliseconds. */
     private final int mMillis;
@@ -34,7 +34,7 @@
      * @param millis how long a request may take, milliseconds
      * @param refusals makes the answer
      */
-    ArrivalTimer(int millis, ServerRefusals refusals) {
+    RequestTimeoutHandler(int millis, ServerRefusals refusals) {
         mMillis = millis;
         mRefusals = refusals;
     }
@@ -61,7 +61,7 @@
             context.close();
             return;
         }
-        Refusing.refuseAndClose(context.channel(), mRefusals, ResultCode.REQUEST_TOO_SLOW);
+        RefusalWriter.refuseAndClose(context.channel(), mRefusals, ResultCode.REQUEST_TOO_SLOW);
     }
 
     /**
@@ -69,12 +69,12 @@
      *
      * @param serving whether an exchange is being served
      */
-    void serving(BooleanSupplier serving) {
+    void setServingCheck(BooleanSupplier serving) {
         mServing = serving;
     }
 
     /** Takes note that the request was answered, though the rest of it is still to come. */
-    void answered() {
+    void markAnswered() {
         mAnswered = true;
     }
 
--- a/troutpier-common/src/main/java/org/troutpier/common/http/ServerRefusals.java
+++ b/troutpier-common/src/main/java/org/troutpier/common/http/ServerRefusals.java
@@ -24,7 +24,7 @@
         /** {@inheritDoc} */
         @Override
         public FullHttpResponse refuse(ResultCode code) {
-            return Answers.refusal(code, code.meaning());
+            return HttpResponses.refusal(code, code.meaning());
         }
     }
 }
--- a/troutpier-common/src/main/java/org/troutpier/common/id/Incarnation.java
+++ b/troutpier-common/src/main/java/org/troutpier/common/id/Incarnation.java
@@ -37,7 +37,7 @@
      * @param instance the instance that starts
      * @return an incarnation that no other process has
      */
-    public static Incarnation start(InstanceId instance) {
+    public static Incarnation create(InstanceId instance) {
         byte[] random = new byte[RANDOM_BYTES];
         new SecureRandom().nextBytes(random);
         return new Incarnation(instance.value() + SEPARATOR + HexFormat.of().formatHex(random));
--- a/troutpier-common/src/main/java/org/troutpier/common/id/UpstreamIncarnation.java
+++ b/troutpier-common/src/main/java/org/troutpier/common/id/UpstreamIncarnation.java
@@ -59,7 +59,7 @@
      * @param other the other start
      * @return whether this one is known to be later
      */
-    public boolean follows(UpstreamIncarnation other) {
+    public boolean startedAfter(UpstreamIncarnation other) {
         return id.equals(other.id)
                 && other.startMillis != UNKNOWN
                 && startMillis > other.startMillis;
@@ -71,7 +71,7 @@
      * @param other the other start
      * @return whether the upstream is the same and the starts do not differ
      */
-    public boolean mayBe(UpstreamIncarnation other) {
+    public boolean mayEqual(UpstreamIncarnation other) {
         return id.equals(other.id)
                 && (startMillis == other.startMillis
                         || startMillis == UNKNOWN
--- a/troutpier-common/src/main/java/org/troutpier/common/logging/DaemonLogging.java
+++ b/troutpier-common/src/main/java/org/troutpier/common/logging/DaemonLogging.java
@@ -68,7 +68,7 @@
     /** {@inheritDoc} */
     @Override
     protected void doConfigure() {
-        addAppender(new StandardOutput(OUTPUT, new JsonLines()));
+        addAppender(new StandardOutputAppender(OUTPUT, new JsonLinesLayout()));
         AppenderRef[] written = {AppenderRef.createAppenderRef(OUTPUT, Level.ALL, null)};
         AsyncAppender queue =
                 AsyncAppender.newBuilder()
--- a/troutpier-common/src/main/java/org/troutpier/common/logging/DropWhenFull.java
+++ b/troutpier-common/src/main/java/org/troutpier/common/logging/DropWhenFull.java
@@ -20,7 +20,7 @@
      *
      * @return the count
      */
-    public static long dropped() {
+    public static long droppedCount() {
         return DROPPED.sum();
     }
 
--- a/troutpier-common/src/main/java/org/troutpier/common/logging/JsonLines.java
+++ b/troutpier-common/src/main/java/org/troutpier/common/logging/JsonLinesLayout.java
@@ -19,13 +19,13 @@
  * and {@code error} (the stack trace, where there is one). Thread safe. It does what the library's
  * template layout did, which took a quarter of a start to read its template.
  */
-public final class JsonLines extends AbstractStringLayout {
+public final class JsonLinesLayout extends AbstractStringLayout {
 
     /** Writes JSON. */
     private static final JsonFactory JSON = new JsonFactory();
 
     /** Creates a layout. */
-    public JsonLines() {
+    public JsonLinesLayout() {
         super(StandardCharsets.UTF_8);
     }
 
--- a/troutpier-common/src/main/java/org/troutpier/common/logging/LinePause.java
+++ b/troutpier-common/src/main/java/org/troutpier/common/logging/LogThrottle.java
@@ -4,7 +4,7 @@
  * Keeps lines apart that may come often. Confined to one thread. Invariant: of any two lines, the
  * later one is a pause or more after the other.
  */
-public final class LinePause {
+public final class LogThrottle {
 
     /** The shortest time between two lines, milliseconds. */
     private final long mMillis;
@@ -17,7 +17,7 @@
      *
      * @param millis the shortest time between two lines, milliseconds
      */
-    public LinePause(long millis) {
+    public LogThrottle(long millis) {
         mMillis = millis;
     }
 
@@ -27,7 +27,7 @@
      * @param now the monotonic clock, milliseconds
      * @return whether the last one was long enough ago
      */
-    public boolean over(long now) {
+    public boolean tryAcquire(long now) {
         boolean over = now - mLineAt >= mMillis;
         mLineAt = over ? now : mLineAt;
         return over;
--- a/troutpier-common/src/main/java/org/troutpier/common/logging/StandardOutput.java
+++ b/troutpier-common/src/main/java/org/troutpier/common/logging/StandardOutputAppender.java
@@ -12,7 +12,7 @@
  * without the library's plug-ins and with text joined by plain code a start took 272 ms of
  * processor time in place of 289 (median of eight, by turns).
  */
-final class StandardOutput extends AbstractAppender {
+final class StandardOutputAppender extends AbstractAppender {
 
     /** Where lines go. */
     private final PrintStream mStream = System.out;
@@ -23,7 +23,7 @@
      * @param name its name
      * @param layout makes the lines
      */
-    StandardOutput(String name, Layout<String> layout) {
+    StandardOutputAppender(String name, Layout<String> layout) {
         super(name, null, layout, false, Property.EMPTY_ARRAY);
     }
 
--- a/troutpier-common/src/main/java/org/troutpier/common/settings/Secret.java
+++ b/troutpier-common/src/main/java/org/troutpier/common/settings/Secret.java
@@ -25,7 +25,7 @@
      *
      * @param field the field that it stands in, for the message
      */
-    public void require(String field) {
+    public void requireMinimumLength(String field) {
         Check.that(
                 field,
                 value.length() >= SHORTEST,
--- a/troutpier-common/src/test/java/org/troutpier/common/collection/AgingMapTest.java
+++ b/troutpier-common/src/test/java/org/troutpier/common/collection/ExpiringMapTest.java
@@ -9,11 +9,11 @@
 import org.testng.annotations.Test;
 
 /** What an aging map forgets, and when. */
-public final class AgingMapTest {
+public final class ExpiringMapTest {
 
     @Test
     public void whatIsTooOldIsForgottenTheOldestFirst() {
-        AgingMap<String, Integer> map = new AgingMap<>(2, 100);
+        ExpiringMap<String, Integer> map = new ExpiringMap<>(2, 100);
         map.put("a", 1, 0);
         map.put("b", 2, 50);
         assertEquals(map.get("a", 100), Optional.of(1));
@@ -24,7 +24,7 @@
 
     @Test
     public void ofTooManyTheOneIsForgottenThatChangedFirst() {
-        AgingMap<String, Integer> map = new AgingMap<>(2, 100);
+        ExpiringMap<String, Integer> map = new ExpiringMap<>(2, 100);
         map.put("a", 1, 0);
         map.put("b", 2, 1);
         map.put("a", 3, 2);
--- a/troutpier-common/src/test/java/org/troutpier/common/declaration/TokensTest.java
+++ b/troutpier-common/src/test/java/org/troutpier/common/declaration/TokensTest.java
@@ -13,9 +13,9 @@
 
     @Test
     public void aTokenIsCarriedByABearerHeaderOnly() {
-        assertEquals(Tokens.bearer("Bearer abc"), Optional.of("abc"));
-        assertEquals(Tokens.bearer("Basic abc"), Optional.empty());
-        assertEquals(Tokens.bearer(null), Optional.empty());
+        assertEquals(Tokens.parseBearer("Bearer abc"), Optional.of("abc"));
+        assertEquals(Tokens.parseBearer("Basic abc"), Optional.empty());
+        assertEquals(Tokens.parseBearer(null), Optional.empty());
     }
 
     @Test
--- a/troutpier-common/src/test/java/org/troutpier/common/event/HybridClockTest.java
+++ b/troutpier-common/src/test/java/org/troutpier/common/event/HybridClockTest.java
@@ -31,8 +31,8 @@
         for (int number = 0; number < 100; number++) {
             ring.record("kind", "s" + number % 2, "" + number);
         }
-        assertEquals(ring.about("").size(), 8);
-        assertEquals(ring.about("s1").size(), 4);
-        assertEquals(ring.about("").get(7).detail(), "99");
+        assertEquals(ring.eventsAbout("").size(), 8);
+        assertEquals(ring.eventsAbout("s1").size(), 4);
+        assertEquals(ring.eventsAbout("").get(7).detail(), "99");
     }
 }
--- a/troutpier-common/src/test/java/org/troutpier/common/http/HttpCallsTest.java
+++ b/troutpier-common/src/test/java/org/troutpier/common/http/HttpClientTest.java
@@ -25,16 +25,16 @@
 import org.testng.annotations.Test;
 import org.troutpier.common.settings.Address;
 
-public class HttpCallsTest {
+public class HttpClientTest {
 
     private EventLoopGroup mLoops;
-    private HttpCalls mCalls;
+    private HttpClient mCalls;
     private HttpServer mServer;
 
     @BeforeMethod
     public void start() {
         mLoops = new NioEventLoopGroup(2);
-        mCalls = new HttpCalls(mLoops);
+        mCalls = new HttpClient(mLoops);
         mServer =
                 new HttpServer(
                         new Address("127.0.0.1", 0),
@@ -45,7 +45,7 @@
                             int millis = exchange.path().equals("/slow") ? 300 : 0;
                             exchange.loop()
                                     .schedule(
-                                            () -> exchange.answer(Answers.json(200, "done")),
+                                            () -> exchange.answer(HttpResponses.json(200, "done")),
                                             millis,
                                             TimeUnit.MILLISECONDS);
                         });
@@ -74,7 +74,7 @@
 
         @Override
         public void onFailure(CallFailedException failure) {
-            mEnd.complete("sent " + failure.sent() + " " + failure.getMessage());
+            mEnd.complete("sent " + failure.mayHaveBeenSent() + " " + failure.getMessage());
         }
     }
 
@@ -85,7 +85,7 @@
     @Test
     public void endingAnExchangeThatIsOverLeavesItsConnectionToTheNext() throws Exception {
         Ended first = new Ended();
-        HttpCalls.Ongoing over = mCalls.send(call("/"), first);
+        HttpClient.OngoingCall over = mCalls.send(call("/"), first);
         assertEquals(first.mEnd.get(5, TimeUnit.SECONDS), "whole");
         Ended second = new Ended();
         mCalls.send(call("/slow"), second);
@@ -113,7 +113,7 @@
     @Test
     public void anAbortedExchangeIsHeardNoMore() throws Exception {
         Ended ended = new Ended();
-        HttpCalls.Ongoing ongoing = mCalls.send(call("/slow"), ended);
+        HttpClient.OngoingCall ongoing = mCalls.send(call("/slow"), ended);
         ongoing.abort();
         Ended next = new Ended();
         mCalls.send(call("/slow"), next);
--- a/troutpier-common/src/test/java/org/troutpier/common/http/HttpServerTest.java
+++ b/troutpier-common/src/test/java/org/troutpier/common/http/HttpServerTest.java
@@ -54,11 +54,11 @@
             caller.setSoTimeout(READ_MILLIS);
             caller.getOutputStream().write(request("/"));
             HttpServer server = server(socket, mExchange::complete);
-            assertEquals(server.connections(), 0);
-            server.accept();
+            assertEquals(server.connectionCount(), 0);
+            server.startAccepting();
             HttpExchange exchange = mExchange.orTimeout(10, TimeUnit.SECONDS).join();
-            assertEquals(server.connections(), 1);
-            exchange.answer(Answers.json(200, Map.of()));
+            assertEquals(server.connectionCount(), 1);
+            exchange.answer(HttpResponses.json(200, Map.of()));
             byte[] first = caller.getInputStream().readNBytes("HTTP/1.1 200".length());
             assertEquals(new String(first, StandardCharsets.US_ASCII), "HTTP/1.1 200");
             server.close();
@@ -83,11 +83,11 @@
                             socket,
                             exchange -> {
                                 handled.add(exchange.path());
-                                exchange.answer(Answers.json(200, Map.of()));
+                                exchange.answer(HttpResponses.json(200, Map.of()));
                             });
-            assertFalse(server.accepting());
-            server.accept();
-            assertTrue(server.accepting());
+            assertFalse(server.isAccepting());
+            server.startAccepting();
+            assertTrue(server.isAccepting());
             byte[] first = there.getInputStream().readNBytes("HTTP/1.1 200".length());
             assertEquals(new String(first, StandardCharsets.US_ASCII), "HTTP/1.1 200");
             server.close();
--- a/troutpier-common/src/test/java/org/troutpier/common/id/UpstreamIncarnationTest.java
+++ b/troutpier-common/src/test/java/org/troutpier/common/id/UpstreamIncarnationTest.java
@@ -23,20 +23,20 @@
 
     @Test
     public void onlyALaterStartOfTheSameUpstreamFollows() {
-        assertTrue(SECOND.follows(FIRST));
-        assertFalse(FIRST.follows(SECOND));
-        assertFalse(FIRST.follows(FIRST));
-        assertFalse(OTHER.follows(FIRST));
+        assertTrue(SECOND.startedAfter(FIRST));
+        assertFalse(FIRST.startedAfter(SECOND));
+        assertFalse(FIRST.startedAfter(FIRST));
+        assertFalse(OTHER.startedAfter(FIRST));
     }
 
     @Test
     public void aStartThatIsNotToldFollowsNoneAndIsFollowedByNone() {
-        assertFalse(UNTOLD.follows(FIRST));
-        assertFalse(FIRST.follows(UNTOLD));
-        assertTrue(UNTOLD.mayBe(FIRST));
-        assertTrue(FIRST.mayBe(UNTOLD));
-        assertFalse(SECOND.mayBe(FIRST));
-        assertFalse(OTHER.mayBe(UNTOLD));
+        assertFalse(UNTOLD.startedAfter(FIRST));
+        assertFalse(FIRST.startedAfter(UNTOLD));
+        assertTrue(UNTOLD.mayEqual(FIRST));
+        assertTrue(FIRST.mayEqual(UNTOLD));
+        assertFalse(SECOND.mayEqual(FIRST));
+        assertFalse(OTHER.mayEqual(UNTOLD));
     }
 
     @Test
--- a/troutpier-common/src/test/java/org/troutpier/common/logging/DropWhenFullTest.java
+++ b/troutpier-common/src/test/java/org/troutpier/common/logging/DropWhenFullTest.java
@@ -61,7 +61,7 @@
                                 })
                         .build();
         queue.start();
-        long before = DropWhenFull.dropped();
+        long before = DropWhenFull.droppedCount();
         for (int line = 0; line < LINES; line++) {
             queue.append(
                     Log4jLogEvent.newBuilder()
@@ -69,7 +69,7 @@
                             .setMessage(new SimpleMessage("line " + line))
                             .build());
         }
-        long dropped = DropWhenFull.dropped() - before;
+        long dropped = DropWhenFull.droppedCount() - before;
         assertTrue(dropped >= LINES - ROOM - 1, "dropped " + dropped);
         output.mGo.countDown();
         queue.stop(10, TimeUnit.SECONDS);
--- a/troutpier-common/src/test/java/org/troutpier/common/logging/LinePauseTest.java
+++ b/troutpier-common/src/test/java/org/troutpier/common/logging/LogThrottleTest.java
@@ -6,14 +6,14 @@
 import org.testng.annotations.Test;
 
 /** How lines are kept apart. */
-public final class LinePauseTest {
+public final class LogThrottleTest {
 
     @Test
     public void theFirstLineIsWrittenAndTheNextAfterThePause() {
-        LinePause pause = new LinePause(1000);
-        assertTrue(pause.over(0));
-        assertFalse(pause.over(999));
-        assertTrue(pause.over(1000));
-        assertFalse(pause.over(1999));
+        LogThrottle pause = new LogThrottle(1000);
+        assertTrue(pause.tryAcquire(0));
+        assertFalse(pause.tryAcquire(999));
+        assertTrue(pause.tryAcquire(1000));
+        assertFalse(pause.tryAcquire(1999));
     }
 }
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/RouterDaemon.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/RouterDaemon.java
@@ -11,7 +11,7 @@
 import org.apache.logging.log4j.Logger;
 import org.troutpier.common.event.EventRing;
 import org.troutpier.common.event.HybridClock;
-import org.troutpier.common.http.HttpCalls;
+import org.troutpier.common.http.HttpClient;
 import org.troutpier.common.http.HttpServer;
 import org.troutpier.common.http.ServerLimits;
 import org.troutpier.common.http.ServerRefusals;
@@ -302,11 +302,11 @@
     private static Node node(DaemonSettings settings) {
         EventLoopGroup loops = new NioEventLoopGroup(settings.threads());
         return new Node(
-                Incarnation.start(settings.instance()),
+                Incarnation.create(settings.instance()),
                 settings.hall(),
                 loops,
                 new ControlThread(),
-                new HttpCalls(loops),
+                new HttpClient(loops),
                 new MetricRegistry(),
                 new EventRing(settings.instance().value(), RING, new HybridClock()),
                 new ElapsedClock());
@@ -424,7 +424,7 @@
      */
     private boolean busy() {
         boolean cancelling = mCancels.pending() > 0;
-        return !mRegistry.all().isEmpty() || mCallers.busy() > 0 || cancelling;
+        return !mRegistry.all().isEmpty() || mCallers.activeExchanges() > 0 || cancelling;
     }
 
     /** Ends everything at once; a second call does nothing. */
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/caller/CallerFront.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/caller/CallerFront.java
@@ -174,7 +174,7 @@
      */
     private static PartnerDeclaration partner(Declarations declarations, String authorization) {
         String hash =
-                Tokens.bearer(authorization)
+                Tokens.parseBearer(authorization)
                         .map(Tokens::hash)
                         .orElseThrow(
                                 () ->
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/configuration/ChangeProposer.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/configuration/ChangeProposer.java
@@ -191,7 +191,7 @@
             Declarations latest =
                     row.map(found -> ConfigurationRegistry.parse(found.value()))
                             .orElse(Declarations.EMPTY);
-            change.mNext = edit.apply(latest).as(latest.version() + 1, change.mId);
+            change.mNext = edit.apply(latest).withVersion(latest.version() + 1, change.mId);
         } catch (TroutpierException exception) {
             told.completeExceptionally(exception);
             return;
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/directory/UpstreamDirectory.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/directory/UpstreamDirectory.java
@@ -15,7 +15,7 @@
 import java.util.stream.Collectors;
 import org.apache.logging.log4j.LogManager;
 import org.apache.logging.log4j.Logger;
-import org.troutpier.common.collection.AgingMap;
+import org.troutpier.common.collection.ExpiringMap;
 import org.troutpier.common.id.UpstreamId;
 import org.troutpier.common.id.UpstreamIncarnation;
 import org.troutpier.daemon.node.Control;
@@ -66,12 +66,12 @@
     private final Set<UpstreamId> mUnreadable = new HashSet<>();
 
     /** Incarnations that announced, in answers or by their entries, that they are leaving. */
-    private final AgingMap<UpstreamId, UpstreamIncarnation> mLeaving =
-            new AgingMap<>(MAX_REMEMBERED, REMEMBERED_MILLIS);
+    private final ExpiringMap<UpstreamId, UpstreamIncarnation> mLeaving =
+            new ExpiringMap<>(MAX_REMEMBERED, REMEMBERED_MILLIS);
 
     /** Incarnations that are no longer listed. */
-    private final AgingMap<UpstreamId, UpstreamIncarnation> mRemoved =
-            new AgingMap<>(MAX_REMEMBERED, REMEMBERED_MILLIS);
+    private final ExpiringMap<UpstreamId, UpstreamIncarnation> mRemoved =
+            new ExpiringMap<>(MAX_REMEMBERED, REMEMBERED_MILLIS);
 
     /**
      * Incarnations that were no longer listed when the store was restored from a backup, which may
@@ -169,7 +169,7 @@
      */
     public boolean hasRestarted(UpstreamIncarnation incarnation) {
         UpstreamIncarnation listed = mIncarnations.get(incarnation.id());
-        return listed != null && listed.follows(incarnation);
+        return listed != null && listed.startedAfter(incarnation);
     }
 
     /**
@@ -232,7 +232,7 @@
      */
     private boolean isRevivedByRestore(UpstreamEntry listed) {
         UpstreamIncarnation removed = mRemovedBeforeRestore.get(listed.id());
-        return removed != null && listed.incarnation().mayBe(removed);
+        return removed != null && listed.incarnation().mayEqual(removed);
     }
 
     /**
@@ -295,7 +295,7 @@
                         .isEmpty();
         mLeaving.put(incarnation.id(), incarnation, mMillis.getAsLong());
         UpstreamEntry entry = mEntries.get(incarnation.id());
-        if (entry != null && !entry.draining() && entry.incarnation().mayBe(incarnation)) {
+        if (entry != null && !entry.draining() && entry.incarnation().mayEqual(incarnation)) {
             LOGGER.info("upstream leaves id={}", incarnation);
             mEntries.put(incarnation.id(), entry.asDraining());
             publish();
@@ -307,7 +307,7 @@
     private UpstreamEntry applyLeaving(UpstreamEntry entry) {
         boolean leaving =
                 mLeaving.get(entry.id(), mMillis.getAsLong())
-                        .filter(entry.incarnation()::mayBe)
+                        .filter(entry.incarnation()::mayEqual)
                         .isPresent();
         return leaving && !entry.draining() ? entry.asDraining() : entry;
     }
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/directory/UpstreamEntry.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/directory/UpstreamEntry.java
@@ -42,10 +42,10 @@
      * @return the merged entry
      */
     UpstreamEntry mergedWith(UpstreamEntry reported) {
-        if (reported.incarnation.follows(incarnation)) {
+        if (reported.incarnation.startedAfter(incarnation)) {
             return reported;
         }
-        if (!reported.incarnation.mayBe(incarnation)) {
+        if (!reported.incarnation.mayEqual(incarnation)) {
             return this;
         }
         boolean known = reported.incarnation.startMillis() != UpstreamIncarnation.UNKNOWN;
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/instancelist/InstanceList.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/instancelist/InstanceList.java
@@ -3,7 +3,7 @@
 import java.util.List;
 import java.util.concurrent.CompletableFuture;
 import org.troutpier.common.http.HttpCall;
-import org.troutpier.common.http.HttpCalls;
+import org.troutpier.common.http.HttpClient;
 import org.troutpier.common.result.ResultCode;
 import org.troutpier.common.result.TroutpierException;
 
@@ -60,7 +60,7 @@
     final class OverHttp implements InstanceList {
 
         /** Sends the requests. */
-        private final HttpCalls mCalls;
+        private final HttpClient mCalls;
 
         /** The list's URL. */
         private final String mUrl;
@@ -75,7 +75,7 @@
          * @param url the list's URL
          * @param timeoutMillis how long one call may take
          */
-        public OverHttp(HttpCalls calls, String url, int timeoutMillis) {
+        public OverHttp(HttpClient calls, String url, int timeoutMillis) {
             mCalls = calls;
             mUrl = url;
             mTimeoutMillis = timeoutMillis;
@@ -87,7 +87,7 @@
             return mCalls.call(HttpCall.of("GET", mUrl + "/instances").withTimeout(mTimeoutMillis))
                     .thenApply(
                             reply -> {
-                                if (!reply.ok()) {
+                                if (!reply.isSuccessful()) {
                                     throw new TroutpierException(
                                             ResultCode.INTERNAL,
                                             "the instance list answers " + reply.status());
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/node/Node.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/node/Node.java
@@ -5,7 +5,7 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.LongSupplier;
 import org.troutpier.common.event.EventRing;
-import org.troutpier.common.http.HttpCalls;
+import org.troutpier.common.http.HttpClient;
 import org.troutpier.common.id.HallId;
 import org.troutpier.common.id.Incarnation;
 
@@ -27,7 +27,7 @@
         HallId hall,
         EventLoopGroup loops,
         Control control,
-        HttpCalls calls,
+        HttpClient calls,
         MetricRegistry metrics,
         EventRing events,
         LongSupplier nanos) {
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/objectstore/ObjectStore.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/objectstore/ObjectStore.java
@@ -3,7 +3,7 @@
 import java.util.Optional;
 import java.util.concurrent.CompletableFuture;
 import org.troutpier.common.http.HttpCall;
-import org.troutpier.common.http.HttpCalls;
+import org.troutpier.common.http.HttpClient;
 import org.troutpier.common.result.ResultCode;
 import org.troutpier.common.result.TroutpierException;
 
@@ -34,7 +34,7 @@
         private static final int MISSING = 404;
 
         /** Sends the requests. */
-        private final HttpCalls mCalls;
+        private final HttpClient mCalls;
 
         /** The store's URL. */
         private final String mUrl;
@@ -49,7 +49,7 @@
          * @param url the store's URL
          * @param timeoutMillis how long one call may take
          */
-        public OverHttp(HttpCalls calls, String url, int timeoutMillis) {
+        public OverHttp(HttpClient calls, String url, int timeoutMillis) {
             mCalls = calls;
             mUrl = url;
             mTimeoutMillis = timeoutMillis;
@@ -59,7 +59,7 @@
         @Override
         public CompletableFuture<Boolean> write(String key, byte[] object) {
             return mCalls.call(object("PUT", key).withBody(object))
-                    .handle((reply, failure) -> failure == null && reply.ok());
+                    .handle((reply, failure) -> failure == null && reply.isSuccessful());
         }
 
         /** {@inheritDoc} */
@@ -71,7 +71,7 @@
                                 if (reply.status() == MISSING) {
                                     return Optional.empty();
                                 }
-                                if (!reply.ok()) {
+                                if (!reply.isSuccessful()) {
                                     throw new TroutpierException(
                                             ResultCode.TABLE_UNAVAILABLE,
                                             "the object store answers " + reply.status());
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/operator/Inventory.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/operator/Inventory.java
@@ -289,7 +289,7 @@
      */
     private Shown changes() {
         List<Map<String, String>> rows = new ArrayList<>();
-        for (Event event : mNode.events().about("")) {
+        for (Event event : mNode.events().eventsAbout("")) {
             if (event.kind().startsWith("change-") || event.kind().equals("version")) {
                 rows.add(
                         row(
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/operator/OperatorFront.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/operator/OperatorFront.java
@@ -16,9 +16,9 @@
 import org.troutpier.common.declaration.DeclarationPart;
 import org.troutpier.common.declaration.Declarations;
 import org.troutpier.common.event.Event;
-import org.troutpier.common.http.Answers;
 import org.troutpier.common.http.HttpExchange;
 import org.troutpier.common.http.HttpHandler;
+import org.troutpier.common.http.HttpResponses;
 import org.troutpier.common.http.Json;
 import org.troutpier.common.id.PartnerId;
 import org.troutpier.common.result.ResultCode;
@@ -108,8 +108,8 @@
             case "/healthz" -> exchange.answer(health());
             case "/readyz" -> exchange.answer(readiness());
             case "/metrics" ->
-                    exchange.answer(Answers.json(200, metrics(optionalRights(exchange))));
-            case "/events" -> exchange.answer(Answers.json(200, events(exchange)));
+                    exchange.answer(HttpResponses.json(200, metrics(optionalRights(exchange))));
+            case "/events" -> exchange.answer(HttpResponses.json(200, events(exchange)));
             case "/v1/declarations" -> declarations(exchange);
             case "/v1/command" -> command(exchange);
             default -> throw new TroutpierException(ResultCode.UNKNOWN_PATH, exchange.path());
@@ -129,7 +129,7 @@
         health.put("peer", self.address());
         health.put("hall", self.hall().value());
         health.put("state", mReadiness.isStopping() ? "leaving" : "live");
-        return Answers.json(200, health);
+        return HttpResponses.json(200, health);
     }
 
     /**
@@ -144,7 +144,7 @@
         body.put("ready", obstacle.isEmpty());
         body.put("obstacle", obstacle.orElse(""));
         body.put("version", mConfigurations.current().version());
-        return Answers.json(obstacle.isEmpty() ? 200 : NOT_READY, body);
+        return HttpResponses.json(obstacle.isEmpty() ? 200 : NOT_READY, body);
     }
 
     /**
@@ -195,13 +195,13 @@
     private List<Event> events(HttpExchange exchange) {
         Rights rights = rights(exchange);
         Set<String> others = new HashSet<>();
-        for (Event event : mNode.events().about("")) {
+        for (Event event : mNode.events().eventsAbout("")) {
             boolean accepted = event.kind().equals(ACCEPTED);
             if (accepted && !rights.covers(new PartnerId(event.detail().split("/", 2)[0]))) {
                 others.add(event.subject());
             }
         }
-        return mNode.events().about(exchange.query("subject")).stream()
+        return mNode.events().eventsAbout(exchange.query("subject")).stream()
                 .filter(event -> !others.contains(event.subject()))
                 .toList();
     }
@@ -215,7 +215,7 @@
         Rights rights = rights(exchange);
         if (exchange.method().equals("GET")) {
             Declarations visible = ShareEdit.visible(mConfigurations.current(), rights);
-            exchange.answer(Answers.json(200, visible));
+            exchange.answer(HttpResponses.json(200, visible));
             return;
         }
         DeclarationPart part = Json.read(exchange.body(), DeclarationPart.class);
@@ -256,7 +256,7 @@
         Throwable cause = why instanceof CompletionException ? why.getCause() : why;
         if (cause == null) {
             exchange.answer(
-                    Answers.json(
+                    HttpResponses.json(
                             200,
                             Map.of(
                                     "result",
@@ -266,9 +266,9 @@
                                     "change",
                                     done.changeId())));
         } else if (cause instanceof TroutpierException known) {
-            exchange.answer(Answers.refusal(known.code(), known.detail()));
+            exchange.answer(HttpResponses.refusal(known.code(), known.detail()));
         } else {
-            exchange.answer(Answers.refusal(ResultCode.INTERNAL, String.valueOf(cause)));
+            exchange.answer(HttpResponses.refusal(ResultCode.INTERNAL, String.valueOf(cause)));
         }
     }
 
@@ -296,7 +296,7 @@
      */
     private void carryOut(HttpExchange exchange, CommandHandler.Reply reply, Throwable why) {
         if (reply instanceof CommandHandler.Rows rows) {
-            exchange.answer(Answers.json(200, rows));
+            exchange.answer(HttpResponses.json(200, rows));
         } else if (reply instanceof CommandHandler.Edit edit) {
             propose(exchange, edit.edit());
         } else {
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/operator/Rights.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/operator/Rights.java
@@ -29,7 +29,7 @@
      */
     public static Rights of(
             String authorization, String administratorHash, Declarations declarations) {
-        Optional<String> token = Tokens.bearer(authorization);
+        Optional<String> token = Tokens.parseBearer(authorization);
         if (token.isPresent()) {
             String hash = Tokens.hash(token.get());
             if (hash.equals(administratorHash)) {
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/organisation/OrganisationLimiter.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/organisation/OrganisationLimiter.java
@@ -13,7 +13,7 @@
 import org.apache.logging.log4j.Logger;
 import org.troutpier.common.declaration.KeyHash;
 import org.troutpier.common.id.PartnerId;
-import org.troutpier.common.logging.LinePause;
+import org.troutpier.common.logging.LogThrottle;
 import org.troutpier.daemon.decision.LimitShare;
 import org.troutpier.daemon.limit.GradualLimit;
 import org.troutpier.daemon.limit.LimitHeadroom;
@@ -132,7 +132,7 @@
         private long mRejected;
 
         /** Limits the rate of log lines about rejections. */
-        private final LinePause mLogPause = new LinePause(LOG_INTERVAL_MILLIS);
+        private final LogThrottle mLogPause = new LogThrottle(LOG_INTERVAL_MILLIS);
 
         Account(double limit, long windowMillis) {
             mMeter = new UsageMeter(windowMillis);
@@ -273,7 +273,7 @@
                                 headroom.remote().window(),
                                 (long) headroom.allowed(),
                                 mSettings.windowMillis());
-        if (account.mLogPause.over(now)) {
+        if (account.mLogPause.tryAcquire(now)) {
             LOGGER.info("organisation beyond its limit: {}", detail);
         }
         double excess = cost - headroom.remaining();
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/quarantine/Quarantine.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/quarantine/Quarantine.java
@@ -13,7 +13,7 @@
 import java.util.function.LongSupplier;
 import org.apache.logging.log4j.LogManager;
 import org.apache.logging.log4j.Logger;
-import org.troutpier.common.collection.AgingMap;
+import org.troutpier.common.collection.ExpiringMap;
 import org.troutpier.common.id.UpstreamIncarnation;
 
 /**
@@ -49,11 +49,11 @@
      * Requests that are still run although upstreams crashed during them, and requests that were
      * cleared.
      */
-    private final AgingMap<RequestFingerprint, CrashRecord> mSuspects =
-            new AgingMap<>(MAX_SUSPECTS, QuarantineSettings.SUSPECT_RETENTION_MILLIS);
+    private final ExpiringMap<RequestFingerprint, CrashRecord> mSuspects =
+            new ExpiringMap<>(MAX_SUSPECTS, QuarantineSettings.SUSPECT_RETENTION_MILLIS);
 
     /** Requests that are no longer run. */
-    private final AgingMap<RequestFingerprint, CrashRecord> mQuarantined;
+    private final ExpiringMap<RequestFingerprint, CrashRecord> mQuarantined;
 
     /** Coarse hashes of all recorded requests, and of some that were removed since. */
     private final Set<String> mCoarseHashes = new HashSet<>();
@@ -68,8 +68,8 @@
     private final Counter mClearedCount;
 
     /** Requests whose record this router changed itself. */
-    private final AgingMap<RequestFingerprint, Boolean> mChangedLocally =
-            new AgingMap<>(MAX_SUSPECTS, QuarantineSettings.SUSPECT_RETENTION_MILLIS);
+    private final ExpiringMap<RequestFingerprint, Boolean> mChangedLocally =
+            new ExpiringMap<>(MAX_SUSPECTS, QuarantineSettings.SUSPECT_RETENTION_MILLIS);
 
     /** Receives the changes made by this router. */
     private Consumer<CrashReport> mLocalListener = report -> {};
@@ -85,7 +85,7 @@
     public Quarantine(QuarantineSettings settings, LongSupplier millis, MetricRegistry metrics) {
         mSettings = settings;
         mMillis = millis;
-        mQuarantined = new AgingMap<>(MAX_QUARANTINED, settings.quarantineMillis());
+        mQuarantined = new ExpiringMap<>(MAX_QUARANTINED, settings.quarantineMillis());
         mCrashCount = metrics.counter("quarantine.crashes");
         mEnteredCount = metrics.counter("quarantine.entered");
         mClearedCount = metrics.counter("quarantine.cleared");
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/quarantine/QuarantineHandler.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/quarantine/QuarantineHandler.java
@@ -3,9 +3,9 @@
 import java.util.List;
 import java.util.Map;
 import org.troutpier.common.declaration.Tokens;
-import org.troutpier.common.http.Answers;
 import org.troutpier.common.http.HttpExchange;
 import org.troutpier.common.http.HttpHandler;
+import org.troutpier.common.http.HttpResponses;
 import org.troutpier.common.result.ResultCode;
 
 /**
@@ -49,11 +49,11 @@
     @Override
     public void handle(HttpExchange exchange) {
         if (exchange.path().equals(PATH) && exchange.method().equals("GET")) {
-            exchange.answer(Answers.json(200, entries()));
+            exchange.answer(HttpResponses.json(200, entries()));
         } else if (exchange.path().equals(CLEAR_PATH) && exchange.method().equals("POST")) {
             clear(exchange);
         } else {
-            exchange.answer(Answers.refusal(ResultCode.UNKNOWN_PATH, exchange.path()));
+            exchange.answer(HttpResponses.refusal(ResultCode.UNKNOWN_PATH, exchange.path()));
         }
     }
 
@@ -75,14 +75,15 @@
     /** Clears a request if the caller has the token. */
     private void clear(HttpExchange exchange) {
         boolean allowed =
-                Tokens.bearer(exchange.header("Authorization"))
+                Tokens.parseBearer(exchange.header("Authorization"))
                         .filter(token -> mSettings.mayClear(Tokens.hash(token)))
                         .isPresent();
         if (!allowed) {
-            exchange.answer(Answers.refusal(ResultCode.UNKNOWN_TOKEN, "clearing needs the token"));
+            exchange.answer(
+                    HttpResponses.refusal(ResultCode.UNKNOWN_TOKEN, "clearing needs the token"));
             return;
         }
         int cleared = mQuarantine.clear(exchange.query(CONTENT));
-        exchange.answer(Answers.json(200, Map.of("cleared", cleared)));
+        exchange.answer(HttpResponses.json(200, Map.of("cleared", cleared)));
     }
 }
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/request/CompletionExchange.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/request/CompletionExchange.java
@@ -9,7 +9,7 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.concurrent.TimeUnit;
-import org.troutpier.common.http.Answers;
+import org.troutpier.common.http.HttpResponses;
 import org.troutpier.common.http.Json;
 import org.troutpier.common.id.UpstreamId;
 import org.troutpier.common.result.ResultCode;
@@ -445,10 +445,10 @@
     @Override
     protected void sendWhole(StoredAnswer answer) {
         if (!mOrder.stream()) {
-            exchange().answer(Answers.json(200, body(answer)));
+            exchange().answer(HttpResponses.json(200, body(answer)));
             return;
         }
-        if (!exchange().begun()) {
+        if (!exchange().hasBegun()) {
             exchange().begin(200, streamHeaders());
             exchange().write(wholeEvent(answer));
         }
@@ -459,10 +459,10 @@
     /** {@inheritDoc} */
     @Override
     protected void sendCut(ResultCode code, String detail) {
-        String error = new String(Json.bytes(Answers.refusalBody(code, detail)));
+        String error = new String(Json.bytes(HttpResponses.refusalBody(code, detail)));
         byte[] event = ("data: " + error + "\n\n").getBytes(StandardCharsets.UTF_8);
         exchange().write(event);
-        exchange().cut();
+        exchange().abort();
     }
 
     /**
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/request/RequestExchange.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/request/RequestExchange.java
@@ -7,9 +7,9 @@
 import java.util.concurrent.TimeUnit;
 import org.troutpier.common.declaration.ClassDeclaration;
 import org.troutpier.common.declaration.ClassDeclaration.AnswerCommit;
-import org.troutpier.common.declaration.ClassDeclaration.TableRule;
-import org.troutpier.common.http.Answers;
+import org.troutpier.common.declaration.ClassDeclaration.TableOutagePolicy;
 import org.troutpier.common.http.HttpExchange;
+import org.troutpier.common.http.HttpResponses;
 import org.troutpier.common.id.RequestId;
 import org.troutpier.common.id.UpstreamId;
 import org.troutpier.common.result.ResultCode;
@@ -101,12 +101,15 @@
         if (!mServices.registry().add(this, partnerLimit)) {
             mStage = Stage.OVER;
             count("refused." + ResultCode.PARTNER_LIMIT.label());
-            exchange().answer(Answers.refusal(ResultCode.PARTNER_LIMIT, "limit " + partnerLimit));
+            exchange()
+                    .answer(
+                            HttpResponses.refusal(
+                                    ResultCode.PARTNER_LIMIT, "limit " + partnerLimit));
             return;
         }
         count("accepted");
         event("accepted", declared().partner() + "/" + declared().name());
-        exchange().onGone(this::callerGone);
+        exchange().onDisconnect(this::callerGone);
         mDeadline =
                 exchange()
                         .loop()
@@ -146,7 +149,7 @@
             over(null);
         } else if (outcome instanceof ClaimOutcome.Refused refused) {
             refuse(refused.code(), refused.detail());
-        } else if (declared().whenTableUnavailable() == TableRule.RUN) {
+        } else if (declared().whenTableUnavailable() == TableOutagePolicy.RUN) {
             event("run-without-claim", "");
             enqueue();
         } else {
@@ -469,10 +472,10 @@
                 id());
         count("refused." + code.label());
         event("refused", code.label() + " " + detail);
-        if (exchange().begun()) {
+        if (exchange().hasBegun()) {
             sendCut(code, detail);
         } else {
-            exchange().answer(Answers.refusal(code, detail));
+            exchange().answer(HttpResponses.refusal(code, detail));
         }
         over(code);
     }
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/request/ServiceExchange.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/request/ServiceExchange.java
@@ -16,7 +16,7 @@
 import java.util.Set;
 import org.troutpier.common.http.CallFailedException;
 import org.troutpier.common.http.HttpCall;
-import org.troutpier.common.http.HttpCalls;
+import org.troutpier.common.http.HttpClient;
 import org.troutpier.common.http.ReplyListener;
 import org.troutpier.common.id.UpstreamId;
 import org.troutpier.common.result.ResultCode;
@@ -65,7 +65,7 @@
     private final String mPath;
 
     /** The exchange with the service, or null. */
-    private HttpCalls.Ongoing mOngoing;
+    private HttpClient.OngoingCall mOngoing;
 
     /** The current attempt. */
     private String mAttempt = "";
@@ -197,7 +197,7 @@
             ifCurrent(
                     () ->
                             broken(
-                                    failure.sent()
+                                    failure.mayHaveBeenSent()
                                             ? AttemptEnd.lost(detail)
                                             : AttemptEnd.unreached(detail)));
         }
@@ -246,7 +246,7 @@
      * @param part the part
      */
     private void passOn(byte[] part) {
-        if (!exchange().begun()) {
+        if (!exchange().hasBegun()) {
             HttpHeaders headers = shownHeaders(mHeaders);
             if (mOverflow) {
                 headers.remove(HttpHeaderNames.CONTENT_LENGTH);
@@ -255,9 +255,9 @@
             exchange().onWritable(this::resume);
         }
         exchange().write(part);
-        if (!exchange().writable() && mOngoing != null) {
+        if (!exchange().isWritable() && mOngoing != null) {
             mOngoing.pause();
-            if (exchange().writable()) {
+            if (exchange().isWritable()) {
                 mOngoing.resume();
             }
         }
@@ -297,7 +297,7 @@
      * @param end how it ended
      */
     private void broken(AttemptEnd end) {
-        if (exchange().begun()) {
+        if (exchange().hasBegun()) {
             refuse(ResultCode.UPSTREAM_FAILED, end.detail());
         } else {
             attemptEnded(end);
@@ -322,7 +322,7 @@
     /** {@inheritDoc} */
     @Override
     protected void sendWhole(StoredAnswer answer) {
-        if (exchange().begun()) {
+        if (exchange().hasBegun()) {
             exchange().end();
             return;
         }
@@ -343,7 +343,7 @@
     /** {@inheritDoc} */
     @Override
     protected void sendCut(ResultCode code, String detail) {
-        exchange().cut();
+        exchange().abort();
     }
 
     /**
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/role/RoleController.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/role/RoleController.java
@@ -405,7 +405,8 @@
                                                     if (!change.mFinished
                                                             && failure == null
                                                             && report.incarnation()
-                                                                    .mayBe(engine.incarnation())) {
+                                                                    .mayEqual(
+                                                                            engine.incarnation())) {
                                                         onReport(change, report);
                                                     }
                                                 }));
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/CallerChannel.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/CallerChannel.java
@@ -7,8 +7,8 @@
 import io.netty.handler.codec.http.HttpHeaders;
 import io.netty.handler.codec.http.HttpResponseStatus;
 import io.netty.handler.codec.http.HttpVersion;
-import org.troutpier.common.http.Answers;
 import org.troutpier.common.http.HttpExchange;
+import org.troutpier.common.http.HttpResponses;
 import org.troutpier.common.result.ResultCode;
 
 /**
@@ -79,7 +79,7 @@
         /** {@inheritDoc} */
         @Override
         public void refuse(ResultCode code, String detail, long retryAfterMillis) {
-            mExchange.answer(Answers.refusal(code, detail, retryAfterMillis));
+            mExchange.answer(HttpResponses.refusal(code, detail, retryAfterMillis));
         }
 
         /** {@inheritDoc} */
@@ -103,19 +103,19 @@
         /** {@inheritDoc} */
         @Override
         public void abort() {
-            mExchange.cut();
+            mExchange.abort();
         }
 
         /** {@inheritDoc} */
         @Override
         public boolean isWritable() {
-            return mExchange.writable();
+            return mExchange.isWritable();
         }
 
         /** {@inheritDoc} */
         @Override
         public void onDisconnect(Runnable action) {
-            mExchange.onGone(action);
+            mExchange.onDisconnect(action);
         }
 
         /** {@inheritDoc} */
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/CrashGuard.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/CrashGuard.java
@@ -9,7 +9,7 @@
 import java.util.function.Consumer;
 import org.apache.logging.log4j.LogManager;
 import org.apache.logging.log4j.Logger;
-import org.troutpier.common.collection.AgingMap;
+import org.troutpier.common.collection.ExpiringMap;
 import org.troutpier.common.id.UpstreamIncarnation;
 import org.troutpier.daemon.directory.UpstreamDirectory;
 import org.troutpier.daemon.directory.UpstreamEntry;
@@ -75,8 +75,8 @@
     private final Map<UpstreamIncarnation, Probe> mProbes = new HashMap<>();
 
     /** Upstreams that crashed recently. */
-    private final AgingMap<UpstreamIncarnation, Boolean> mRecentCrashes =
-            new AgingMap<>(MAX_RECENT_CRASHES, CRASH_TTL_MILLIS);
+    private final ExpiringMap<UpstreamIncarnation, Boolean> mRecentCrashes =
+            new ExpiringMap<>(MAX_RECENT_CRASHES, CRASH_TTL_MILLIS);
 
     /** Creates a guard. */
     public CrashGuard(
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/EngineUsageReconciler.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/EngineUsageReconciler.java
@@ -177,7 +177,7 @@
                                         failure);
                                 return;
                             }
-                            if (report.incarnation().mayBe(engine.incarnation())) {
+                            if (report.incarnation().mayEqual(engine.incarnation())) {
                                 mLoop.execute(() -> reconcile(engine, report.usedTokens()));
                             }
                         });
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/GracefulShutdown.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/GracefulShutdown.java
@@ -52,11 +52,15 @@
         long start = System.nanoTime();
         mReadiness.stopping();
         mServer.drain();
-        LOGGER.info("shutdown started busy={} graceMillis={}", mServer.busy(), mGraceMillis);
+        LOGGER.info(
+                "shutdown started busy={} graceMillis={}", mServer.activeExchanges(), mGraceMillis);
         waitUntil(() -> elapsedMillis(start) >= READINESS_DELAY_MILLIS, start);
         mServer.close();
         waitUntil(this::closeIdleConnections, start);
-        LOGGER.info("shutdown finished busy={} millis={}", mServer.busy(), elapsedMillis(start));
+        LOGGER.info(
+                "shutdown finished busy={} millis={}",
+                mServer.activeExchanges(),
+                elapsedMillis(start));
     }
 
     /**
@@ -66,7 +70,7 @@
      */
     private boolean closeIdleConnections() {
         mServer.closeIdle();
-        return mServer.connections() == 0;
+        return mServer.connectionCount() == 0;
     }
 
     /**
@@ -81,7 +85,7 @@
                 Thread.sleep(POLL_MILLIS);
             } catch (InterruptedException exception) {
                 Thread.currentThread().interrupt();
-                LOGGER.warn("shutdown interrupted busy={}", mServer.busy());
+                LOGGER.warn("shutdown interrupted busy={}", mServer.activeExchanges());
                 return;
             }
         }
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/RecentRefusals.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/RecentRefusals.java
@@ -1,7 +1,7 @@
 package org.troutpier.daemon.serving;
 
 import java.util.function.Consumer;
-import org.troutpier.common.collection.AgingMap;
+import org.troutpier.common.collection.ExpiringMap;
 
 /**
  * Remembers which requests any router refused recently, by the part of the prompt that is specific
@@ -15,8 +15,8 @@
 
     private static final int MAX_ENTRIES = 20_000;
 
-    private final AgingMap<String, Boolean> mRefused =
-            new AgingMap<>(MAX_ENTRIES, RETENTION_MILLIS);
+    private final ExpiringMap<String, Boolean> mRefused =
+            new ExpiringMap<>(MAX_ENTRIES, RETENTION_MILLIS);
 
     private volatile Consumer<String> mListener = key -> {};
 
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/RestartAwarePort.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/RestartAwarePort.java
@@ -42,7 +42,7 @@
         listed.forEach(incarnation -> incarnations.put(incarnation.id(), incarnation));
         for (TrackedCall call : List.copyOf(mActive)) {
             UpstreamIncarnation current = incarnations.get(call.mUpstream.id());
-            if (current != null && current.follows(call.mUpstream)) {
+            if (current != null && current.startedAfter(call.mUpstream)) {
                 LOGGER.info("call lost by a restart upstream={} now={}", call.mUpstream, current);
                 call.failAsLost();
             }
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/UpstreamRate.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/UpstreamRate.java
@@ -5,7 +5,7 @@
 import org.apache.logging.log4j.LogManager;
 import org.apache.logging.log4j.Logger;
 import org.troutpier.common.id.UpstreamIncarnation;
-import org.troutpier.common.logging.LinePause;
+import org.troutpier.common.logging.LogThrottle;
 import org.troutpier.daemon.decision.MaxMinFairness;
 import org.troutpier.daemon.limit.ArrivalMeter;
 import org.troutpier.daemon.limit.FlowKey;
@@ -99,9 +99,9 @@
     /** When the rate was last announced, milliseconds on the elapsed clock. */
     private long mAnnouncedAt;
 
-    private final LinePause mChangeLogLimiter = new LinePause(CHANGE_LOG_INTERVAL_MILLIS);
+    private final LogThrottle mChangeLogLimiter = new LogThrottle(CHANGE_LOG_INTERVAL_MILLIS);
 
-    private final LinePause mLogLimiter = new LinePause(LOG_INTERVAL_MILLIS);
+    private final LogThrottle mLogLimiter = new LogThrottle(LOG_INTERVAL_MILLIS);
 
     UpstreamRate(UpstreamIncarnation upstream) {
         mUpstream = upstream;
@@ -201,7 +201,7 @@
      * @param now the time of the traffic loop, milliseconds
      */
     private void applyChange(double perSecond, String source, long now) {
-        if (mChangeLogLimiter.over(now)) {
+        if (mChangeLogLimiter.tryAcquire(now)) {
             LOGGER.info(
                     "upstream rate changed id={} perSecond={} before={} source={}",
                     mUpstream,
@@ -301,7 +301,7 @@
 
     /** Returns whether a frequent event may be logged now, and if so starts a new interval. */
     boolean shouldLog(long now) {
-        return mLogLimiter.over(now);
+        return mLogLimiter.tryAcquire(now);
     }
 
     private static String format(double perSecond) {
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/settings/DaemonSettings.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/settings/DaemonSettings.java
@@ -65,7 +65,7 @@
         Check.present("caller", caller);
         Check.present("operator", operator);
         Check.present("peer", peer);
-        Check.present("peerSecret", peerSecret).require("peerSecret");
+        Check.present("peerSecret", peerSecret).requireMinimumLength("peerSecret");
         Check.that(
                 "administratorTokenHash",
                 administratorTokenHash == null || Tokens.isHash(administratorTokenHash),
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/table/Table.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/table/Table.java
@@ -10,7 +10,7 @@
 import java.util.function.LongSupplier;
 import org.troutpier.common.http.CallFailedException;
 import org.troutpier.common.http.HttpCall;
-import org.troutpier.common.http.HttpCalls;
+import org.troutpier.common.http.HttpClient;
 import org.troutpier.common.http.HttpReply;
 import org.troutpier.common.http.Json;
 import org.troutpier.common.result.ResultCode;
@@ -94,7 +94,7 @@
 
         private static final int PRECONDITION_FAILED = 412;
 
-        private final HttpCalls mCalls;
+        private final HttpClient mCalls;
 
         private final String mUrl;
 
@@ -107,7 +107,7 @@
          * @param url the URL of the service
          * @param timeoutMillis time limit of a call, milliseconds
          */
-        public OverHttp(HttpCalls calls, String url, int timeoutMillis) {
+        public OverHttp(HttpClient calls, String url, int timeoutMillis) {
             mCalls = calls;
             mUrl = url;
             mTimeoutMillis = timeoutMillis;
@@ -177,10 +177,12 @@
          */
         private static WriteResult outcome(HttpReply reply, Throwable failure) {
             if (failure != null) {
-                boolean sent = !(failure instanceof CallFailedException failed) || failed.sent();
+                boolean sent =
+                        !(failure instanceof CallFailedException failed)
+                                || failed.mayHaveBeenSent();
                 return new WriteResult(sent ? Outcome.UNKNOWN : Outcome.NOT_SENT, null);
             }
-            if (reply.ok()) {
+            if (reply.isSuccessful()) {
                 return new WriteResult(Outcome.WRITTEN, reply.headers().get("ETag"));
             }
             boolean conflict = reply.status() == PRECONDITION_FAILED;
@@ -193,7 +195,7 @@
                 throw new TroutpierException(
                         ResultCode.TABLE_UNAVAILABLE, String.valueOf(failure.getMessage()));
             }
-            if (!reply.ok()) {
+            if (!reply.isSuccessful()) {
                 throw new TroutpierException(
                         ResultCode.TABLE_UNAVAILABLE,
                         "table answered with status " + reply.status());
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/upstream/CancellationRetrier.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/upstream/CancellationRetrier.java
@@ -133,7 +133,7 @@
                 failure instanceof java.util.concurrent.CompletionException
                         ? failure.getCause()
                         : failure;
-        boolean refused = cause instanceof CallFailedException failed && !failed.sent();
+        boolean refused = cause instanceof CallFailedException failed && !failed.mayHaveBeenSent();
         pending.mRefusals = refused ? pending.mRefusals + 1 : 0;
         pending.mTries++;
         if (pending.mRefusals >= REFUSALS || pending.mTries >= MOST_TRIES) {
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/upstream/HttpEngines.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/upstream/HttpEngines.java
@@ -12,7 +12,7 @@
 import org.troutpier.common.declaration.UpstreamDeclaration;
 import org.troutpier.common.http.CallFailedException;
 import org.troutpier.common.http.HttpCall;
-import org.troutpier.common.http.HttpCalls;
+import org.troutpier.common.http.HttpClient;
 import org.troutpier.common.http.HttpReply;
 import org.troutpier.common.http.Json;
 import org.troutpier.common.http.ReplyListener;
@@ -26,14 +26,14 @@
     private static final int QUESTION_MILLIS = 700;
 
     /** Sends the requests. */
-    private final HttpCalls mCalls;
+    private final HttpClient mCalls;
 
     /**
      * Creates the adapter.
      *
      * @param calls sends the requests
      */
-    public HttpEngines(HttpCalls calls) {
+    public HttpEngines(HttpClient calls) {
         mCalls = calls;
     }
 
@@ -72,7 +72,7 @@
      */
     private static void prefilled(PrefillOrder order, HttpReply reply, PrefillListener listener) {
         try {
-            if (!reply.ok()) {
+            if (!reply.isSuccessful()) {
                 listener.onPrefillEnd(refusal(reply.status(), reply.body()));
                 return;
             }
@@ -120,7 +120,7 @@
      * @return how it ended
      */
     private static AttemptEnd failure(Throwable failure) {
-        boolean sent = !(failure instanceof CallFailedException failed) || failed.sent();
+        boolean sent = !(failure instanceof CallFailedException failed) || failed.mayHaveBeenSent();
         String detail = String.valueOf(failure.getMessage());
         return sent ? AttemptEnd.lost(detail) : AttemptEnd.unreached(detail);
     }
@@ -136,7 +136,7 @@
                 HttpCall.of("POST", engine.address().url("/v1/decode"))
                         .withJson(decodeBody(order))
                         .withTimeout(timeoutMillis);
-        HttpCalls.Ongoing ongoing = mCalls.send(call, new Stream(order.attempt(), listener));
+        HttpClient.OngoingCall ongoing = mCalls.send(call, new Stream(order.attempt(), listener));
         return ongoing::abort;
     }
 
@@ -147,7 +147,7 @@
                 HttpCall.of("POST", engine.address().url("/v1/cancel"))
                         .withJson(Map.of("request_id", attempt))
                         .withTimeout(QUESTION_MILLIS);
-        return mCalls.call(call).thenApply(HttpReply::ok);
+        return mCalls.call(call).thenApply(HttpReply::isSuccessful);
     }
 
     /** {@inheritDoc} */
@@ -192,7 +192,7 @@
         return mCalls.call(call)
                 .thenApply(
                         reply -> {
-                            if (!reply.ok()) {
+                            if (!reply.isSuccessful()) {
                                 throw new TroutpierException(
                                         ResultCode.UPSTREAM_FAILED,
                                         engine.id() + " answers " + reply.status());
--- a/troutpier-daemon/src/test/java/org/troutpier/daemon/ChangeUnderFailureTest.java
+++ b/troutpier-daemon/src/test/java/org/troutpier/daemon/ChangeUnderFailureTest.java
@@ -93,13 +93,13 @@
             List<HttpReply> replies = List.of(first.join(), second.join());
             Set<String> versions = new HashSet<>();
             for (HttpReply reply : replies) {
-                if (reply.ok()) {
+                if (reply.isSuccessful()) {
                     versions.add(reply.as(JsonNode.class).path("version").asText());
                 } else {
                     assertTrue(code(reply).matches("TP-40[12]"), reply.text());
                 }
             }
-            long accepted = replies.stream().filter(HttpReply::ok).count();
+            long accepted = replies.stream().filter(HttpReply::isSuccessful).count();
             assertEquals(versions.size(), accepted, "no version is told twice");
             assertEquals(inForce(rig, 0), inForce(rig, 1));
         }
@@ -136,7 +136,7 @@
             Rig.await(
                     () -> inForce(rig, 0) == inForce(rig, 1) && inForce(rig, 1) == inForce(rig, 2),
                     "all routers agree");
-            if (reply.ok()) {
+            if (reply.isSuccessful()) {
                 assertEquals(inForce(rig, 0), value);
             } else if (refused) {
                 assertFalse(inForce(rig, 0) == value, reply.text());
@@ -155,7 +155,7 @@
         assertEquals(inForce(rig, 0), 20_000);
         assertEquals(inForce(rig, 1), 20_000);
         Rig.fault(rig.mInstances.server(), Fault.OUTAGE, 0, 0);
-        Rig.await(() -> propose(rig, 0, 36_666).join().ok(), "the member is left out");
+        Rig.await(() -> propose(rig, 0, 36_666).join().isSuccessful(), "the member is left out");
         assertEquals(inForce(rig, 1), 36_666);
     }
 
@@ -167,10 +167,10 @@
         int accepted = 0;
         boolean ready = false;
         while (!ready) {
-            if (propose(rig, value % 2, ++value).join().ok()) {
+            if (propose(rig, value % 2, ++value).join().isSuccessful()) {
                 accepted = value;
             }
-            ready = rig.call(HttpCall.of("GET", rig.operatorUrl(2, "/readyz"))).ok();
+            ready = rig.call(HttpCall.of("GET", rig.operatorUrl(2, "/readyz"))).isSuccessful();
             if (ready) {
                 assertTrue(inForce(rig, 2) >= accepted, inForce(rig, 2) + " < " + accepted);
             }
@@ -215,10 +215,10 @@
     @Test
     public void aDrainedUpstreamGetsNoNewWork() {
         Rig rig = rig(2);
-        assertTrue(rig.command(0, Rig.OPERATOR, "drain service-2").ok());
+        assertTrue(rig.command(0, Rig.OPERATOR, "drain service-2").isSuccessful());
         Rig.Outcome outcome = rig.service(1, "machine-status", null, "/m", "m").get();
         assertEquals(outcome.mCode, "TP-122", outcome.toString());
-        assertTrue(rig.command(1, Rig.OPERATOR, "undrain service-2").ok());
+        assertTrue(rig.command(1, Rig.OPERATOR, "undrain service-2").isSuccessful());
         assertEquals(rig.service(0, "machine-status", null, "/m", "m").get().mStatus, 200);
     }
 
--- a/troutpier-daemon/src/test/java/org/troutpier/daemon/RequestUnderFailureTest.java
+++ b/troutpier-daemon/src/test/java/org/troutpier/daemon/RequestUnderFailureTest.java
@@ -269,7 +269,7 @@
         ObjectNode claim = (ObjectNode) rig.call(HttpCall.of("GET", row)).as(JsonNode.class);
         claim.put("epoch", 2);
         claim.put("attempt", "another-router's");
-        assertTrue(rig.call(HttpCall.of("PUT", row).withJson(claim)).ok());
+        assertTrue(rig.call(HttpCall.of("PUT", row).withJson(claim)).isSuccessful());
         assertFalse(outcome.get().whole(), outcome.toString());
         assertTrue(outcome.mBody.toString().contains("TP-204"), outcome.toString());
     }
--- a/troutpier-daemon/src/test/java/org/troutpier/daemon/Rig.java
+++ b/troutpier-daemon/src/test/java/org/troutpier/daemon/Rig.java
@@ -17,17 +17,17 @@
 import org.troutpier.common.declaration.ClassDeclaration;
 import org.troutpier.common.declaration.ClassDeclaration.AnswerCommit;
 import org.troutpier.common.declaration.ClassDeclaration.Kind;
-import org.troutpier.common.declaration.ClassDeclaration.TableRule;
+import org.troutpier.common.declaration.ClassDeclaration.TableOutagePolicy;
 import org.troutpier.common.declaration.DeclarationPart;
 import org.troutpier.common.declaration.PartnerDeclaration;
 import org.troutpier.common.declaration.Role;
 import org.troutpier.common.declaration.Tokens;
 import org.troutpier.common.declaration.UpstreamDeclaration;
-import org.troutpier.common.http.Answers;
 import org.troutpier.common.http.CallFailedException;
 import org.troutpier.common.http.HttpCall;
-import org.troutpier.common.http.HttpCalls;
+import org.troutpier.common.http.HttpClient;
 import org.troutpier.common.http.HttpReply;
+import org.troutpier.common.http.HttpResponses;
 import org.troutpier.common.http.ReplyListener;
 import org.troutpier.common.http.ServerLimits;
 import org.troutpier.common.id.ClassName;
@@ -65,7 +65,7 @@
 
     final EventLoopGroup mLoop = new NioEventLoopGroup(1);
     final EventLoopGroup mCallerLoop = new NioEventLoopGroup(1);
-    final HttpCalls mCalls = new HttpCalls(mCallerLoop);
+    final HttpClient mCalls = new HttpClient(mCallerLoop);
     final TableStandin mTable = new TableStandin(local(0), mLoop);
     final ObjectStandin mObjects = new ObjectStandin(local(0), mLoop);
     final InstanceListStandin mInstances = new InstanceListStandin(local(0), 100, mLoop);
@@ -166,7 +166,7 @@
     }
 
     private boolean ready(RouterDaemon router) {
-        return call(HttpCall.of("GET", router.operatorAddress().url("/readyz"))).ok();
+        return call(HttpCall.of("GET", router.operatorAddress().url("/readyz"))).isSuccessful();
     }
 
     Rig declared() {
@@ -177,7 +177,7 @@
         await(
                 () -> {
                     HttpReply reply = declare(0, ADMINISTRATOR, part);
-                    return reply.ok();
+                    return reply.isSuccessful();
                 },
                 "declarations are accepted");
         return this;
@@ -257,7 +257,7 @@
                 0,
                 0,
                 deadlineMillis,
-                TableRule.REFUSE,
+                TableOutagePolicy.REFUSE,
                 AnswerCommit.BEFORE_END_MARK,
                 600,
                 100_000);
@@ -274,7 +274,7 @@
                 deadlineMillis,
                 0,
                 deadlineMillis,
-                TableRule.REFUSE,
+                TableOutagePolicy.REFUSE,
                 AnswerCommit.BEFORE_END_MARK,
                 600,
                 50_000);
@@ -289,13 +289,13 @@
         volatile boolean mFailed;
         final StringBuffer mBody = new StringBuffer();
         final CompletableFuture<Outcome> mOver = new CompletableFuture<>();
-        volatile HttpCalls.Ongoing mOngoing;
+        volatile HttpClient.OngoingCall mOngoing;
 
         @Override
         public void onHead(int status, HttpHeaders headers) {
             mStatus = status;
-            mCode = headers.get(Answers.CODE_HEADER, "");
-            mFamily = headers.get(Answers.FAMILY_HEADER, "");
+            mCode = headers.get(HttpResponses.CODE_HEADER, "");
+            mFamily = headers.get(HttpResponses.FAMILY_HEADER, "");
         }
 
         @Override
--- a/troutpier-daemon/src/test/java/org/troutpier/daemon/SessionGoldenTest.java
+++ b/troutpier-daemon/src/test/java/org/troutpier/daemon/SessionGoldenTest.java
@@ -13,7 +13,7 @@
 import org.testng.annotations.Test;
 import org.troutpier.common.settings.Address;
 import org.troutpier.standins.fault.Fault;
-import org.troutpier.testing.RawSession;
+import org.troutpier.testing.RawHttpClient;
 
 /** Whole sessions as they go over the wire, held against files. */
 @UseReporter(QuietReporter.class)
@@ -33,7 +33,7 @@
 
     private String session(String request) {
         Address address = mRig.mRouters.get(0).callerAddress();
-        return RawSession.ask(address.host(), address.port(), request);
+        return RawHttpClient.exchange(address.host(), address.port(), request);
     }
 
     private void verify(String request) throws IOException {
--- a/troutpier-daemon/src/test/java/org/troutpier/daemon/cluster/PeerExchangeTest.java
+++ b/troutpier-daemon/src/test/java/org/troutpier/daemon/cluster/PeerExchangeTest.java
@@ -119,7 +119,7 @@
 
         Router(int number) {
             String name = String.format("router-%02d", number);
-            Incarnation incarnation = Incarnation.start(new InstanceId(name));
+            Incarnation incarnation = Incarnation.create(new InstanceId(name));
             HallId hall = new HallId("hall-" + number % HALLS);
             Address address = new Address("127.0.0.1", 1000 + number);
             mSelf = new Member(incarnation, hall, address.toString(), false);
--- a/troutpier-daemon/src/test/java/org/troutpier/daemon/node/TestNode.java
+++ b/troutpier-daemon/src/test/java/org/troutpier/daemon/node/TestNode.java
@@ -18,7 +18,7 @@
 
     /** A start of a router, in a hall that does not matter. */
     public static Node of(String name, Control control, LongSupplier nanos) {
-        return of(Incarnation.start(new InstanceId(name)), new HallId("hall"), control, nanos);
+        return of(Incarnation.create(new InstanceId(name)), new HallId("hall"), control, nanos);
     }
 
     /** A known start of a router in a hall. */
--- a/troutpier-daemon/src/test/java/org/troutpier/daemon/serving/DecisionLogTest.java
+++ b/troutpier-daemon/src/test/java/org/troutpier/daemon/serving/DecisionLogTest.java
@@ -41,7 +41,7 @@
             mLog.requestEnded(trace(), RequestTrace.ANSWERED);
         }
         assertEquals(count("log.folded"), 9);
-        assertEquals(mEvents.about("id").size(), 10);
+        assertEquals(mEvents.eventsAbout("id").size(), 10);
         assertEquals(count("log.left-out"), 0);
     }
 
--- a/troutpier-standins/src/main/java/org/troutpier/standins/engine/DecodeEngine.java
+++ b/troutpier-standins/src/main/java/org/troutpier/standins/engine/DecodeEngine.java
@@ -11,11 +11,11 @@
 import java.util.Map;
 import java.util.concurrent.ThreadLocalRandom;
 import java.util.concurrent.TimeUnit;
-import org.troutpier.common.http.Answers;
 import org.troutpier.common.http.HttpCall;
-import org.troutpier.common.http.HttpCalls;
+import org.troutpier.common.http.HttpClient;
 import org.troutpier.common.http.HttpExchange;
 import org.troutpier.common.http.HttpReply;
+import org.troutpier.common.http.HttpResponses;
 import org.troutpier.common.http.Json;
 import org.troutpier.common.settings.Address;
 import org.troutpier.standins.fault.Fault;
@@ -50,7 +50,7 @@
     private final EventLoop mLoop;
 
     /** Fetches results from prefill engines. */
-    private final HttpCalls mCalls;
+    private final HttpClient mCalls;
 
     /** The server. */
     private final StandinServer mServer;
@@ -121,7 +121,7 @@
     public DecodeEngine(String name, Address address, DecodeModel model, EventLoopGroup loops) {
         mModel = model;
         mLoop = (EventLoop) loops.next();
-        mCalls = new HttpCalls(loops);
+        mCalls = new HttpClient(loops);
         mPublishedLoad = load();
         mServer = new StandinServer(name, address, loops, server -> this::handle);
         mLoop.scheduleAtFixedRate(
@@ -147,11 +147,11 @@
         switch (exchange.path()) {
             case "/v1/decode" -> decode(exchange);
             case "/v1/cancel" -> cancel(exchange);
-            case "/v1/holding" -> exchange.answer(Answers.json(200, holding()));
-            case "/v1/load" -> exchange.answer(Answers.json(200, mPublishedLoad));
+            case "/v1/holding" -> exchange.answer(HttpResponses.json(200, holding()));
+            case "/v1/load" -> exchange.answer(HttpResponses.json(200, mPublishedLoad));
             case "/v1/stats" ->
                     exchange.answer(
-                            Answers.json(
+                            HttpResponses.json(
                                     200, Map.of("held", mHeld.size(), "most_held", mMostHeld)));
             case "/v1/orders" -> EngineOrders.answer(exchange, mServer);
             default -> StandinServer.unknown(exchange);
@@ -165,18 +165,18 @@
      */
     private void decode(HttpExchange exchange) {
         if (mServer.faults().on(Fault.LEAVING)) {
-            exchange.answer(Answers.json(LEAVING, Map.of("started", false, "leaving", true)));
+            exchange.answer(HttpResponses.json(LEAVING, Map.of("started", false, "leaving", true)));
             return;
         }
         if (mServer.faults().on(Fault.FULL) || mHeld.size() >= mModel.slots()) {
-            exchange.answer(Answers.json(FULL, Map.of("started", false)));
+            exchange.answer(HttpResponses.json(FULL, Map.of("started", false)));
             return;
         }
         Sequence sequence = new Sequence(Json.read(exchange.body(), JsonNode.class), exchange);
         mHeld.put(sequence.id(), sequence);
         mMostHeld = Math.max(mMostHeld, mHeld.size());
         if (mModel.noticesClose()) {
-            exchange.onGone(() -> mHeld.remove(sequence.id(), sequence));
+            exchange.onDisconnect(() -> mHeld.remove(sequence.id(), sequence));
         }
         String url =
                 "http://"
@@ -195,13 +195,13 @@
      */
     private void imported(Sequence sequence, HttpReply reply) {
         if (mHeld.get(sequence.id()) != sequence) {
-            sequence.mExchange.cut();
+            sequence.mExchange.abort();
             return;
         }
-        if (reply == null || !reply.ok()) {
+        if (reply == null || !reply.isSuccessful()) {
             mHeld.remove(sequence.id());
             sequence.mExchange.answer(
-                    Answers.json(GONE, Map.of("started", false, "reason", "kv-gone")));
+                    HttpResponses.json(GONE, Map.of("started", false, "reason", "kv-gone")));
             return;
         }
         JsonNode kv = reply.as(JsonNode.class);
@@ -245,7 +245,7 @@
         int cutAfter = mServer.faults().amount(Fault.CUT);
         if (mServer.faults().on(Fault.CUT) && sequence.mIndex >= cutAfter) {
             mHeld.remove(sequence.id());
-            sequence.mExchange.cut();
+            sequence.mExchange.abort();
             return;
         }
         sequence.mLeft--;
@@ -303,9 +303,9 @@
         if (sequence != null) {
             mServer.ran().add(id, "", "cancelled");
             mServer.events().record("decode-cancelled", id, "");
-            sequence.mExchange.cut();
+            sequence.mExchange.abort();
         }
-        mServer.acknowledge(exchange, Answers.json(200, Map.of("held", sequence != null)));
+        mServer.acknowledge(exchange, HttpResponses.json(200, Map.of("held", sequence != null)));
     }
 
     /**
--- a/troutpier-standins/src/main/java/org/troutpier/standins/engine/EngineOrders.java
+++ b/troutpier-standins/src/main/java/org/troutpier/standins/engine/EngineOrders.java
@@ -2,8 +2,8 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 import java.util.Map;
-import org.troutpier.common.http.Answers;
 import org.troutpier.common.http.HttpExchange;
+import org.troutpier.common.http.HttpResponses;
 import org.troutpier.common.http.Json;
 import org.troutpier.standins.fault.StandinServer;
 
@@ -23,6 +23,6 @@
         JsonNode order = Json.read(exchange.body(), JsonNode.class);
         server.events().record("order", order.path("change").asText(), order.toString());
         server.acknowledge(
-                exchange, Answers.json(200, Map.of("epoch", order.path("epoch").asLong())));
+                exchange, HttpResponses.json(200, Map.of("epoch", order.path("epoch").asLong())));
     }
 }
--- a/troutpier-standins/src/main/java/org/troutpier/standins/engine/PrefillEngine.java
+++ b/troutpier-standins/src/main/java/org/troutpier/standins/engine/PrefillEngine.java
@@ -11,8 +11,8 @@
 import java.util.List;
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
-import org.troutpier.common.http.Answers;
 import org.troutpier.common.http.HttpExchange;
+import org.troutpier.common.http.HttpResponses;
 import org.troutpier.common.http.Json;
 import org.troutpier.common.settings.Address;
 import org.troutpier.standins.fault.Fault;
@@ -178,10 +178,10 @@
         switch (path) {
             case "/v1/prefill" -> prefill(exchange);
             case "/v1/cancel" -> cancel(exchange);
-            case "/v1/holding" -> exchange.answer(Answers.json(200, holding()));
-            case "/v1/load" -> exchange.answer(Answers.json(200, mPublishedLoad));
-            case "/v1/cache-events" -> exchange.answer(Answers.json(200, events(exchange)));
-            case "/v1/stats" -> exchange.answer(Answers.json(200, stats()));
+            case "/v1/holding" -> exchange.answer(HttpResponses.json(200, holding()));
+            case "/v1/load" -> exchange.answer(HttpResponses.json(200, mPublishedLoad));
+            case "/v1/cache-events" -> exchange.answer(HttpResponses.json(200, events(exchange)));
+            case "/v1/stats" -> exchange.answer(HttpResponses.json(200, stats()));
             case "/v1/orders" -> EngineOrders.answer(exchange, mServer);
             default -> StandinServer.unknown(exchange);
         }
@@ -194,11 +194,11 @@
      */
     private void prefill(HttpExchange exchange) {
         if (mServer.faults().on(Fault.LEAVING)) {
-            exchange.answer(Answers.json(LEAVING, Map.of("started", false, "leaving", true)));
+            exchange.answer(HttpResponses.json(LEAVING, Map.of("started", false, "leaving", true)));
             return;
         }
         if (mServer.faults().on(Fault.FULL) || mQueue.size() >= mModel.queueLimit()) {
-            exchange.answer(Answers.json(FULL, Map.of("started", false)));
+            exchange.answer(HttpResponses.json(FULL, Map.of("started", false)));
             return;
         }
         Job job = new Job(Json.read(exchange.body(), JsonNode.class), exchange);
@@ -277,7 +277,7 @@
         mServer.events().record("prefill-done", job.id(), handle);
         boolean wrong = mServer.faults().on(Fault.WRONG_ID);
         job.mExchange.answer(
-                Answers.json(
+                HttpResponses.json(
                         200,
                         Map.of(
                                 "request_id",
@@ -327,12 +327,12 @@
     private void export(HttpExchange exchange, String handle) {
         Job job = mResults.get(handle);
         if (job == null || job.mMoving) {
-            exchange.answer(Answers.json(GONE, Map.of("missing", handle)));
+            exchange.answer(HttpResponses.json(GONE, Map.of("missing", handle)));
             return;
         }
         job.mMoving = true;
         if (mServer.faults().on(Fault.STALL)) {
-            exchange.onGone(() -> drop(handle, job));
+            exchange.onDisconnect(() -> drop(handle, job));
             return;
         }
         long now = System.nanoTime();
@@ -350,16 +350,16 @@
      * @param job the job that made it
      */
     private void exported(HttpExchange exchange, String handle, Job job) {
-        if (exchange.over() || mResults.get(handle) != job) {
+        if (exchange.isOver() || mResults.get(handle) != job) {
             if (mResults.get(handle) == job) {
                 drop(handle, job);
             }
-            exchange.answer(Answers.json(GONE, Map.of("missing", handle)));
+            exchange.answer(HttpResponses.json(GONE, Map.of("missing", handle)));
             return;
         }
         mResults.remove(handle);
         exchange.answer(
-                Answers.json(
+                HttpResponses.json(
                         200,
                         Map.of(
                                 "request_id", job.id(),
@@ -392,7 +392,7 @@
             }
         }
         mServer.ran().add(id, "", "cancelled");
-        mServer.acknowledge(exchange, Answers.json(200, Map.of("held", held)));
+        mServer.acknowledge(exchange, HttpResponses.json(200, Map.of("held", held)));
     }
 
     /**
--- a/troutpier-standins/src/main/java/org/troutpier/standins/fault/ProxiesCommand.java
+++ b/troutpier-standins/src/main/java/org/troutpier/standins/fault/ProxiesCommand.java
@@ -6,8 +6,8 @@
 import java.util.Map;
 import java.util.concurrent.Callable;
 import java.util.concurrent.CountDownLatch;
-import org.troutpier.common.http.Answers;
 import org.troutpier.common.http.HttpExchange;
+import org.troutpier.common.http.HttpResponses;
 import org.troutpier.common.http.HttpServer;
 import org.troutpier.common.http.ServerLimits;
 import org.troutpier.common.http.ServerRefusals;
@@ -82,6 +82,6 @@
                 fault,
                 Long.parseLong(exchange.query("millis")),
                 Integer.parseInt(exchange.query("amount")));
-        exchange.answer(Answers.json(200, Map.of("fault", fault.label())));
+        exchange.answer(HttpResponses.json(200, Map.of("fault", fault.label())));
     }
 }
--- a/troutpier-standins/src/main/java/org/troutpier/standins/fault/StandinServer.java
+++ b/troutpier-standins/src/main/java/org/troutpier/standins/fault/StandinServer.java
@@ -6,9 +6,9 @@
 import java.util.concurrent.TimeUnit;
 import org.troutpier.common.event.EventRing;
 import org.troutpier.common.event.HybridClock;
-import org.troutpier.common.http.Answers;
 import org.troutpier.common.http.HttpExchange;
 import org.troutpier.common.http.HttpHandler;
+import org.troutpier.common.http.HttpResponses;
 import org.troutpier.common.http.HttpServer;
 import org.troutpier.common.http.ServerLimits;
 import org.troutpier.common.http.ServerRefusals;
@@ -86,14 +86,15 @@
         if (path.startsWith("/fault/")) {
             switchFault(exchange, Fault.of(path.substring("/fault/".length())));
         } else if (path.equals("/ran")) {
-            exchange.answer(Answers.json(200, mRan.all()));
+            exchange.answer(HttpResponses.json(200, mRan.all()));
         } else if (path.equals("/events")) {
-            exchange.answer(Answers.json(200, mEvents.about(exchange.query("subject"))));
+            exchange.answer(
+                    HttpResponses.json(200, mEvents.eventsAbout(exchange.query("subject"))));
         } else if (path.equals("/healthz")) {
             String state = mFaults.on(Fault.LEAVING) ? "leaving" : "live";
-            exchange.answer(Answers.json(200, Map.of("name", mName, "state", state)));
+            exchange.answer(HttpResponses.json(200, Map.of("name", mName, "state", state)));
         } else if (mFaults.on(Fault.OUTAGE)) {
-            exchange.answer(Answers.json(UNAVAILABLE, Map.of("error", "outage")));
+            exchange.answer(HttpResponses.json(UNAVAILABLE, Map.of("error", "outage")));
         } else if (!mFaults.on(Fault.HANG)) {
             delayed(exchange, () -> own.handle(exchange));
         }
@@ -110,7 +111,7 @@
         long millis = Long.parseLong(exchange.query("millis"));
         mFaults.set(fault, millis, amount.isEmpty() ? 0 : Integer.parseInt(amount));
         mEvents.record("fault", fault.label(), exchange.rawQuery());
-        exchange.answer(Answers.json(200, Map.of("fault", fault.label())));
+        exchange.answer(HttpResponses.json(200, Map.of("fault", fault.label())));
     }
 
     /**
@@ -137,7 +138,7 @@
     public void acknowledge(HttpExchange exchange, FullHttpResponse answer) {
         if (mFaults.on(Fault.LOST_ACK)) {
             answer.release();
-            exchange.cut();
+            exchange.abort();
         } else {
             exchange.answer(answer);
         }
@@ -149,7 +150,7 @@
      * @param exchange the request
      */
     public static void unknown(HttpExchange exchange) {
-        exchange.answer(Answers.refusal(ResultCode.UNKNOWN_PATH, exchange.path()));
+        exchange.answer(HttpResponses.refusal(ResultCode.UNKNOWN_PATH, exchange.path()));
     }
 
     /**
--- a/troutpier-standins/src/main/java/org/troutpier/standins/load/LoadCommand.java
+++ b/troutpier-standins/src/main/java/org/troutpier/standins/load/LoadCommand.java
@@ -8,7 +8,7 @@
 import java.util.Locale;
 import java.util.Map;
 import java.util.concurrent.Callable;
-import org.troutpier.common.http.HttpCalls;
+import org.troutpier.common.http.HttpClient;
 import org.troutpier.common.http.Json;
 import org.troutpier.common.settings.Address;
 import org.troutpier.common.settings.CheckedYaml;
@@ -64,7 +64,7 @@
         LoadMix scaled =
                 new LoadMix(mix.streams().stream().map(stream -> stream.scaled(mScale)).toList());
         EventLoopGroup loops = new NioEventLoopGroup(2);
-        HttpCalls calls = new HttpCalls(loops);
+        HttpClient calls = new HttpClient(loops);
         Map<String, Map<String, Object>> figures =
                 new LoadRun(loops, target(calls), scaled).run(mWarmUp, mSeconds, mSeed);
         if (mOutput.equals("json")) {
@@ -83,7 +83,7 @@
      * @param calls sends the requests
      * @return the target
      */
-    private LoadTarget target(HttpCalls calls) {
+    private LoadTarget target(HttpClient calls) {
         List<Address> addresses = mTo.stream().map(Address::parse).toList();
         return mStraight
                 ? new LoadTarget.StraightToEngines(calls, addresses.get(0), addresses.get(1))
--- a/troutpier-standins/src/main/java/org/troutpier/standins/load/LoadRun.java
+++ b/troutpier-standins/src/main/java/org/troutpier/standins/load/LoadRun.java
@@ -11,8 +11,8 @@
 import java.util.concurrent.TimeUnit;
 import org.apache.commons.rng.UniformRandomProvider;
 import org.apache.commons.rng.simple.RandomSource;
-import org.troutpier.common.http.Answers;
 import org.troutpier.common.http.CallFailedException;
+import org.troutpier.common.http.HttpResponses;
 import org.troutpier.common.http.ReplyListener;
 import org.troutpier.standins.engine.PrefixBlocks;
 
@@ -224,7 +224,7 @@
         @Override
         public void onHead(int status, HttpHeaders headers) {
             mStatus = status;
-            mCode = headers.get(Answers.CODE_HEADER);
+            mCode = headers.get(HttpResponses.CODE_HEADER);
         }
 
         /** {@inheritDoc} */
--- a/troutpier-standins/src/main/java/org/troutpier/standins/load/LoadTarget.java
+++ b/troutpier-standins/src/main/java/org/troutpier/standins/load/LoadTarget.java
@@ -6,7 +6,7 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import org.troutpier.common.http.CallFailedException;
 import org.troutpier.common.http.HttpCall;
-import org.troutpier.common.http.HttpCalls;
+import org.troutpier.common.http.HttpClient;
 import org.troutpier.common.http.ReplyListener;
 import org.troutpier.common.settings.Address;
 
@@ -32,7 +32,7 @@
     final class ThroughRouters implements LoadTarget {
 
         /** Sends the requests. */
-        private final HttpCalls mCalls;
+        private final HttpClient mCalls;
 
         /** The routers. */
         private final List<Address> mRouters;
@@ -46,7 +46,7 @@
          * @param calls sends the requests
          * @param routers the routers
          */
-        public ThroughRouters(HttpCalls calls, List<Address> routers) {
+        public ThroughRouters(HttpClient calls, List<Address> routers) {
             mCalls = calls;
             mRouters = List.copyOf(routers);
         }
@@ -87,7 +87,7 @@
     final class StraightToEngines implements LoadTarget {
 
         /** Sends the requests. */
-        private final HttpCalls mCalls;
+        private final HttpClient mCalls;
 
         /** The prefill engine. */
         private final Address mPrefill;
@@ -102,7 +102,7 @@
          * @param prefill the prefill engine
          * @param decode the decode engine
          */
-        public StraightToEngines(HttpCalls calls, Address prefill, Address decode) {
+        public StraightToEngines(HttpClient calls, Address prefill, Address decode) {
             mCalls = calls;
             mPrefill = prefill;
             mDecode = decode;
@@ -131,7 +131,7 @@
             mCalls.call(prefill)
                     .whenComplete(
                             (reply, failure) -> {
-                                if (reply == null || !reply.ok()) {
+                                if (reply == null || !reply.isSuccessful()) {
                                     listener.onFailure(new CallFailedException(true, failure));
                                     return;
                                 }
--- a/troutpier-standins/src/main/java/org/troutpier/standins/platform/InstanceListStandin.java
+++ b/troutpier-standins/src/main/java/org/troutpier/standins/platform/InstanceListStandin.java
@@ -7,11 +7,11 @@
 import java.util.Map;
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.concurrent.TimeUnit;
-import org.troutpier.common.http.Answers;
 import org.troutpier.common.http.HttpCall;
-import org.troutpier.common.http.HttpCalls;
+import org.troutpier.common.http.HttpClient;
 import org.troutpier.common.http.HttpExchange;
 import org.troutpier.common.http.HttpReply;
+import org.troutpier.common.http.HttpResponses;
 import org.troutpier.common.http.Json;
 import org.troutpier.common.settings.Address;
 import org.troutpier.standins.fault.StandinServer;
@@ -41,7 +41,7 @@
     private final EventLoopGroup mLoops;
 
     /** Asks the instances. */
-    private final HttpCalls mCalls;
+    private final HttpClient mCalls;
 
     /** What is published now. */
     private volatile List<Entry> mPublished = List.of();
@@ -133,7 +133,7 @@
     public InstanceListStandin(Address address, int lagMillis, EventLoopGroup loops) {
         mLagMillis = lagMillis;
         mLoops = loops;
-        mCalls = new HttpCalls(loops);
+        mCalls = new HttpClient(loops);
         mServer = new StandinServer("instances", address, loops, server -> this::handle);
         loops.next().scheduleAtFixedRate(this::ask, 0, ASK_MILLIS, TimeUnit.MILLISECONDS);
     }
@@ -156,7 +156,7 @@
      * @param reply its answer, or null
      */
     private static void take(Watched watched, HttpReply reply) {
-        if (reply != null && reply.ok()) {
+        if (reply != null && reply.isSuccessful()) {
             watched.heard(reply.as(JsonNode.class));
         } else {
             watched.silent();
@@ -172,14 +172,15 @@
         if (!exchange.path().equals("/instances")) {
             StandinServer.unknown(exchange);
         } else if (exchange.method().equals("GET")) {
-            exchange.answer(Answers.json(200, mPublished));
+            exchange.answer(HttpResponses.json(200, mPublished));
         } else if (exchange.method().equals("POST")) {
             JsonNode node = Json.read(exchange.body(), JsonNode.class);
             register(node.path("id").asText(), node.path("health").asText());
-            exchange.answer(Answers.json(200, Map.of("registered", node.path("id").asText())));
+            exchange.answer(
+                    HttpResponses.json(200, Map.of("registered", node.path("id").asText())));
         } else {
             mWatched.remove(exchange.query("id"));
-            exchange.answer(Answers.json(200, Map.of("removed", exchange.query("id"))));
+            exchange.answer(HttpResponses.json(200, Map.of("removed", exchange.query("id"))));
         }
     }
 
--- a/troutpier-standins/src/main/java/org/troutpier/standins/platform/ObjectStandin.java
+++ b/troutpier-standins/src/main/java/org/troutpier/standins/platform/ObjectStandin.java
@@ -3,8 +3,8 @@
 import io.netty.channel.EventLoopGroup;
 import java.util.Map;
 import java.util.concurrent.ConcurrentHashMap;
-import org.troutpier.common.http.Answers;
 import org.troutpier.common.http.HttpExchange;
+import org.troutpier.common.http.HttpResponses;
 import org.troutpier.common.settings.Address;
 import org.troutpier.standins.fault.StandinServer;
 
@@ -45,11 +45,11 @@
             case "GET" -> read(exchange, key);
             case "PUT" -> {
                 mObjects.put(key, exchange.body());
-                mServer.acknowledge(exchange, Answers.json(200, Map.of("written", key)));
+                mServer.acknowledge(exchange, HttpResponses.json(200, Map.of("written", key)));
             }
             case "DELETE" -> {
                 mObjects.remove(key);
-                mServer.acknowledge(exchange, Answers.json(200, Map.of("deleted", key)));
+                mServer.acknowledge(exchange, HttpResponses.json(200, Map.of("deleted", key)));
             }
             default -> StandinServer.unknown(exchange);
         }
@@ -65,8 +65,8 @@
         byte[] object = mObjects.get(key);
         exchange.answer(
                 object == null
-                        ? Answers.json(404, Map.of("missing", key))
-                        : Answers.bytes(200, "application/octet-stream", object));
+                        ? HttpResponses.json(404, Map.of("missing", key))
+                        : HttpResponses.bytes(200, "application/octet-stream", object));
     }
 
     /**
--- a/troutpier-standins/src/main/java/org/troutpier/standins/platform/TableStandin.java
+++ b/troutpier-standins/src/main/java/org/troutpier/standins/platform/TableStandin.java
@@ -11,8 +11,8 @@
 import java.util.NavigableMap;
 import java.util.TreeMap;
 import java.util.concurrent.atomic.AtomicLong;
-import org.troutpier.common.http.Answers;
 import org.troutpier.common.http.HttpExchange;
+import org.troutpier.common.http.HttpResponses;
 import org.troutpier.common.http.Json;
 import org.troutpier.common.settings.Address;
 import org.troutpier.standins.fault.StandinServer;
@@ -77,7 +77,8 @@
             scan(exchange);
         } else if (path.equals("/counts")) {
             exchange.answer(
-                    Answers.json(200, Map.of("writes", mWrites.get(), "reads", mReads.get())));
+                    HttpResponses.json(
+                            200, Map.of("writes", mWrites.get(), "reads", mReads.get())));
         } else if (path.startsWith(ROWS)) {
             row(exchange, path.substring(ROWS.length()));
         } else {
@@ -117,9 +118,9 @@
             row = mRows.get(key);
         }
         if (row == null) {
-            exchange.answer(Answers.json(404, Map.of("missing", key)));
+            exchange.answer(HttpResponses.json(404, Map.of("missing", key)));
         } else {
-            exchange.answer(withTag(Answers.json(200, row.value()), row));
+            exchange.answer(withTag(HttpResponses.json(200, row.value()), row));
         }
     }
 
@@ -145,8 +146,8 @@
         mServer.acknowledge(
                 exchange,
                 row == null
-                        ? Answers.json(FAILED_CONDITION, Map.of("failed", key))
-                        : withTag(Answers.json(200, Map.of("written", key)), row));
+                        ? HttpResponses.json(FAILED_CONDITION, Map.of("failed", key))
+                        : withTag(HttpResponses.json(200, Map.of("written", key)), row));
     }
 
     /**
@@ -175,8 +176,8 @@
         mServer.acknowledge(
                 exchange,
                 failed.isEmpty()
-                        ? Answers.json(200, Map.of("tags", tags))
-                        : Answers.json(FAILED_CONDITION, Map.of("failed", failed)));
+                        ? HttpResponses.json(200, Map.of("tags", tags))
+                        : HttpResponses.json(FAILED_CONDITION, Map.of("failed", failed)));
     }
 
     /**
@@ -225,7 +226,7 @@
                     .takeWhile(entry -> entry.getKey().startsWith(prefix))
                     .forEach(entry -> rows.add(described(entry.getKey(), entry.getValue())));
         }
-        exchange.answer(Answers.json(200, rows));
+        exchange.answer(HttpResponses.json(200, rows));
     }
 
     /**
--- a/troutpier-standins/src/main/java/org/troutpier/standins/service/PlainService.java
+++ b/troutpier-standins/src/main/java/org/troutpier/standins/service/PlainService.java
@@ -6,8 +6,8 @@
 import java.nio.charset.StandardCharsets;
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
-import org.troutpier.common.http.Answers;
 import org.troutpier.common.http.HttpExchange;
+import org.troutpier.common.http.HttpResponses;
 import org.troutpier.common.settings.Address;
 import org.troutpier.standins.fault.Fault;
 import org.troutpier.standins.fault.StandinServer;
@@ -70,12 +70,13 @@
     private void handle(HttpExchange exchange) {
         if (exchange.path().equals("/v1/load")) {
             boolean leaving = mServer.faults().on(Fault.LEAVING);
-            exchange.answer(Answers.json(200, Map.of("running", mRunning, "leaving", leaving)));
+            exchange.answer(
+                    HttpResponses.json(200, Map.of("running", mRunning, "leaving", leaving)));
             return;
         }
         boolean full = mServer.faults().on(Fault.FULL) || mRunning >= mSlots;
         if (full || mServer.faults().on(Fault.LEAVING)) {
-            FullHttpResponse refusal = Answers.json(REFUSED, Map.of("started", false));
+            FullHttpResponse refusal = HttpResponses.json(REFUSED, Map.of("started", false));
             refusal.headers().set(NOT_STARTED, "false");
             exchange.answer(refusal);
             return;
@@ -107,7 +108,7 @@
             return;
         }
         FullHttpResponse answer =
-                Answers.json(
+                HttpResponses.json(
                         200,
                         new Echo(
                                 exchange.path(),
@@ -169,10 +170,10 @@
 
         /** Writes until the reader is slower. */
         void go() {
-            while (!mExchange.over() && mExchange.writable() && mWritten < mLength) {
+            while (!mExchange.isOver() && mExchange.isWritable() && mWritten < mLength) {
                 boolean cut = mServer.faults().on(Fault.CUT);
                 if (cut && mWritten >= mServer.faults().amount(Fault.CUT)) {
-                    mExchange.cut();
+                    mExchange.abort();
                     return;
                 }
                 byte[] part = new byte[(int) Math.min(PART, mLength - mWritten)];
--- a/troutpier-standins/src/main/java/org/troutpier/standins/soak/ChangeWatcher.java
+++ b/troutpier-standins/src/main/java/org/troutpier/standins/soak/ChangeWatcher.java
@@ -13,7 +13,7 @@
 import org.apache.commons.rng.UniformRandomProvider;
 import org.apache.commons.rng.simple.RandomSource;
 import org.troutpier.common.http.HttpCall;
-import org.troutpier.common.http.HttpCalls;
+import org.troutpier.common.http.HttpClient;
 import org.troutpier.common.http.HttpReply;
 import org.troutpier.common.settings.Address;
 
@@ -34,7 +34,7 @@
     private static final int FIRST_VALUE = 100_001;
 
     /** Sends the requests. */
-    private final HttpCalls mCalls;
+    private final HttpClient mCalls;
 
     /** Where the routers take operators. */
     private final List<Address> mOperators;
@@ -73,7 +73,7 @@
      * @param seed fixes what it does
      */
     ChangeWatcher(
-            HttpCalls calls,
+            HttpClient calls,
             List<Address> operators,
             SoakLedger ledger,
             AtomicBoolean goOn,
@@ -123,7 +123,7 @@
      * @return nothing
      */
     private Void told(int value, HttpReply reply) {
-        if (reply != null && reply.ok()) {
+        if (reply != null && reply.isSuccessful()) {
             long version = reply.as(JsonNode.class).path("version").asLong();
             mAccepted.accumulateAndGet(version, Math::max);
             mAcceptedCount.incrementAndGet();
--- a/troutpier-standins/src/main/java/org/troutpier/standins/soak/SoakCaller.java
+++ b/troutpier-standins/src/main/java/org/troutpier/standins/soak/SoakCaller.java
@@ -8,9 +8,9 @@
 import java.util.concurrent.atomic.AtomicBoolean;
 import org.apache.commons.rng.UniformRandomProvider;
 import org.apache.commons.rng.simple.RandomSource;
-import org.troutpier.common.http.Answers;
 import org.troutpier.common.http.HttpCall;
-import org.troutpier.common.http.HttpCalls;
+import org.troutpier.common.http.HttpClient;
+import org.troutpier.common.http.HttpResponses;
 import org.troutpier.common.settings.Address;
 import org.troutpier.standins.engine.PrefixBlocks;
 import org.troutpier.standins.load.GatheredAnswer;
@@ -31,7 +31,7 @@
     private static final int AGAIN_MILLIS = 150;
 
     /** Sends the requests. */
-    private final HttpCalls mCalls;
+    private final HttpClient mCalls;
 
     /** The routers. */
     private final List<Address> mRouters;
@@ -76,7 +76,7 @@
      * @param seed fixes what it does
      */
     SoakCaller(
-            HttpCalls calls,
+            HttpClient calls,
             List<Address> routers,
             SoakLedger ledger,
             AtomicBoolean goOn,
@@ -129,7 +129,7 @@
                 mLedger.violation(
                         id
                                 + " never arrived; last told "
-                                + first.answer().header(Answers.CODE_HEADER));
+                                + first.answer().header(HttpResponses.CODE_HEADER));
                 return;
             }
             pause();
@@ -280,7 +280,7 @@
      * @param answer what came of it
      * @param ongoing the exchange
      */
-    private record Ask(String mark, GatheredAnswer answer, HttpCalls.Ongoing ongoing) {
+    private record Ask(String mark, GatheredAnswer answer, HttpClient.OngoingCall ongoing) {
 
         /**
          * Leaves after a while.
@@ -313,7 +313,7 @@
          * @return the family of the result code, or nothing
          */
         String family() {
-            return answer.header(Answers.FAMILY_HEADER);
+            return answer.header(HttpResponses.FAMILY_HEADER);
         }
     }
 }
--- a/troutpier-standins/src/main/java/org/troutpier/standins/soak/SoakCommand.java
+++ b/troutpier-standins/src/main/java/org/troutpier/standins/soak/SoakCommand.java
@@ -16,7 +16,7 @@
 import java.util.concurrent.atomic.AtomicBoolean;
 import java.util.stream.Stream;
 import org.troutpier.common.http.HttpCall;
-import org.troutpier.common.http.HttpCalls;
+import org.troutpier.common.http.HttpClient;
 import org.troutpier.common.settings.Address;
 import org.troutpier.standins.fault.RunLog;
 import picocli.CommandLine.Command;
@@ -76,7 +76,7 @@
     @Override
     public Integer call() throws InterruptedException, IOException {
         EventLoopGroup loops = new NioEventLoopGroup(2);
-        HttpCalls calls = new HttpCalls(loops);
+        HttpClient calls = new HttpClient(loops);
         SoakLedger ledger = new SoakLedger();
         AtomicBoolean goOn = new AtomicBoolean(true);
         List<Address> routers = mRouters.stream().map(Address::parse).toList();
@@ -117,7 +117,7 @@
      * @param ledger takes note where one still does
      * @throws InterruptedException when the thread is interrupted
      */
-    private void awaitNothingHeld(HttpCalls calls, SoakLedger ledger) throws InterruptedException {
+    private void awaitNothingHeld(HttpClient calls, SoakLedger ledger) throws InterruptedException {
         long end = System.nanoTime() + QUIET_NANOS;
         String held = "?";
         while (!held.isEmpty() && System.nanoTime() < end) {
@@ -135,7 +135,7 @@
      * @param calls sends the requests
      * @return what is held, empty for nothing
      */
-    private String held(HttpCalls calls) {
+    private String held(HttpClient calls) {
         StringBuilder held = new StringBuilder();
         for (String engine : mEngines) {
             JsonNode node = get(calls, Address.parse(engine), "/v1/holding");
@@ -156,7 +156,7 @@
      * @param ledger takes note of what is wrong
      * @throws InterruptedException when the thread is interrupted
      */
-    private static void routers(HttpCalls calls, List<Address> operators, SoakLedger ledger)
+    private static void routers(HttpClient calls, List<Address> operators, SoakLedger ledger)
             throws InterruptedException {
         for (Address operator : operators) {
             long end = System.nanoTime() + QUIET_NANOS;
@@ -178,7 +178,7 @@
      * @param operator where it takes operators
      * @return a few words, empty for nothing
      */
-    private static String fault(HttpCalls calls, Address operator) {
+    private static String fault(HttpClient calls, Address operator) {
         JsonNode metrics = get(calls, operator, "/metrics");
         if (metrics == null) {
             return "does not answer in the end";
@@ -197,7 +197,7 @@
      * @param path the path
      * @return the answer, or null
      */
-    private static JsonNode get(HttpCalls calls, Address address, String path) {
+    private static JsonNode get(HttpClient calls, Address address, String path) {
         try {
             return calls.call(HttpCall.of("GET", address.url(path))).join().as(JsonNode.class);
         } catch (CompletionException exception) {
--- a/troutpier-testing/src/main/java/org/troutpier/testing/KnownFailureListener.java
+++ b/troutpier-testing/src/main/java/org/troutpier/testing/KnownFailureListener.java
@@ -17,7 +17,7 @@
 
     /** Creates a listener for the list of the repository that is being built. */
     public KnownFailureListener() {
-        this(KnownFailures.ofRepository());
+        this(KnownFailures.forRepository());
     }
 
     /**
@@ -38,7 +38,7 @@
         String test =
                 KnownFailures.name(
                         result.getTestClass().getName(), result.getMethod().getMethodName());
-        mKnown.seen(test).ifPresent(seen -> judge(test, seen, result));
+        mKnown.symptom(test).ifPresent(seen -> judge(test, seen, result));
     }
 
     /**
--- a/troutpier-testing/src/main/java/org/troutpier/testing/KnownFailures.java
+++ b/troutpier-testing/src/main/java/org/troutpier/testing/KnownFailures.java
@@ -66,7 +66,7 @@
      *
      * @return the tests that it lists; none where there is no such file
      */
-    public static KnownFailures ofRepository() {
+    public static KnownFailures forRepository() {
         Path file = root().resolve(FILE);
         try {
             return new KnownFailures(Files.exists(file) ? Files.readAllLines(file) : List.of());
@@ -106,7 +106,7 @@
      * @param test its class and method
      * @return what was seen, or empty where the test is not listed
      */
-    public Optional<String> seen(String test) {
+    public Optional<String> symptom(String test) {
         return Optional.ofNullable(mSeen.get(test));
     }
 
@@ -128,7 +128,7 @@
      * @return their names
      * @throws IOException if a file cannot be read
      */
-    public List<String> withoutTest(Path root) throws IOException {
+    public List<String> missingTests(Path root) throws IOException {
         try (Stream<Path> modules = Files.list(root)) {
             List<Path> sources = modules.map(module -> module.resolve("src/test/java")).toList();
             return mSeen.keySet().stream().filter(test -> !stands(test, sources)).sorted().toList();
--- a/troutpier-testing/src/main/java/org/troutpier/testing/RawSession.java
+++ b/troutpier-testing/src/main/java/org/troutpier/testing/RawHttpClient.java
@@ -8,13 +8,13 @@
 import java.nio.charset.StandardCharsets;
 
 /** Speaks to a server byte by byte, as no client library would. Stateless and thread safe. */
-public final class RawSession {
+public final class RawHttpClient {
 
     /** How long the server may be silent, milliseconds. */
     private static final int QUIET_MILLIS = 10_000;
 
     /** Not to be instantiated. */
-    private RawSession() {}
+    private RawHttpClient() {}
 
     /**
      * Sends a text as it stands and reads until the server closes.
@@ -24,7 +24,7 @@
      * @param request the text, with plain line ends
      * @return what the server sent, with plain line ends
      */
-    public static String ask(String host, int port, String request) {
+    public static String exchange(String host, int port, String request) {
         try (Socket socket = new Socket(host, port)) {
             socket.setSoTimeout(QUIET_MILLIS);
             OutputStream out = socket.getOutputStream();
--- a/troutpier-testing/src/test/java/org/troutpier/testing/KnownFailuresTest.java
+++ b/troutpier-testing/src/test/java/org/troutpier/testing/KnownFailuresTest.java
@@ -85,14 +85,14 @@
 
     @Test
     public void whatWasSeenIsTold() {
-        assertEquals(known("a.B#c").seen("a.B#c"), Optional.of("it fails"));
-        assertEquals(known("a.B#c").seen("a.B#d"), Optional.empty());
+        assertEquals(known("a.B#c").symptom("a.B#c"), Optional.of("it fails"));
+        assertEquals(known("a.B#c").symptom("a.B#d"), Optional.empty());
     }
 
     @Test
     public void linesThatListNothingAreLeftOut() {
         assertEquals(
-                new KnownFailures(List.of("", "# a remark", "a.B#c" + REST)).seen("a.B#c"),
+                new KnownFailures(List.of("", "# a remark", "a.B#c" + REST)).symptom("a.B#c"),
                 Optional.of("it fails"));
     }
 
@@ -115,7 +115,7 @@
     @Test
     public void everyListedTestIsThere() throws IOException {
         assertEquals(
-                KnownFailures.ofRepository().withoutTest(KnownFailures.root()),
+                KnownFailures.forRepository().missingTests(KnownFailures.root()),
                 List.of(),
                 "lines of " + KnownFailures.FILE + " that name no test");
     }
@@ -124,6 +124,6 @@
     public void aLineThatNamesNoTestIsFound() throws IOException {
         String here = KnownFailuresTest.class.getName() + "#";
         KnownFailures known = known(here + "whatWasSeenIsTold", here + "nothing", "a.B#c");
-        assertEquals(known.withoutTest(KnownFailures.root()), List.of("a.B#c", here + "nothing"));
+        assertEquals(known.missingTests(KnownFailures.root()), List.of("a.B#c", here + "nothing"));
     }
 }
