--- a/troutpier-common/src/main/java/org/troutpier/common/http/CallFailedException.java
+++ b/troutpier-common/src/main/java/org/troutpier/common/http/CallFailedException.java
@@ -1,22 +1,20 @@
 package org.troutpier.common.http;
 
 /**
- * Says that a request got no whole answer, and whether any byte of it may have left. Immutable and
- * thread safe.
+ * Thrown when a request got no complete response; tells whether any byte of the request may have
+ * been sent. Immutable and thread safe.
  */
 public final class CallFailedException extends RuntimeException {
 
-    /** Serial version, as every throwable has one. */
     private static final long serialVersionUID = 1L;
 
-    /** Whether any byte may have left. */
+    /** Whether any byte of the request may have been sent. */
     private final boolean mSent;
 
     /**
      * Creates an exception.
      *
-     * @param sent whether any byte may have left
-     * @param cause what went wrong
+     * @param sent whether any byte of the request may have been sent
      */
     public CallFailedException(boolean sent, Throwable cause) {
         super(String.valueOf(cause), cause);
@@ -24,7 +22,7 @@
     }
 
     /**
-     * Returns whether any byte of the request may have left this process.
+     * Returns whether any byte of the request may have been sent.
      *
      * @return false only when that is certain
      */
--- a/troutpier-common/src/main/java/org/troutpier/common/http/ExchangeHandler.java
+++ b/troutpier-common/src/main/java/org/troutpier/common/http/ExchangeHandler.java
@@ -15,34 +15,32 @@
 import org.troutpier.common.result.TroutpierException;
 
 /**
- * Hands whole requests to the handler, one at a time per connection. Confined to the connection's
- * event loop. Invariant: a caller that sends a second request before the first is answered is cut,
- * so answers can never be told apart wrongly.
+ * Passes complete requests to the handler, one at a time per connection. Confined to the
+ * connection's event loop. Invariant: the connection of a client that sends a second request before
+ * the first is answered is closed, so that a response is never matched to the wrong request.
  */
 final class ExchangeHandler extends SimpleChannelInboundHandler<FullHttpRequest> {
 
-    /** Logs faults in handlers. */
     private static final Logger LOGGER = LogManager.getLogger(ExchangeHandler.class);
 
-    /** After how long a task is due in the event loop's next round at the soonest, milliseconds. */
+    /** Delay of a task that must not run before the event loop's next iteration, milliseconds. */
     private static final long ROUND_MILLIS = 1;
 
-    /** Serves the requests. */
     private final HttpHandler mHandler;
 
-    /** Bounds the arrival of requests. */
     private final RequestTimeoutHandler mTimer;
 
-    /** Makes the answers to what cannot be read. */
     private final ServerRefusals mRefusals;
 
-    /** Counts the exchanges whose last byte has not left. */
     private final AtomicInteger mBusy;
 
-    /** Tells whether each answer is the last one of its connection. */
+    /** Whether the server is draining: each connection is then closed after its response. */
     private final BooleanSupplier mDraining;
 
-    /** Tells whether requests may have waited in the system's queue since before the start. */
+    /**
+     * Whether requests may have waited in the socket's backlog since before the server accepted
+     * connections.
+     */
     private final BooleanSupplier mBacklog;
 
     /** The exchange being served, or null. */
@@ -51,12 +49,8 @@
     /**
      * Creates a handler.
      *
-     * @param handler serves the requests
-     * @param timer bounds the arrival of requests
-     * @param refusals makes the answers to what cannot be read
-     * @param busy counts the exchanges whose last byte has not left
-     * @param draining tells whether each answer is the last one of its connection
-     * @param backlog tells whether requests may have waited since before the start
+     * @param draining whether each connection is closed after its response
+     * @param backlog whether requests may have waited in the socket's backlog
      */
     ExchangeHandler(
             HttpHandler handler,
@@ -75,7 +69,7 @@
     }
 
     /**
-     * Returns whether a request waits for its answer.
+     * Returns whether a request is being served.
      *
      * @return whether an exchange is being served
      */
@@ -117,22 +111,15 @@
     }
 
     /**
-     * Runs a task after the event loop has read its connections once more. What is scheduled while
-     * it reads may come due in the same round; what is scheduled by such a task comes due in the
-     * next.
-     *
-     * @param context the connection
-     * @param task the task
+     * Runs a task after the event loop has polled its connections once more. A task that is
+     * scheduled during a poll may run in the same iteration; one that is scheduled by such a task
+     * runs in the next.
      */
     private static void afterNextRead(ChannelHandlerContext context, Runnable task) {
         context.executor().schedule(task, ROUND_MILLIS, TimeUnit.MILLISECONDS);
     }
 
-    /**
-     * Has a request served, unless its caller has left.
-     *
-     * @param exchange the request
-     */
+    /** Passes a request to the handler unless its client has disconnected. */
     private void handle(HttpExchange exchange) {
         if (exchange.isOver()) {
             return;
--- a/troutpier-common/src/main/java/org/troutpier/common/http/HttpCall.java
+++ b/troutpier-common/src/main/java/org/troutpier/common/http/HttpCall.java
@@ -4,14 +4,15 @@
 import java.util.Map;
 
 /**
- * One request to send. Immutable; each step returns a new object. Thread safe.
+ * An HTTP request to send. Immutable and thread safe; each method that changes a property returns a
+ * new object.
  *
  * @param method the HTTP method
  * @param url the whole URL, encoded
  * @param headers the headers
  * @param body the body, not to be changed
- * @param timeoutMillis when the whole exchange is given up
- * @param fresh whether to open a connection for this request alone
+ * @param timeoutMillis time limit of the whole exchange, milliseconds
+ * @param fresh whether to use a new connection for this request alone
  */
 public record HttpCall(
         String method,
@@ -21,52 +22,33 @@
         int timeoutMillis,
         boolean fresh) {
 
-    /** When an exchange is given up unless said otherwise, milliseconds. */
+    /** Default time limit of an exchange, milliseconds. */
     private static final int DEFAULT_TIMEOUT = 5000;
 
-    /** No body. */
     private static final byte[] NOTHING = new byte[0];
 
     /**
-     * Starts a request without headers and body.
+     * Creates a request without headers and body.
      *
-     * @param method the HTTP method
      * @param url the whole URL, encoded
-     * @return the request
      */
     public static HttpCall of(String method, String url) {
         return new HttpCall(method, url, Map.of(), NOTHING, DEFAULT_TIMEOUT, false);
     }
 
-    /**
-     * Returns the request with one more header.
-     *
-     * @param name the header
-     * @param value its value
-     * @return a new request
-     */
+    /** Returns the request with one more header. */
     public HttpCall withHeader(String name, String value) {
         Map<String, String> more = new LinkedHashMap<>(headers);
         more.put(name, value);
         return new HttpCall(method, url, more, body, timeoutMillis, fresh);
     }
 
-    /**
-     * Returns the request with a body.
-     *
-     * @param newBody the body
-     * @return a new request
-     */
+    /** Returns the request with a body. */
     public HttpCall withBody(byte[] newBody) {
         return new HttpCall(method, url, headers, newBody, timeoutMillis, fresh);
     }
 
-    /**
-     * Returns the request with a JSON body.
-     *
-     * @param value what to write as JSON
-     * @return a new request
-     */
+    /** Returns the request with a JSON body. */
     public HttpCall withJson(Object value) {
         return withBody(Json.bytes(value)).withHeader("Content-Type", HttpResponses.JSON);
     }
@@ -74,18 +56,13 @@
     /**
      * Returns the request with another time limit.
      *
-     * @param millis when the whole exchange is given up
-     * @return a new request
+     * @param millis time limit of the whole exchange, milliseconds
      */
     public HttpCall withTimeout(int millis) {
         return new HttpCall(method, url, headers, body, millis, fresh);
     }
 
-    /**
-     * Returns the request for a connection of its own.
-     *
-     * @return a new request
-     */
+    /** Returns the request with a new connection of its own. */
     public HttpCall withFreshConnection() {
         return new HttpCall(method, url, headers, body, timeoutMillis, true);
     }
--- a/troutpier-common/src/main/java/org/troutpier/common/http/HttpClient.java
+++ b/troutpier-common/src/main/java/org/troutpier/common/http/HttpClient.java
@@ -27,25 +27,21 @@
 import org.asynchttpclient.uri.Uri;
 
 /**
- * Sends requests with AsyncHttpClient. Thread safe. The library's own retries, redirects, cookies
- * and proxies are off: each would break a promise about what was sent where.
+ * Sends requests with AsyncHttpClient. Thread safe. The library's retries, redirects, cookies and
+ * proxies are disabled: with them a request could be sent more than once or to another host than
+ * given.
  */
 public final class HttpClient implements AutoCloseable {
 
-    /** How long a connection may take to open, milliseconds. */
+    /** Time limit for opening a connection, milliseconds. */
     private static final int CONNECT_MILLIS = 1000;
 
-    /** How long an unused connection is kept, milliseconds. */
+    /** How long an idle connection is kept in the pool, milliseconds. */
     private static final int IDLE_MILLIS = 20_000;
 
-    /** The library's client. */
     private final AsyncHttpClient mClient;
 
-    /**
-     * Creates a client.
-     *
-     * @param loops carries the traffic
-     */
+    /** Creates a client. */
     public HttpClient(EventLoopGroup loops) {
         mClient =
                 new DefaultAsyncHttpClient(
@@ -67,23 +63,17 @@
     }
 
     /**
-     * Refuses secured calls, which nobody here speaks. The library's own factory would load and set
-     * up the machine's cryptography at each start.
-     *
-     * @param config the library's settings
-     * @param host the host
-     * @param port the port
-     * @return never
+     * Refuses TLS, which is not supported. The library's default factory would load and initialise
+     * the JVM's cryptography at each start.
      */
     private static SSLEngine refuseSecured(AsyncHttpClientConfig config, String host, int port) {
         throw new IllegalArgumentException("secured calls are not supported: " + host + ":" + port);
     }
 
     /**
-     * Sends a request and gathers the whole answer.
+     * Sends a request and collects the complete response.
      *
-     * @param call the request
-     * @return the answer, or a {@link CallFailedException}; cancelling it aborts the exchange
+     * @return the response, or a {@link CallFailedException}; cancelling it aborts the exchange
      */
     public CompletableFuture<HttpReply> call(HttpCall call) {
         Gatherer gatherer = new Gatherer();
@@ -97,13 +87,7 @@
         return gatherer.mReply;
     }
 
-    /**
-     * Sends a request and hands on the answer as it arrives.
-     *
-     * @param call the request
-     * @param listener hears the answer
-     * @return the exchange, to pause or abort it
-     */
+    /** Sends a request and passes the response on as it arrives. */
     public OngoingCall send(HttpCall call, ReplyListener listener) {
         RequestBuilder request =
                 new RequestBuilder(call.method(), true)
@@ -123,12 +107,11 @@
     }
 
     /**
-     * Closes the unused connections to a host that left a call without an answer. Connections may
-     * go silent for good without a reset; each that is kept would cost one more call its time, and
-     * what is read through them (a configuration, upstreams that leave) must be known within a
-     * fixed time. Calls on connections of their own say nothing of those that are kept.
-     *
-     * @param call the call
+     * Closes the pooled connections to a host after a call to it timed out. Connections may stop
+     * responding for good without a reset; each one left in the pool would make one more call time
+     * out, while what is read through them (a configuration, upstreams that leave) must be known
+     * within a fixed time. A time-out on a connection of its own says nothing about those in the
+     * pool.
      */
     private void silent(HttpCall call) {
         if (!call.fresh()) {
@@ -137,20 +120,12 @@
         }
     }
 
-    /**
-     * Returns how many connections are kept open for the next call.
-     *
-     * @return the count
-     */
+    /** Returns the number of idle connections in the pool. */
     public long idleConnections() {
         return mClient.getClientStats().getTotalIdleConnectionCount();
     }
 
-    /**
-     * Returns how many connections carry a call.
-     *
-     * @return the count
-     */
+    /** Returns the number of connections in use. */
     public long activeConnections() {
         return mClient.getClientStats().getTotalActiveConnectionCount();
     }
@@ -165,16 +140,16 @@
         }
     }
 
-    /** An exchange under way; thread safe. Invariant: the listener hears one end at most. */
+    /**
+     * An exchange in progress; thread safe. Invariant: the listener is told at most once that it
+     * ended.
+     */
     public static final class OngoingCall implements AsyncHandler<Void> {
 
-        /** Receives the answer. */
         private final ReplyListener mListener;
 
-        /** Runs when the other side did not answer in time. */
         private final Runnable mOnSilent;
 
-        /** The library's handle, set right after the start. */
         private volatile ListenableFuture<Void> mFuture;
 
         /** The connection, once there is one. */
@@ -183,35 +158,29 @@
         /** The status, until the headers come. */
         private int mStatus;
 
-        /** Whether any byte may have left. */
+        /** Whether any byte of the request may have been sent. */
         private volatile boolean mSent;
 
-        /** Whether the exchange has ended or was aborted. */
         private volatile boolean mOver;
 
-        /**
-         * Creates an exchange.
-         *
-         * @param listener hears the answer
-         * @param onSilent runs when the other side did not answer in time
-         */
+        /** Creates an exchange. */
         OngoingCall(ReplyListener listener, Runnable onSilent) {
             mListener = listener;
             mOnSilent = onSilent;
         }
 
-        /** Stops reading, so that the sender is held back. */
+        /** Stops reading, which applies back-pressure to the sender. */
         public void pause() {
             read(false);
         }
 
-        /** Reads on. */
+        /** Resumes reading. */
         public void resume() {
             read(true);
         }
 
         /**
-         * Switches reading.
+         * Switches reading on or off.
          *
          * @param on whether to read
          */
@@ -225,8 +194,8 @@
         }
 
         /**
-         * Ends the exchange and closes its connection; the listener hears no more. An exchange that
-         * is over is left alone: its connection may already be another's.
+         * Aborts the exchange and closes its connection; the listener gets no further events. An
+         * exchange that has ended is left alone: its connection may already be used by another.
          */
         public void abort() {
             boolean connected =
@@ -249,9 +218,8 @@
 
         /**
          * Runs an action on the connection's event loop, where the exchange also ends, so that the
-         * action never meets a connection that has gone back to the pool.
+         * action never runs on a connection that has been returned to the pool.
          *
-         * @param action the action
          * @return whether there is a connection
          */
         private boolean onChannel(Consumer<Channel> action) {
@@ -263,7 +231,7 @@
         }
 
         /**
-         * Returns whether any byte of the request may have left.
+         * Returns whether any byte of the request may have been sent.
          *
          * @return false only when that is certain
          */
@@ -346,19 +314,15 @@
         }
     }
 
-    /** Gathers a whole answer. Confined to the exchange's event loop until it completes. */
+    /** Collects a complete response. Confined to the exchange's event loop until it completes. */
     private static final class Gatherer implements ReplyListener {
 
-        /** Completes with the answer. */
         private final CompletableFuture<HttpReply> mReply = new CompletableFuture<>();
 
-        /** The body so far. */
         private final ByteBuf mBody = Unpooled.buffer();
 
-        /** The status. */
         private int mStatus;
 
-        /** The headers. */
         private HttpHeaders mHeaders;
 
         /** {@inheritDoc} */
--- a/troutpier-common/src/main/java/org/troutpier/common/http/HttpExchange.java
+++ b/troutpier-common/src/main/java/org/troutpier/common/http/HttpExchange.java
@@ -22,15 +22,14 @@
 import java.util.function.BooleanSupplier;
 
 /**
- * One request and the way to answer it. Confined to the connection's event loop: every method but
- * {@link #loop()} is called there. Invariant: at most one answer is begun and at most one ended.
+ * A request that was received, and the means to respond to it. Confined to the connection's event
+ * loop: every method but {@link #loop()} is called there. Invariant: at most one response is
+ * started and at most one completed.
  */
 public final class HttpExchange {
 
-    /** The connection. */
     private final Channel mChannel;
 
-    /** The request's method. */
     private final String mMethod;
 
     /** The request's path and query. */
@@ -39,47 +38,36 @@
     /** The request's path and query as sent. */
     private final String mTarget;
 
-    /** The request's headers. */
     private final HttpHeaders mHeaders;
 
-    /** The request's body. */
     private final byte[] mBody;
 
-    /** Whether the caller lets the connection stay open after the answer. */
     private final boolean mKeepAlive;
 
-    /** Tells whether the server ends each connection with its next answer. */
+    /** Whether the server is draining: each connection is then closed after its response. */
     private final BooleanSupplier mDraining;
 
-    /** Whether the answer that was begun is the last one of its connection. */
     private boolean mLastOfConnection;
 
-    /** Whether an answer was begun. */
     private boolean mBegun;
 
-    /** Whether the answer was ended or cut. */
     private boolean mEnded;
 
-    /** Runs when the caller goes before the answer is ended. */
     private Runnable mOnGone = () -> {};
 
-    /** Runs when the connection takes more again. */
     private Runnable mOnWritable = () -> {};
 
-    /** Runs once when the last byte has left or the connection is closed. */
+    /** Runs once when the response is completely written or the connection is closed. */
     private final Runnable mOnFlushed;
 
     /**
      * Creates an exchange.
      *
-     * @param channel the connection
-     * @param method the request's method
      * @param uri the request's path and query
-     * @param headers the request's headers
-     * @param body the request's body
-     * @param keepAlive whether the caller lets the connection stay open after the answer
-     * @param draining tells whether the server ends each connection with its next answer
-     * @param onFlushed runs once when the last byte has left or the connection is closed
+     * @param keepAlive whether the client allows keep-alive
+     * @param draining whether the server closes each connection after its response
+     * @param onFlushed runs once when the response is completely written or the connection is
+     *     closed
      */
     HttpExchange(
             Channel channel,
@@ -101,11 +89,7 @@
         mOnFlushed = onFlushed;
     }
 
-    /**
-     * Returns the method.
-     *
-     * @return the method, in upper case
-     */
+    /** Returns the method. */
     public String method() {
         return mMethod;
     }
@@ -128,11 +112,7 @@
         return mUri.rawPath();
     }
 
-    /**
-     * Returns the path and query as sent, still encoded.
-     *
-     * @return the request target
-     */
+    /** Returns the path and query as sent, still encoded. */
     public String target() {
         return mTarget;
     }
@@ -149,7 +129,6 @@
     /**
      * Returns a query parameter.
      *
-     * @param name the parameter
      * @return its first value, empty for none
      */
     public String query(String name) {
@@ -159,7 +138,6 @@
     /**
      * Returns a header.
      *
-     * @param name the header
      * @return its value, or null
      */
     public String header(CharSequence name) {
@@ -184,17 +162,13 @@
         return mBody;
     }
 
-    /**
-     * Returns the event loop that this exchange belongs to; may be called from any thread.
-     *
-     * @return the loop
-     */
+    /** Returns the event loop that this exchange belongs to; may be called from any thread. */
     public EventLoop loop() {
         return mChannel.eventLoop();
     }
 
     /**
-     * Returns whether an answer was begun.
+     * Returns whether a response was started.
      *
      * @return whether the status has left
      */
@@ -203,7 +177,7 @@
     }
 
     /**
-     * Returns whether the answer was ended or cut, or the caller is gone.
+     * Returns whether the response was completed or aborted, or the client has disconnected.
      *
      * @return whether nothing more can be said
      */
@@ -212,7 +186,7 @@
     }
 
     /**
-     * Returns whether the connection takes more without growing its buffer past the mark.
+     * Returns whether the connection's output buffer is below its high-water mark.
      *
      * @return whether to write on
      */
@@ -221,7 +195,7 @@
     }
 
     /**
-     * Returns how much waits to be sent.
+     * Returns the number of bytes in the connection's output buffer.
      *
      * @return bytes in the connection's buffer
      */
@@ -231,28 +205,20 @@
                 : mChannel.unsafe().outboundBuffer().totalPendingWriteBytes();
     }
 
-    /**
-     * Sets what runs when the caller goes before the answer is ended.
-     *
-     * @param action the action
-     */
+    /** Sets the action that runs when the client disconnects before the response is complete. */
     public void onDisconnect(Runnable action) {
         mOnGone = action;
     }
 
-    /**
-     * Sets what runs when the connection takes more again.
-     *
-     * @param action the action
-     */
+    /** Sets the action that runs when the connection becomes writable again. */
     public void onWritable(Runnable action) {
         mOnWritable = action;
     }
 
     /**
-     * Sends a whole answer.
+     * Sends a complete response.
      *
-     * @param answer the answer; ownership passes here
+     * @param answer the response; this method takes ownership
      */
     public void answer(FullHttpResponse answer) {
         if (mBegun || isOver()) {
@@ -266,9 +232,8 @@
     }
 
     /**
-     * Begins a streamed answer.
+     * Starts a streamed response.
      *
-     * @param status the HTTP status
      * @param headers the headers; chunked unless they give a length
      */
     public void begin(int status, HttpHeaders headers) {
@@ -286,12 +251,7 @@
         mChannel.writeAndFlush(head, mChannel.voidPromise());
     }
 
-    /**
-     * Writes a part of a streamed answer. The bytes are copied once, into the memory that the
-     * socket takes them from.
-     *
-     * @param part the part
-     */
+    /** Writes a part of a streamed response. The bytes are copied once, into a buffer for I/O. */
     public void write(byte[] part) {
         if (!mBegun || isOver()) {
             return;
@@ -300,7 +260,7 @@
         mChannel.writeAndFlush(new DefaultHttpContent(buffer), mChannel.voidPromise());
     }
 
-    /** Ends a streamed answer whole. */
+    /** Completes a streamed response. */
     public void end() {
         if (!mBegun || isOver()) {
             return;
@@ -309,7 +269,10 @@
         finish(LastHttpContent.EMPTY_LAST_CONTENT);
     }
 
-    /** Cuts a streamed answer: the connection closes without the end, so the caller can tell. */
+    /**
+     * Aborts a streamed response: the connection is closed without the end of the body, so that the
+     * client can detect it.
+     */
     public void abort() {
         if (!mEnded) {
             mEnded = true;
@@ -318,11 +281,9 @@
     }
 
     /**
-     * Sends the last message of an answer. While the server drains the connection ends with it,
-     * also where the head could not say so yet: a request that came on it now would be cut with the
-     * process.
-     *
-     * @param message the message
+     * Sends the last message of a response. While the server drains, the connection is closed after
+     * it even if the head could not announce that: a request received on it now would be lost when
+     * the process ends.
      */
     private void finish(Object message) {
         ChannelFuture written = mChannel.writeAndFlush(message);
@@ -332,11 +293,6 @@
         }
     }
 
-    /**
-     * Tells the caller whether the connection stays open after this answer.
-     *
-     * @param answer the answer's head
-     */
     private void setConnection(HttpMessage answer) {
         mLastOfConnection = !mKeepAlive || mDraining.getAsBoolean();
         HttpUtil.setKeepAlive(answer, !mLastOfConnection);
@@ -351,7 +307,7 @@
         }
     }
 
-    /** Called when the connection takes more again. */
+    /** Called when the connection becomes writable again. */
     void handleWritable() {
         mOnWritable.run();
     }
--- a/troutpier-common/src/main/java/org/troutpier/common/http/HttpHandler.java
+++ b/troutpier-common/src/main/java/org/troutpier/common/http/HttpHandler.java
@@ -5,25 +5,22 @@
 import org.troutpier.common.result.TroutpierException;
 
 /**
- * Serves requests. Both methods are called on the connection's event loop, must not block, and may
- * be called on several loops at once.
+ * Handles HTTP requests. Both methods are called on the connection's event loop, must not block,
+ * and may be called on several event loops at once.
  */
 public interface HttpHandler {
 
     /**
-     * Looks at a request's head before its body is read, so that a hopeless body is never stored.
+     * Checks the head of a request before its body is read, so that the body of a refused request
+     * is never buffered.
      *
      * @param head the request line and headers
-     * @return why to refuse the request, or empty to read its body
+     * @return the reason for a refusal, or empty to read the body
      */
     default Optional<TroutpierException> screen(HttpRequest head) {
         return Optional.empty();
     }
 
-    /**
-     * Serves one whole request.
-     *
-     * @param exchange the request and the way to answer it
-     */
+    /** Handles a complete request. */
     void handle(HttpExchange exchange);
 }
--- a/troutpier-common/src/main/java/org/troutpier/common/http/HttpReply.java
+++ b/troutpier-common/src/main/java/org/troutpier/common/http/HttpReply.java
@@ -4,7 +4,7 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * A whole answer. Immutable by agreement: neither headers nor body are changed.
+ * A complete HTTP response. Immutable by convention: neither headers nor body may be modified.
  *
  * @param status the HTTP status
  * @param headers the headers
@@ -13,7 +13,7 @@
 public record HttpReply(int status, HttpHeaders headers, byte[] body) {
 
     /**
-     * Returns whether the status tells of success.
+     * Returns whether the status is 2xx.
      *
      * @return whether it lies in the two hundreds
      */
@@ -33,9 +33,7 @@
     /**
      * Reads the body.
      *
-     * @param type what to make of it
      * @param <T> the value's type
-     * @return the value
      */
     public <T> T as(Class<T> type) {
         return Json.read(body, type);
--- a/troutpier-common/src/main/java/org/troutpier/common/http/HttpResponses.java
+++ b/troutpier-common/src/main/java/org/troutpier/common/http/HttpResponses.java
@@ -10,13 +10,13 @@
 import java.util.Map;
 import org.troutpier.common.result.ResultCode;
 
-/** Makes whole HTTP answers. Stateless and thread safe. */
+/** Builds complete HTTP responses. Stateless and thread safe. */
 public final class HttpResponses {
 
-    /** Carries the result code's label. */
+    /** Header with the label of the result code. */
     public static final String CODE_HEADER = "Troutpier-Code";
 
-    /** Carries what is known of the work. */
+    /** Header with the family of the result code, which tells whether the work was run. */
     public static final String FAMILY_HEADER = "Troutpier-Family";
 
     /** The content type of JSON. */
@@ -25,28 +25,14 @@
     /** How many milliseconds a second has. */
     private static final long MILLIS_PER_SECOND = 1000;
 
-    /** Not to be instantiated. */
     private HttpResponses() {}
 
-    /**
-     * Makes a JSON answer.
-     *
-     * @param status the HTTP status
-     * @param value what to write as JSON
-     * @return the answer
-     */
+    /** Builds a JSON response. */
     public static FullHttpResponse json(int status, Object value) {
         return bytes(status, JSON, Json.bytes(value));
     }
 
-    /**
-     * Makes an answer.
-     *
-     * @param status the HTTP status
-     * @param type the content type
-     * @param body the body
-     * @return the answer
-     */
+    /** Builds a response. */
     public static FullHttpResponse bytes(int status, String type, byte[] body) {
         FullHttpResponse answer =
                 new DefaultFullHttpResponse(
@@ -58,24 +44,15 @@
         return answer;
     }
 
-    /**
-     * Makes the answer that tells a code.
-     *
-     * @param code the code
-     * @param detail what exactly was wrong
-     * @return the answer
-     */
+    /** Builds an error response for a result code, with the code's own retry delay. */
     public static FullHttpResponse refusal(ResultCode code, String detail) {
         return refusal(code, detail, code.retryAfterSeconds() * MILLIS_PER_SECOND);
     }
 
     /**
-     * Makes the answer that tells a code and when to come back.
+     * Builds an error response for a result code with the given retry delay.
      *
-     * @param code the code
-     * @param detail what exactly was wrong
-     * @param retryAfterMillis when to come back, milliseconds; 0 where coming back does not help
-     * @return the answer
+     * @param retryAfterMillis the value of Retry-After, milliseconds; 0 for no such header
      */
     public static FullHttpResponse refusal(ResultCode code, String detail, long retryAfterMillis) {
         FullHttpResponse answer = json(code.httpStatus(), refusalBody(code, detail));
@@ -88,7 +65,8 @@
     }
 
     /**
-     * Writes a time in seconds, whole where it is.
+     * Formats a duration in seconds, as an integer where it is one and as a decimal fraction
+     * otherwise.
      *
      * @param millis the time, milliseconds
      * @return the seconds, with a fraction where there is one
@@ -99,13 +77,7 @@
                 : Double.toString(millis / (double) MILLIS_PER_SECOND);
     }
 
-    /**
-     * Makes the JSON body that tells a code.
-     *
-     * @param code the code
-     * @param detail what exactly was wrong
-     * @return the body, as a tree of maps for the JSON library
-     */
+    /** Builds the JSON body of an error response. */
     public static Map<String, Object> refusalBody(ResultCode code, String detail) {
         Map<String, Object> error = new LinkedHashMap<>();
         error.put("code", code.label());
--- a/troutpier-common/src/main/java/org/troutpier/common/http/HttpServer.java
+++ b/troutpier-common/src/main/java/org/troutpier/common/http/HttpServer.java
@@ -40,46 +40,36 @@
     private static final int MAX_CHUNK = 8192;
 
     /**
-     * How long after connections are first accepted requests from before may still be read: the
-     * system's queue of connections is empty long before.
+     * How long after the start of accepting a request may still come from the socket's backlog,
+     * which is empty long before that.
      */
     private static final long BACKLOG_NANOS = TimeUnit.SECONDS.toNanos(1);
 
-    /** What this server bounds; asked again for each new connection. */
+    /** The limits; read again for each new connection. */
     private final Supplier<ServerLimits> mLimits;
 
-    /** Answers what the server itself refuses. */
     private final ServerRefusals mRefusals;
 
-    /** Serves the requests. */
     private final HttpHandler mHandler;
 
-    /** How many connections are open. */
     private final AtomicInteger mConnections = new AtomicInteger();
 
-    /** How many exchanges there are whose last byte has not left. */
     private final AtomicInteger mBusy = new AtomicInteger();
 
-    /** The open connections. */
     private final ChannelGroup mOpen = new DefaultChannelGroup(GlobalEventExecutor.INSTANCE);
 
-    /** Whether each answer from now on ends its connection. */
+    /** Whether each connection is closed after its response. */
     private final AtomicBoolean mDraining = new AtomicBoolean();
 
     /** When connections were first accepted, on the monotonic clock; 0 before. */
     private final AtomicLong mAcceptedAt = new AtomicLong();
 
-    /** The listening socket. */
     private final Channel mListener;
 
     /**
      * Creates and starts a server whose limits never change.
      *
      * @param address where to listen
-     * @param loops carries the traffic
-     * @param limits what to bound
-     * @param refusals answers what the server itself refuses
-     * @param handler serves the requests
      */
     public HttpServer(
             Address address,
@@ -94,10 +84,7 @@
      * Creates and starts a server.
      *
      * @param address where to listen
-     * @param loops carries the traffic
-     * @param limits tells what to bound; asked again for each new connection
-     * @param refusals answers what the server itself refuses
-     * @param handler serves the requests
+     * @param limits the limits; read again for each new connection
      */
     public HttpServer(
             Address address,
@@ -113,11 +100,7 @@
      * Creates a server on a socket that listens already. It accepts nothing before {@link
      * #startAccepting()}.
      *
-     * @param socket the socket
-     * @param loops carries the traffic
-     * @param limits tells what to bound; asked again for each new connection
-     * @param refusals answers what the server itself refuses
-     * @param handler serves the requests
+     * @param limits the limits; read again for each new connection
      */
     public HttpServer(
             ListeningSocket socket,
@@ -144,7 +127,6 @@
      * Opens a socket.
      *
      * @param address where to listen
-     * @return the socket
      * @throws UncheckedIOException if the address cannot be listened at
      */
     private static ListeningSocket listen(Address address) {
@@ -171,63 +153,51 @@
     }
 
     /**
-     * Returns whether requests may have waited in the system's queue since before connections were
-     * accepted, so that some of their callers have left.
+     * Returns whether requests may have waited in the socket's backlog since before connections
+     * were accepted, so that some of their clients may have disconnected.
      *
-     * @return whether it is that soon after the start
+     * @return whether the server began to accept connections less than {@link #BACKLOG_NANOS} ago
      */
     private boolean mayHaveBacklog() {
         long accepted = mAcceptedAt.get();
         return accepted != 0 && System.nanoTime() - accepted < BACKLOG_NANOS;
     }
 
-    /**
-     * Returns where the server listens.
-     *
-     * @return the address, with the port that the system chose
-     */
+    /** Returns where the server listens. */
     public Address address() {
         return Address.of((InetSocketAddress) mListener.localAddress());
     }
 
-    /**
-     * Returns how many connections are open.
-     *
-     * @return the count
-     */
+    /** Returns how many connections are open. */
     public int connectionCount() {
         return mConnections.get();
     }
 
-    /**
-     * Returns how many exchanges there are whose last byte has not left.
-     *
-     * @return the count
-     */
+    /** Returns the number of exchanges whose response is not yet completely written. */
     public int activeExchanges() {
         return mBusy.get();
     }
 
-    /** Makes each answer from now on the last one of its connection. */
+    /** Closes each connection after its response from now on. */
     public void drain() {
         mDraining.set(true);
     }
 
     /**
-     * Closes each connection on which no request is being served. A request that has been read
-     * whole is served; one that is on its way finds the connection closed, unread.
+     * Closes each connection on which no request is being served. A request that has been
+     * completely read is served; one that has not is closed unread.
      */
     public void closeIdle() {
         mOpen.forEach(channel -> channel.pipeline().fireUserEventTriggered(Idle.CLOSE));
     }
 
-    /** What connections are told. */
+    /** Events for the pipeline of a connection. */
     enum Idle {
-        /** To close unless a request is being served. */
+        /** Closes the connection unless a request is being served. */
         CLOSE
     }
 
-    /** Stops listening; open connections go on. */
+    /** Stops listening; open connections are kept. */
     @Override
     public void close() {
         mListener.close().syncUninterruptibly();
@@ -276,17 +246,15 @@
         }
     }
 
-    /** Puts a request together and refuses one that grows too large. */
+    /** Aggregates a request and refuses one whose body is too large. */
     private static final class Aggregator extends HttpObjectAggregator {
 
-        /** Answers what is refused. */
         private final ServerRefusals mRefusals;
 
         /**
          * Creates an aggregator.
          *
          * @param bodyBytes the largest body
-         * @param refusals answers what is refused
          */
         Aggregator(int bodyBytes, ServerRefusals refusals) {
             super(bodyBytes);
--- a/troutpier-common/src/main/java/org/troutpier/common/http/Json.java
+++ b/troutpier-common/src/main/java/org/troutpier/common/http/Json.java
@@ -11,11 +11,10 @@
 /** Reads and writes JSON. Thread safe: the mapper is never changed after construction. */
 public final class Json {
 
-    /** The mapper; peers may add fields, so unknown ones are passed over. */
+    /** The mapper; ignores unknown fields, since peers may add some. */
     private static final ObjectMapper MAPPER =
             JsonMapper.builder().disable(DeserializationFeature.FAIL_ON_UNKNOWN_PROPERTIES).build();
 
-    /** Not to be instantiated. */
     private Json() {}
 
     /**
@@ -27,12 +26,7 @@
         return MAPPER;
     }
 
-    /**
-     * Writes a value.
-     *
-     * @param value the value
-     * @return its JSON
-     */
+    /** Writes a value. */
     public static byte[] bytes(Object value) {
         try {
             return MAPPER.writeValueAsBytes(value);
@@ -45,10 +39,7 @@
     /**
      * Reads a value.
      *
-     * @param bytes the JSON
-     * @param type what to make of it
      * @param <T> the value's type
-     * @return the value
      */
     public static <T> T read(byte[] bytes, Class<T> type) {
         try {
--- a/troutpier-common/src/main/java/org/troutpier/common/http/ListeningSocket.java
+++ b/troutpier-common/src/main/java/org/troutpier/common/http/ListeningSocket.java
@@ -6,24 +6,19 @@
 import org.troutpier.common.settings.Address;
 
 /**
- * A socket that listens before anybody accepts from it: the operating system completes connections
- * and keeps what callers send until a server takes the socket over. So a process can let callers in
- * as its very first act, while the rest of it is still being loaded. Immutable; thread safe as its
- * channel is. Invariant: it belongs to whoever takes its channel, and is closed otherwise.
+ * A listening socket from which no connection is accepted yet: the operating system completes
+ * connections and buffers what clients send until a server takes over the socket. So a process can
+ * listen from its very start, while the rest of it is still being loaded. Immutable; thread safe as
+ * its channel is. Invariant: it is owned by the server that takes its channel, and must be closed
+ * otherwise.
  */
 public final class ListeningSocket {
 
-    /** How many connections may wait to be accepted: those of a second of many callers. */
+    /** Length of the backlog: the connections that many clients open in a second. */
     private static final int BACKLOG = 1024;
 
-    /** The socket. */
     private final ServerSocketChannel mChannel;
 
-    /**
-     * Creates a socket.
-     *
-     * @param channel the bound channel
-     */
     private ListeningSocket(ServerSocketChannel channel) {
         mChannel = channel;
     }
@@ -32,7 +27,6 @@
      * Opens a socket and listens.
      *
      * @param address where
-     * @return the socket
      * @throws IOException if the address cannot be listened at
      */
     public static ListeningSocket open(Address address) throws IOException {
@@ -49,24 +43,19 @@
     /**
      * Returns where the socket listens.
      *
-     * @return the address, with the port that the system chose
      * @throws IOException if the socket is closed
      */
     public Address address() throws IOException {
         return Address.of((InetSocketAddress) mChannel.getLocalAddress());
     }
 
-    /**
-     * Hands the socket over to a server.
-     *
-     * @return the channel, in its blocking mode
-     */
+    /** Returns the channel for a server to take over. */
     ServerSocketChannel channel() {
         return mChannel;
     }
 
     /**
-     * Stops listening; connections that nobody accepted are reset.
+     * Stops listening; connections that were not accepted are reset.
      *
      * @throws IOException if the socket cannot be closed
      */
--- a/troutpier-common/src/main/java/org/troutpier/common/http/RefusalWriter.java
+++ b/troutpier-common/src/main/java/org/troutpier/common/http/RefusalWriter.java
@@ -9,26 +9,14 @@
 /** Refuses a request and closes its connection. Stateless and thread safe. */
 final class RefusalWriter {
 
-    /** Not to be instantiated. */
     private RefusalWriter() {}
 
-    /**
-     * Refuses with the code's own meaning.
-     *
-     * @param channel the connection
-     * @param refusals makes the answer
-     * @param code why
-     */
+    /** Refuses with the code's own meaning. */
     static void refuseAndClose(Channel channel, ServerRefusals refusals, ResultCode code) {
         refuseAndClose(channel, refusals.refuse(code));
     }
 
-    /**
-     * Sends an answer and closes.
-     *
-     * @param channel the connection
-     * @param answer the answer
-     */
+    /** Sends a response and closes. */
     static void refuseAndClose(Channel channel, FullHttpResponse answer) {
         HttpUtil.setKeepAlive(answer, false);
         channel.config().setAutoRead(false);
--- a/troutpier-common/src/main/java/org/troutpier/common/http/RefuseAllHandler.java
+++ b/troutpier-common/src/main/java/org/troutpier/common/http/RefuseAllHandler.java
@@ -5,24 +5,16 @@
 import io.netty.util.ReferenceCountUtil;
 import org.troutpier.common.result.ResultCode;
 
-/** Refuses whatever arrives on a connection. Confined to the connection's event loop. */
+/** Refuses all requests on a connection. Confined to the connection's event loop. */
 final class RefuseAllHandler extends ChannelInboundHandlerAdapter {
 
-    /** Why everything is refused. */
     private final ResultCode mCode;
 
-    /** Makes the answer. */
     private final ServerRefusals mRefusals;
 
-    /** Whether the answer was sent. */
     private boolean mRefused;
 
-    /**
-     * Creates a handler.
-     *
-     * @param code why everything is refused
-     * @param refusals makes the answer
-     */
+    /** Creates a handler. */
     RefuseAllHandler(ResultCode code, ServerRefusals refusals) {
         mCode = code;
         mRefusals = refusals;
--- a/troutpier-common/src/main/java/org/troutpier/common/http/ReplyListener.java
+++ b/troutpier-common/src/main/java/org/troutpier/common/http/ReplyListener.java
@@ -3,17 +3,12 @@
 import io.netty.handler.codec.http.HttpHeaders;
 
 /**
- * Receives an answer as it arrives, on one of the client's event loops. After {@link #onEnd()} or
- * {@link #onFailure(CallFailedException)} nothing more is said.
+ * Receives a response as it arrives, on one of the client's event loops. After {@link #onEnd()} or
+ * {@link #onFailure(CallFailedException)} no method is called.
  */
 public interface ReplyListener {
 
-    /**
-     * Receives the status and the headers.
-     *
-     * @param status the HTTP status
-     * @param headers the headers
-     */
+    /** Receives the status and the headers. */
     void onHead(int status, HttpHeaders headers);
 
     /**
@@ -23,13 +18,13 @@
      */
     void onPart(byte[] part);
 
-    /** Called when the answer is whole. */
+    /** Called when the response is complete. */
     void onEnd();
 
     /**
-     * Called when there will be no whole answer.
+     * Called when the exchange fails before the response is complete.
      *
-     * @param failure why, and whether any byte may have left
+     * @param failure why, and whether any byte of the request may have been sent
      */
     void onFailure(CallFailedException failure);
 }
--- a/troutpier-common/src/main/java/org/troutpier/common/http/RequestHeadFilter.java
+++ b/troutpier-common/src/main/java/org/troutpier/common/http/RequestHeadFilter.java
@@ -16,52 +16,43 @@
 import org.troutpier.common.result.TroutpierException;
 
 /**
- * Lets the handler refuse a request by its head, before the body is stored. Confined to the
- * connection's event loop. Invariant: a head is refused only where no earlier request of the
- * connection waits for its answer, so answers keep their order.
+ * Lets the handler refuse a request by its head, before its body is buffered. Confined to the
+ * connection's event loop. Invariant: a head is refused only while no earlier request of the
+ * connection is being served, so that responses keep their order.
  */
 final class RequestHeadFilter extends ChannelInboundHandlerAdapter {
 
     /**
-     * Refusals after which the connection stays: they concern who asks, and the next request may
-     * come with another key.
+     * Refusals after which the connection is kept: they concern the credentials, and the next
+     * request may carry other ones.
      */
     private static final Set<ResultCode> STAYING =
             Set.of(ResultCode.UNKNOWN_TOKEN, ResultCode.KEYS_UNCONFIRMED);
 
-    /** Looks at the heads. */
     private final HttpHandler mHandler;
 
-    /** Makes the answers to what cannot be read. */
     private final ServerRefusals mRefusals;
 
-    /** Bounds the arrival of requests. */
     private final RequestTimeoutHandler mTimer;
 
-    /** The longest body that is read only to be thrown away, bytes. */
+    /** The largest request body that is read and discarded after a refusal, bytes. */
     private final int mBodyBytes;
 
-    /** Tells whether each answer is the last one of its connection. */
+    /** Whether the server is draining: each connection is then closed after its response. */
     private final BooleanSupplier mDraining;
 
-    /** Tells whether an earlier request waits for its answer. */
     private final BooleanSupplier mServing;
 
-    /** Whether the connection is being closed and all that comes is thrown away. */
     private boolean mClosing;
 
-    /** Whether the rest of a refused request is thrown away. */
     private boolean mDiscarding;
 
     /**
-     * Creates a screen.
+     * Creates a filter.
      *
-     * @param handler looks at the heads
-     * @param refusals makes the answers to what cannot be read
-     * @param timer bounds the arrival of requests
-     * @param bodyBytes the longest body that is read only to be thrown away, bytes
-     * @param draining tells whether each answer is the last one of its connection
-     * @param serving tells whether an earlier request waits for its answer
+     * @param bodyBytes the largest request body that is read and discarded after a refusal, bytes
+     * @param draining whether each connection is closed after its response
+     * @param serving whether an earlier request is being served
      */
     RequestHeadFilter(
             HttpHandler handler,
@@ -103,11 +94,6 @@
         context.fireChannelRead(message);
     }
 
-    /**
-     * Throws a part of a refused request away.
-     *
-     * @param message the part
-     */
     private void discard(Object message) {
         if (message instanceof LastHttpContent && !mClosing) {
             mDiscarding = false;
@@ -116,13 +102,6 @@
         ReferenceCountUtil.release(message);
     }
 
-    /**
-     * Refuses a request whose body has not come.
-     *
-     * @param context the connection
-     * @param head the request's head
-     * @param why the refusal
-     */
     private void refuse(ChannelHandlerContext context, HttpRequest head, TroutpierException why) {
         FullHttpResponse answer = HttpResponses.refusal(why.code(), why.detail());
         if (!stays(head, why.code())) {
@@ -137,12 +116,10 @@
     }
 
     /**
-     * Returns whether the connection stays open after a refusal. A caller that waits to be told to
-     * send its body may never send it, and what it sends next would be taken for the body.
+     * Returns whether the connection stays open after a refusal. A client that waits for 100
+     * Continue may never send its body, and its next request would then be taken for the body.
      *
-     * @param head the request's head
-     * @param code why it is refused
-     * @return whether the rest of the request is read and thrown away
+     * @return whether the rest of the request is read and discarded
      */
     private boolean stays(HttpRequest head, ResultCode code) {
         return STAYING.contains(code)
@@ -152,12 +129,6 @@
                 && !mDraining.getAsBoolean();
     }
 
-    /**
-     * Tells why a head cannot be read.
-     *
-     * @param head the head as far as it was read
-     * @return the code for too large a head, or for any other fault
-     */
     private static ResultCode unreadable(HttpRequest head) {
         Throwable cause = head.decoderResult().cause();
         boolean tooLarge =
--- a/troutpier-common/src/main/java/org/troutpier/common/http/RequestTimeoutHandler.java
+++ b/troutpier-common/src/main/java/org/troutpier/common/http/RequestTimeoutHandler.java
@@ -8,31 +8,27 @@
 import org.troutpier.common.result.ResultCode;
 
 /**
- * Bounds the time from a request's first byte to its last, so that a caller who drips bytes holds
- * nothing for long. Confined to the connection's event loop.
+ * Limits the time between the first and the last byte of a request, so that a client that sends
+ * slowly cannot hold a connection for long. Confined to the connection's event loop.
  */
 final class RequestTimeoutHandler extends ChannelInboundHandlerAdapter {
 
     /** How long a request may take, milliseconds. */
     private final int mMillis;
 
-    /** Makes the answer. */
     private final ServerRefusals mRefusals;
 
     /** The running timer, or null between requests. */
     private Future<?> mTimer;
 
-    /** Whether the request that is arriving was answered before it has come whole. */
     private boolean mAnswered;
 
-    /** Whether an exchange is being served, during which bytes start no timer. */
     private BooleanSupplier mServing = () -> false;
 
     /**
-     * Creates a timer.
+     * Creates a handler.
      *
      * @param millis how long a request may take, milliseconds
-     * @param refusals makes the answer
      */
     RequestTimeoutHandler(int millis, ServerRefusals refusals) {
         mMillis = millis;
@@ -51,9 +47,8 @@
     }
 
     /**
-     * Refuses the request that did not arrive, or ends the connection of one that was answered.
-     *
-     * @param context the connection
+     * Refuses a request that is incomplete after the time limit, or closes the connection if it was
+     * already answered.
      */
     private void expire(ChannelHandlerContext context) {
         mTimer = null;
@@ -65,7 +60,7 @@
     }
 
     /**
-     * Sets what tells whether an exchange is being served.
+     * Sets the predicate that tells whether an exchange is being served.
      *
      * @param serving whether an exchange is being served
      */
@@ -73,12 +68,12 @@
         mServing = serving;
     }
 
-    /** Takes note that the request was answered, though the rest of it is still to come. */
+    /** Records that the current request was answered although its body is still incomplete. */
     void markAnswered() {
         mAnswered = true;
     }
 
-    /** Stops the timer: the request has arrived whole, or never will. */
+    /** Stops the timer: the request is complete or its connection is closed. */
     void stop() {
         mAnswered = false;
         if (mTimer != null) {
--- a/troutpier-common/src/main/java/org/troutpier/common/http/ServerLimits.java
+++ b/troutpier-common/src/main/java/org/troutpier/common/http/ServerLimits.java
@@ -3,18 +3,18 @@
 import org.troutpier.common.settings.Check;
 
 /**
- * What a server bounds. Immutable and thread safe.
+ * Limits of an HTTP server. Immutable and thread safe.
  *
- * @param connections how many connections are open at once
+ * @param connections maximum number of open connections
  * @param bodyBytes the largest body of a request
  * @param headerBytes the largest request line and headers
- * @param requestMillis how long a request may take to arrive whole, from its first byte
- * @param idleMillis how long a connection may be open without a request
+ * @param requestMillis time limit between the first and the last byte of a request, milliseconds
+ * @param idleMillis idle time after which a connection is closed, milliseconds
  */
 public record ServerLimits(
         int connections, int bodyBytes, int headerBytes, int requestMillis, int idleMillis) {
 
-    /** Limits that suit a stand-in or an operator's port. */
+    /** Default limits for stand-ins and operator ports. */
     public static final ServerLimits DEFAULT =
             new ServerLimits(10_000, 16 * 1024 * 1024, 16 * 1024, 10_000, 120_000);
 
--- a/troutpier-common/src/main/java/org/troutpier/common/http/ServerRefusals.java
+++ b/troutpier-common/src/main/java/org/troutpier/common/http/ServerRefusals.java
@@ -4,19 +4,18 @@
 import org.troutpier.common.result.ResultCode;
 
 /**
- * Makes the answer to a request that the server itself refuses. Implementations are thread safe.
+ * Builds the response to a request that the server itself refuses. Implementations are thread safe.
  */
 public interface ServerRefusals {
 
     /**
-     * Makes a whole answer.
+     * Builds a complete response.
      *
-     * @param code why the request is refused
-     * @return the answer, owned by the caller of this method
+     * @return the response, owned by the caller of this method
      */
     FullHttpResponse refuse(ResultCode code);
 
-    /** Answers with the code as JSON. */
+    /** Builds a JSON error response. */
     enum AsJson implements ServerRefusals {
         /** The only instance. */
         INSTANCE;
--- a/troutpier-common/src/main/java/org/troutpier/common/http/package-info.java
+++ b/troutpier-common/src/main/java/org/troutpier/common/http/package-info.java
@@ -1,2 +1,2 @@
-/** HTTP by library: a bounded server on Netty and a small client on AsyncHttpClient. */
+/** HTTP server on Netty with limits, and HTTP client on AsyncHttpClient. */
 package org.troutpier.common.http;
