--- a/troutpier-common/src/main/java/org/troutpier/common/collection/ExpiringMap.java
+++ b/troutpier-common/src/main/java/org/troutpier/common/collection/ExpiringMap.java
@@ -7,15 +7,14 @@
 import java.util.Optional;
 
 /**
- * A map whose entries are forgotten after a time, the oldest first. Not thread safe: the owner
- * confines it. Invariant: bounded in number and age, both counted from an entry's last change.
+ * A map with a maximum size whose entries expire after a time, the oldest first. Not thread safe.
+ * Invariant: size and age are bounded; age counts from an entry's last change.
  *
  * @param <K> the keys' type
  * @param <V> the values' type
  */
 public final class ExpiringMap<K, V> {
 
-    /** How many entries are kept. */
     private final int mMost;
 
     /** How long an entry is kept, milliseconds. */
@@ -36,7 +35,6 @@
     /**
      * Creates an empty map.
      *
-     * @param most how many entries are kept
      * @param millis how long an entry is kept, milliseconds
      */
     public ExpiringMap(int most, long millis) {
@@ -45,10 +43,8 @@
     }
 
     /**
-     * Sets an entry, and forgets those that are too old or too many.
+     * Sets an entry, and evicts expired and excess entries.
      *
-     * @param key the key
-     * @param value the value
      * @param now the monotonic clock, milliseconds
      */
     public void put(K key, V value, long now) {
@@ -60,9 +56,8 @@
     /**
      * Returns an entry's value.
      *
-     * @param key the key
      * @param now the monotonic clock, milliseconds
-     * @return the value, if it is there and not too old
+     * @return the value, if it is present and has not expired
      */
     public Optional<V> get(K key, long now) {
         Aged<V> aged = mEntries.get(key);
@@ -72,25 +67,20 @@
     /**
      * Returns whether there is an entry.
      *
-     * @param key the key
      * @param now the monotonic clock, milliseconds
-     * @return whether it is there and not too old
+     * @return whether it is present and has not expired
      */
     public boolean contains(K key, long now) {
         return get(key, now).isPresent();
     }
 
-    /**
-     * Removes an entry.
-     *
-     * @param key the key
-     */
+    /** Removes an entry. */
     public void remove(K key) {
         mEntries.remove(key);
     }
 
     /**
-     * Returns whether there is no entry, once those that are too old are forgotten.
+     * Evicts expired entries and returns whether the map is empty.
      *
      * @param now the monotonic clock, milliseconds
      * @return whether it is empty
@@ -101,7 +91,7 @@
     }
 
     /**
-     * Returns the values, once those that are too old are forgotten.
+     * Evicts expired entries and returns the others.
      *
      * @param now the monotonic clock, milliseconds
      * @return a copy by key, the oldest first
@@ -114,7 +104,7 @@
     }
 
     /**
-     * Forgets what is too old or too much.
+     * Evicts expired and excess entries.
      *
      * @param now the monotonic clock, milliseconds
      */
@@ -129,9 +119,8 @@
     }
 
     /**
-     * Returns whether a value is too old.
+     * Returns whether a value has expired.
      *
-     * @param aged the value
      * @param now the monotonic clock, milliseconds
      * @return whether it is
      */
--- a/troutpier-common/src/main/java/org/troutpier/common/declaration/ClassDeclaration.java
+++ b/troutpier-common/src/main/java/org/troutpier/common/declaration/ClassDeclaration.java
@@ -7,22 +7,22 @@
 import org.troutpier.common.settings.Check;
 
 /**
- * A request class: what it asks for, by when, and what may be done to get it. Immutable and thread
- * safe.
+ * A request class: what its requests are sent to, their latency targets and deadline, and how they
+ * may be retried. Immutable and thread safe.
  *
  * @param name the class
  * @param partner the partner it belongs to
- * @param kind whether it asks a model or a plain service
- * @param serves the model or service that it asks
- * @param repeatable whether a request may be sent again once bytes may have left
- * @param keyed whether each request must bring an {@code Idempotency-Key}
- * @param firstTokenMillis the first token's target, 0 for none
- * @param perTokenMillis the target between tokens, 0 for none
- * @param deadlineMillis when a request is given up, from its arrival
- * @param whenTableUnavailable what to do with a keyed request while the table is away
+ * @param kind whether it is served by a model or by a plain service
+ * @param serves the model or service that serves it
+ * @param repeatable whether a request may be sent again after bytes of it may have been sent
+ * @param keyed whether each request must have an {@code Idempotency-Key}
+ * @param firstTokenMillis target time to the first token, milliseconds; 0 for none
+ * @param perTokenMillis target time between tokens, milliseconds; 0 for none
+ * @param deadlineMillis deadline from the arrival of a request, milliseconds
+ * @param whenTableUnavailable how a keyed request is handled while the table is unavailable
  * @param answerCommit whether the outcome is recorded before or after the end mark
- * @param keepAnswerSeconds how long the answer of a keyed request is kept
- * @param maxBodyBytes the largest body
+ * @param keepAnswerSeconds how long the response to a keyed request is stored, seconds
+ * @param maxBodyBytes the largest request body, bytes
  */
 public record ClassDeclaration(
         ClassName name,
@@ -39,25 +39,25 @@
         Integer keepAnswerSeconds,
         Integer maxBodyBytes) {
 
-    /** The longest target, milliseconds. */
+    /** Upper bound of the latency targets, milliseconds. */
     private static final int MAX_TARGET = 600_000;
 
-    /** The longest deadline, milliseconds. */
+    /** Upper bound of the deadline, milliseconds. */
     private static final int MAX_DEADLINE = 3_600_000;
 
-    /** The longest that answers are kept, seconds. */
+    /** Upper bound of the time that responses are stored, seconds. */
     private static final int MAX_KEEP = 604_800;
 
-    /** The largest body that may be declared, bytes. */
+    /** Upper bound of the request body limit, bytes. */
     private static final int MAX_BODY = 16 * 1024 * 1024;
 
-    /** The largest body unless said otherwise, bytes. */
+    /** Default limit of the request body, bytes. */
     private static final int DEFAULT_BODY = 1024 * 1024;
 
-    /** How long answers are kept unless said otherwise, seconds. */
+    /** Default time that responses are stored, seconds. */
     private static final int DEFAULT_KEEP = 3600;
 
-    /** Whether a class asks a model or a plain service. */
+    /** Whether a class is served by a model or by a plain service. */
     public enum Kind {
         /** A model, through a prefill and a decode engine. */
         @JsonProperty("completion")
@@ -67,9 +67,9 @@
         SERVICE
     }
 
-    /** What to do with a keyed request while the table is away. */
+    /** How a keyed request is handled while the table is unavailable. */
     public enum TableOutagePolicy {
-        /** Refuse it as not run. */
+        /** Refuse it; it is not run. */
         @JsonProperty("refuse")
         REFUSE,
         /** Run it without a claim. */
@@ -79,15 +79,17 @@
 
     /** Whether the outcome is recorded before or after the end mark. */
     public enum AnswerCommit {
-        /** The end mark waits for the record: exactly once. */
+        /**
+         * The end mark is sent after the outcome is recorded, which gives exactly-once semantics.
+         */
         @JsonProperty("before-end-mark")
         BEFORE_END_MARK,
-        /** The end mark goes out at once; the record follows. */
+        /** The end mark is sent at once, before the outcome is recorded. */
         @JsonProperty("after-end-mark")
         AFTER_END_MARK
     }
 
-    /** Checks the fields and fills the defaults. */
+    /** Validates the fields and fills in defaults. */
     public ClassDeclaration {
         Check.present("name", name);
         Check.present("partner", partner);
@@ -117,7 +119,7 @@
     /**
      * Returns whether the class has a latency target.
      *
-     * @return whether it counts towards goodput only when on time
+     * @return whether a request counts towards goodput only if it meets the target
      */
     @JsonIgnore
     public boolean hasTarget() {
--- a/troutpier-common/src/main/java/org/troutpier/common/declaration/DeclarationPart.java
+++ b/troutpier-common/src/main/java/org/troutpier/common/declaration/DeclarationPart.java
@@ -4,8 +4,9 @@
 import java.util.List;
 
 /**
- * A part of the declarations, as an operator keeps it in files. Immutable and thread safe. It is
- * checked for itself only; whether it fits the rest is checked where it is put in place.
+ * A part of the declarations, as an operator keeps it in files. Immutable and thread safe. Only the
+ * part itself is validated here; its consistency with the other parts is validated when it is
+ * applied.
  *
  * @param partners the partners
  * @param upstreams the upstreams
@@ -16,23 +17,18 @@
         List<UpstreamDeclaration> upstreams,
         List<ClassDeclaration> classes) {
 
-    /** The part that declares nothing. */
+    /** An empty part. */
     public static final DeclarationPart EMPTY =
             new DeclarationPart(List.of(), List.of(), List.of());
 
-    /** Fills what is missing. */
+    /** Replaces missing lists by empty ones. */
     public DeclarationPart {
         partners = partners == null ? List.of() : List.copyOf(partners);
         upstreams = upstreams == null ? List.of() : List.copyOf(upstreams);
         classes = classes == null ? List.of() : List.copyOf(classes);
     }
 
-    /**
-     * Returns this part with another added.
-     *
-     * @param other the other part
-     * @return a new part
-     */
+    /** Returns the union of this part and another. */
     public DeclarationPart plus(DeclarationPart other) {
         return new DeclarationPart(
                 joined(partners, other.partners),
@@ -46,7 +42,6 @@
      * @param first the first
      * @param second the second
      * @param <T> what is in them
-     * @return a new list
      */
     private static <T> List<T> joined(List<T> first, List<T> second) {
         List<T> joined = new ArrayList<>(first);
--- a/troutpier-common/src/main/java/org/troutpier/common/declaration/Declarations.java
+++ b/troutpier-common/src/main/java/org/troutpier/common/declaration/Declarations.java
@@ -12,11 +12,12 @@
 import org.troutpier.common.settings.Check;
 
 /**
- * Everything that is declared, as one versioned whole. Immutable and thread safe. Invariant: names
- * are unique, every owner is declared, and the shares add up to no more than the whole.
+ * All declarations, as one versioned set. Immutable and thread safe. Invariant: names are unique,
+ * every owner is declared, and the shares add up to at most {@link PartnerDeclaration#TOTAL_SHARE}.
  *
- * @param version rises by one with every accepted change
- * @param changeId the change that made this version; settles a lost acknowledgement
+ * @param version version, incremented by every accepted change
+ * @param changeId the change that made this version; tells after a lost acknowledgement whether the
+ *     change was committed
  * @param partners the partners
  * @param upstreams the upstreams
  * @param classes the request classes
@@ -28,11 +29,11 @@
         List<UpstreamDeclaration> upstreams,
         List<ClassDeclaration> classes) {
 
-    /** The declarations of a system that nobody has configured. */
+    /** The declarations of a system that has not been configured. */
     public static final Declarations EMPTY =
             new Declarations(0, "none", List.of(), List.of(), List.of());
 
-    /** Checks the whole. */
+    /** Validates the declarations. */
     public Declarations {
         changeId = changeId == null ? "none" : changeId;
         partners = partners == null ? List.of() : List.copyOf(partners);
@@ -43,11 +44,6 @@
         checkClasses(partners, classes);
     }
 
-    /**
-     * Checks the partners.
-     *
-     * @param partners the partners
-     */
     private static void checkPartners(List<PartnerDeclaration> partners) {
         Set<PartnerId> seen = new HashSet<>();
         int shares = 0;
@@ -61,12 +57,6 @@
                 "have shares that add up to " + shares + ", more than the whole");
     }
 
-    /**
-     * Checks the upstreams.
-     *
-     * @param partners the partners
-     * @param upstreams the upstreams
-     */
     private static void checkUpstreams(
             List<PartnerDeclaration> partners, List<UpstreamDeclaration> upstreams) {
         Set<UpstreamId> seen = new HashSet<>();
@@ -79,12 +69,6 @@
         }
     }
 
-    /**
-     * Checks the classes.
-     *
-     * @param partners the partners
-     * @param classes the classes
-     */
     private static void checkClasses(
             List<PartnerDeclaration> partners, List<ClassDeclaration> classes) {
         Set<String> seen = new HashSet<>();
@@ -101,63 +85,34 @@
     /**
      * Returns whether a partner is declared.
      *
-     * @param partners the partners
-     * @param id the partner sought
      * @return whether it is there
      */
     private static boolean has(List<PartnerDeclaration> partners, PartnerId id) {
         return partners.stream().anyMatch(partner -> partner.id().equals(id));
     }
 
-    /**
-     * Finds a partner.
-     *
-     * @param id the partner sought
-     * @return the partner
-     */
+    /** Finds a partner. */
     public Optional<PartnerDeclaration> partner(PartnerId id) {
         return partners.stream().filter(partner -> partner.id().equals(id)).findFirst();
     }
 
-    /**
-     * Finds a class.
-     *
-     * @param partner the partner it belongs to
-     * @param name the class sought
-     * @return the class
-     */
+    /** Finds a class. */
     public Optional<ClassDeclaration> requestClass(PartnerId partner, ClassName name) {
         return classesOf(partner).filter(declared -> declared.name().equals(name)).findFirst();
     }
 
-    /**
-     * Lists a partner's classes.
-     *
-     * @param partner the partner
-     * @return its classes
-     */
+    /** Lists a partner's classes. */
     @JsonIgnore
     public Stream<ClassDeclaration> classesOf(PartnerId partner) {
         return classes.stream().filter(declared -> declared.partner().equals(partner));
     }
 
-    /**
-     * Finds an upstream.
-     *
-     * @param id the upstream sought
-     * @return the upstream
-     */
+    /** Finds an upstream. */
     public Optional<UpstreamDeclaration> upstream(UpstreamId id) {
         return upstreams.stream().filter(upstream -> upstream.id().equals(id)).findFirst();
     }
 
-    /**
-     * Returns the same declarations as another version.
-     *
-     * @param newVersion the version
-     * @param newChangeId the change that makes it
-     * @return new declarations
-     */
+    /** Returns a copy with another version and change. */
     public Declarations withVersion(long newVersion, String newChangeId) {
         return new Declarations(newVersion, newChangeId, partners, upstreams, classes);
     }
--- a/troutpier-common/src/main/java/org/troutpier/common/declaration/KeyHash.java
+++ b/troutpier-common/src/main/java/org/troutpier/common/declaration/KeyHash.java
@@ -1,14 +1,15 @@
 package org.troutpier.common.declaration;
 
 /**
- * A caller's key as it is kept and compared: the key's SHA-256. Immutable and thread safe.
- * Invariant: the key itself cannot be had from it, and its text shows eight digits of the hash.
+ * A caller's key as it is stored and compared: its SHA-256 hash. Immutable and thread safe.
+ * Invariant: the key cannot be recovered from it, and {@link #toString()} shows only eight digits
+ * of the hash.
  *
  * @param value the hash, hexadecimal
  */
 public record KeyHash(String value) {
 
-    /** How many digits are shown, so that operators can tell two keys apart. */
+    /** Number of digits that are shown, enough for operators to tell keys apart. */
     private static final int SHOWN_DIGITS = 8;
 
     /** Checks the hash. */
@@ -18,18 +19,13 @@
         }
     }
 
-    /**
-     * Hashes a key.
-     *
-     * @param key the key as its caller sends it
-     * @return its hash
-     */
+    /** Hashes a key. */
     public static KeyHash of(String key) {
         return new KeyHash(Tokens.hash(key));
     }
 
     /**
-     * Returns what may be shown of the key.
+     * Returns the part of the hash that may be shown.
      *
      * @return the hash's first digits
      */
--- a/troutpier-common/src/main/java/org/troutpier/common/declaration/PartnerDeclaration.java
+++ b/troutpier-common/src/main/java/org/troutpier/common/declaration/PartnerDeclaration.java
@@ -5,15 +5,15 @@
 import org.troutpier.common.settings.Check;
 
 /**
- * A partner: who may call and operate for it, and how large its share is. Tokens stand here as
+ * A partner: its callers' and operators' tokens, its share and its limits. Tokens are given as
  * SHA-256 hashes only. Immutable and thread safe.
  *
  * @param id the partner
- * @param share its weight against the other partners, in hundredths of the whole
+ * @param share its weight among the partners, in percent
  * @param callerTokenHashes hashes of the tokens that callers hold, hexadecimal
  * @param operatorTokenHashes hashes of the tokens that operators hold, hexadecimal
- * @param queueLimit how many of its requests may wait in one router
- * @param inFlightLimit how many of its requests one router carries at most
+ * @param queueLimit maximum number of its requests that wait in one router
+ * @param inFlightLimit maximum number of its requests in flight in one router
  */
 public record PartnerDeclaration(
         PartnerId id,
@@ -23,19 +23,16 @@
         Integer queueLimit,
         Integer inFlightLimit) {
 
-    /** The whole that shares are hundredths of. */
+    /** Upper bound of the sum of all shares, percent. */
     public static final int TOTAL_SHARE = 100;
 
-    /** The most that either limit may be. */
     private static final int MAX_LIMIT = 100_000;
 
-    /** How many requests wait unless said otherwise. */
     private static final int DEFAULT_QUEUE = 256;
 
-    /** How many requests are carried unless said otherwise. */
     private static final int DEFAULT_IN_FLIGHT = 2000;
 
-    /** Checks the fields and fills the defaults. */
+    /** Validates the fields and fills in defaults. */
     public PartnerDeclaration {
         Check.present("id", id);
         Check.range("share", share, 1, TOTAL_SHARE);
@@ -50,12 +47,6 @@
         Check.range("inFlightLimit", inFlightLimit, 1, MAX_LIMIT);
     }
 
-    /**
-     * Checks that a text is a SHA-256 hash.
-     *
-     * @param field the field it stands in
-     * @param hash the text
-     */
     private static void checkHash(String field, String hash) {
         Check.that(field, Tokens.isHash(hash), "must hold SHA-256 hashes: " + hash);
     }
--- a/troutpier-common/src/main/java/org/troutpier/common/declaration/Role.java
+++ b/troutpier-common/src/main/java/org/troutpier/common/declaration/Role.java
@@ -2,12 +2,12 @@
 
 import com.fasterxml.jackson.annotation.JsonProperty;
 
-/** What an upstream does. Immutable and thread safe. */
+/** The role of an upstream. Immutable and thread safe. */
 public enum Role {
-    /** A model engine that prefills. */
+    /** A model engine that runs prefills. */
     @JsonProperty("prefill")
     PREFILL,
-    /** A model engine that decodes. */
+    /** A model engine that runs decodes. */
     @JsonProperty("decode")
     DECODE,
     /** A plain service's replica. */
--- a/troutpier-common/src/main/java/org/troutpier/common/declaration/Tokens.java
+++ b/troutpier-common/src/main/java/org/troutpier/common/declaration/Tokens.java
@@ -7,22 +7,18 @@
 import java.util.Optional;
 import java.util.regex.Pattern;
 
-/** Hashes tokens, so that declarations need not hold them. Stateless and thread safe. */
+/** Hashes and parses tokens; declarations hold their hashes only. Stateless and thread safe. */
 public final class Tokens {
 
-    /** What comes before a token in the authorization header. */
     private static final String BEARER = "Bearer ";
 
-    /** What a hash looks like. */
     private static final Pattern HASH = Pattern.compile("[0-9a-f]{64}");
 
-    /** Not to be instantiated. */
     private Tokens() {}
 
     /**
      * Hashes a token or any other text.
      *
-     * @param text the text
      * @return its SHA-256 hash, hexadecimal
      */
     public static String hash(String text) {
@@ -30,9 +26,8 @@
     }
 
     /**
-     * Returns whether a text looks like a hash.
+     * Returns whether a text has the form of a hash.
      *
-     * @param text the text
      * @return whether it has the digits of one
      */
     public static boolean isHash(String text) {
@@ -40,8 +35,8 @@
     }
 
     /**
-     * Returns the token that an authorization header carries. The scheme may be written in any
-     * case, as the standard of HTTP authentication (RFC 9110) has it.
+     * Returns the bearer token of an Authorization header. The scheme is case-insensitive (RFC
+     * 9110).
      *
      * @param authorization the header's value, or null
      * @return the token, if it carries one
--- a/troutpier-common/src/main/java/org/troutpier/common/declaration/UpstreamDeclaration.java
+++ b/troutpier-common/src/main/java/org/troutpier/common/declaration/UpstreamDeclaration.java
@@ -7,17 +7,18 @@
 import org.troutpier.common.settings.Check;
 
 /**
- * An upstream, its place and its role. Immutable and thread safe.
+ * An upstream, its location and its role. Immutable and thread safe.
  *
  * @param id the upstream
  * @param owner the partner whose operators may change it
- * @param role what it does
- * @param hall where it stands
+ * @param role its role
+ * @param hall the hall in which it runs
  * @param address where it listens
  * @param serves the model or service that it serves
- * @param slots how many requests it holds at once
- * @param prefillTokensPerSecond how fast it prefills, a first guess for the predictor
- * @param draining whether operators have taken it out of service
+ * @param slots maximum number of concurrent requests
+ * @param prefillTokensPerSecond prefill throughput, tokens per second; initial estimate of the
+ *     predictor
+ * @param draining whether operators have drained it
  */
 public record UpstreamDeclaration(
         UpstreamId id,
@@ -30,16 +31,15 @@
         Integer prefillTokensPerSecond,
         boolean draining) {
 
-    /** The most slots an upstream may have. */
     private static final int MAX_SLOTS = 10_000;
 
-    /** The first guess of prefill speed unless said otherwise, tokens a second. */
+    /** Default prefill throughput, tokens per second. */
     private static final int DEFAULT_PREFILL_RATE = 20_000;
 
-    /** The fastest prefill that is believed, tokens a second. */
+    /** Upper bound of the prefill throughput, tokens per second. */
     private static final int MAX_PREFILL_RATE = 100_000_000;
 
-    /** Checks the fields and fills the defaults. */
+    /** Validates the fields and fills in defaults. */
     public UpstreamDeclaration {
         Check.present("id", id);
         Check.present("owner", owner);
@@ -54,22 +54,16 @@
         Check.range("prefillTokensPerSecond", prefillTokensPerSecond, 1, MAX_PREFILL_RATE);
     }
 
-    /**
-     * Returns this upstream with another role.
-     *
-     * @param newRole the role
-     * @return a new declaration
-     */
+    /** Returns this upstream with another role. */
     public UpstreamDeclaration withRole(Role newRole) {
         return new UpstreamDeclaration(
                 id, owner, newRole, hall, address, serves, slots, prefillTokensPerSecond, draining);
     }
 
     /**
-     * Returns this upstream in or out of service.
+     * Returns this upstream with another drain state.
      *
      * @param newDraining whether it is taken out of service
-     * @return a new declaration
      */
     public UpstreamDeclaration withDraining(boolean newDraining) {
         return new UpstreamDeclaration(
--- a/troutpier-common/src/main/java/org/troutpier/common/declaration/package-info.java
+++ b/troutpier-common/src/main/java/org/troutpier/common/declaration/package-info.java
@@ -1,2 +1,2 @@
-/** What the partners declare: partners, upstreams and request classes, as one versioned whole. */
+/** Declarations of partners, upstreams and request classes, as one versioned set. */
 package org.troutpier.common.declaration;
--- a/troutpier-common/src/main/java/org/troutpier/common/event/Event.java
+++ b/troutpier-common/src/main/java/org/troutpier/common/event/Event.java
@@ -1,12 +1,12 @@
 package org.troutpier.common.event;
 
 /**
- * One thing that happened in one process. Immutable and thread safe.
+ * An event in one process, for the time line. Immutable and thread safe.
  *
- * @param stamp when, by the {@link HybridClock}
- * @param process the process it happened in
+ * @param stamp time stamp of the {@link HybridClock}
+ * @param process the process in which it happened
  * @param kind what happened, in lower case with dashes
  * @param subject the request, change or upstream it is about
- * @param detail what else is worth knowing; empty for nothing
+ * @param detail further details; empty for none
  */
 public record Event(long stamp, String process, String kind, String subject, String detail) {}
--- a/troutpier-common/src/main/java/org/troutpier/common/event/EventRing.java
+++ b/troutpier-common/src/main/java/org/troutpier/common/event/EventRing.java
@@ -6,43 +6,26 @@
 import java.util.concurrent.atomic.AtomicReferenceArray;
 
 /**
- * A bounded ring of events: the newest overwrite the oldest, so its memory never grows. Thread
- * safe; recording takes no lock.
+ * A ring buffer of events: the newest overwrite the oldest. Thread safe; recording is lock-free.
  */
 public final class EventRing {
 
-    /** The events, by their number modulo the size. */
     private final AtomicReferenceArray<Event> mEvents;
 
-    /** The number of the next event. */
     private final AtomicLong mNext = new AtomicLong();
 
-    /** Stamps the events. */
     private final HybridClock mClock;
 
-    /** The process that records here. */
     private final String mProcess;
 
-    /**
-     * Creates a ring.
-     *
-     * @param process the process that records here
-     * @param size how many events to keep
-     * @param clock stamps the events
-     */
+    /** Creates a ring. */
     public EventRing(String process, int size, HybridClock clock) {
         mProcess = process;
         mEvents = new AtomicReferenceArray<>(size);
         mClock = clock;
     }
 
-    /**
-     * Records an event.
-     *
-     * @param kind what happened
-     * @param subject what it is about
-     * @param detail what else is worth knowing
-     */
+    /** Records an event. */
     public void record(String kind, String subject, String detail) {
         Event event = new Event(mClock.next(), mProcess, kind, subject, detail);
         int slot = (int) (mNext.getAndIncrement() % mEvents.length());
@@ -53,7 +36,6 @@
      * Lists the events about a subject, oldest first.
      *
      * @param subject the subject, or empty for all
-     * @return the events
      */
     public List<Event> eventsAbout(String subject) {
         List<Event> found = new ArrayList<>();
@@ -67,11 +49,7 @@
         return found;
     }
 
-    /**
-     * Returns the clock that stamps the events.
-     *
-     * @return the clock
-     */
+    /** Returns the clock that stamps the events. */
     public HybridClock clock() {
         return mClock;
     }
--- a/troutpier-common/src/main/java/org/troutpier/common/event/HybridClock.java
+++ b/troutpier-common/src/main/java/org/troutpier/common/event/HybridClock.java
@@ -4,8 +4,8 @@
 import java.util.function.LongSupplier;
 
 /**
- * A hybrid logical clock: never goes back, stays near the wall clock, and is later than every stamp
- * it has seen. A stamp holds milliseconds in its upper 48 bits and a counter in its lower 16.
+ * A hybrid logical clock: monotonic, close to the wall clock, and later than every stamp that it
+ * has observed. A stamp holds milliseconds in its upper 48 bits and a counter in its lower 16.
  * Thread safe.
  */
 public final class HybridClock {
@@ -13,7 +13,6 @@
     /** How many bits the counter takes. */
     public static final int COUNTER_BITS = 16;
 
-    /** The last stamp given or seen. */
     private final AtomicLong mLast = new AtomicLong();
 
     /** The wall clock, in milliseconds. */
@@ -33,21 +32,13 @@
         mWallMillis = wallMillis;
     }
 
-    /**
-     * Returns the next stamp.
-     *
-     * @return a stamp later than all before
-     */
+    /** Returns the next stamp. */
     public long next() {
         long wall = mWallMillis.getAsLong() << COUNTER_BITS;
         return mLast.updateAndGet(last -> Math.max(last + 1, wall));
     }
 
-    /**
-     * Takes note of another process's stamp.
-     *
-     * @param stamp the stamp seen
-     */
+    /** Advances the clock to at least a stamp of another process. */
     public void observe(long stamp) {
         mLast.accumulateAndGet(stamp, Math::max);
     }
--- a/troutpier-common/src/main/java/org/troutpier/common/id/ClassName.java
+++ b/troutpier-common/src/main/java/org/troutpier/common/id/ClassName.java
@@ -4,17 +4,13 @@
 import com.fasterxml.jackson.annotation.JsonValue;
 
 /**
- * Names a request class; unique within its partner. Immutable and safe to share between threads.
+ * Name of a request class, unique within its partner. Immutable and safe to share between threads.
  *
  * @param value the identifier's text, checked by {@link Identifiers#check(String, String)}
  */
 public record ClassName(@JsonValue String value) implements Comparable<ClassName> {
 
-    /**
-     * Checks the text.
-     *
-     * @param value the identifier's text
-     */
+    /** Checks the text. */
     @JsonCreator(mode = JsonCreator.Mode.DELEGATING)
     public ClassName {
         Identifiers.check("class", value);
--- a/troutpier-common/src/main/java/org/troutpier/common/id/HallId.java
+++ b/troutpier-common/src/main/java/org/troutpier/common/id/HallId.java
@@ -4,17 +4,14 @@
 import com.fasterxml.jackson.annotation.JsonValue;
 
 /**
- * Names a hall: a data centre or a zone of one. Immutable and safe to share between threads.
+ * Identifier of a hall: a data centre or a zone of one. Immutable and safe to share between
+ * threads.
  *
  * @param value the identifier's text, checked by {@link Identifiers#check(String, String)}
  */
 public record HallId(@JsonValue String value) implements Comparable<HallId> {
 
-    /**
-     * Checks the text.
-     *
-     * @param value the identifier's text
-     */
+    /** Checks the text. */
     @JsonCreator(mode = JsonCreator.Mode.DELEGATING)
     public HallId {
         Identifiers.check("hall", value);
--- a/troutpier-common/src/main/java/org/troutpier/common/id/Identifiers.java
+++ b/troutpier-common/src/main/java/org/troutpier/common/id/Identifiers.java
@@ -3,21 +3,16 @@
 /** Checks the text of identifiers. Stateless and thread safe. */
 final class Identifiers {
 
-    /** What an identifier may look like, for the message. */
     private static final String ALLOWED = "[A-Za-z0-9][A-Za-z0-9._:-]{0,79}";
 
-    /** How long an identifier may be, characters: it stands in each log line and report. */
+    /** Maximum length of an identifier, characters: it occurs in each log line and report. */
     private static final int MOST_LENGTH = 80;
 
-    /** Not to be instantiated. */
     private Identifiers() {}
 
     /**
-     * Checks an identifier's text, without a regular expression: each report of load names up to 30
-     * upstreams, and matching them was 2 % of the work of a young process.
-     *
-     * @param kind what the identifier names, for the message
-     * @param value the text to check
+     * Checks an identifier's text without a regular expression: each load report names up to 30
+     * upstreams, and matching them took 2 % of the processor time of a recently started process.
      */
     static void check(String kind, String value) {
         if (value == null || !allowed(value)) {
@@ -27,9 +22,8 @@
     }
 
     /**
-     * Returns whether a text may be an identifier.
+     * Returns whether a text is a valid identifier.
      *
-     * @param value the text
      * @return whether it may
      */
     private static boolean allowed(String value) {
@@ -47,9 +41,8 @@
     }
 
     /**
-     * Returns whether a character is a letter or a digit of ASCII.
+     * Returns whether a character is an ASCII letter or digit.
      *
-     * @param each the character
      * @return whether it is
      */
     private static boolean letterOrDigit(char each) {
--- a/troutpier-common/src/main/java/org/troutpier/common/id/Incarnation.java
+++ b/troutpier-common/src/main/java/org/troutpier/common/id/Incarnation.java
@@ -6,21 +6,20 @@
 import java.util.HexFormat;
 
 /**
- * Names one start of a router process: its instance and a random part drawn at start, so that a
- * restarted instance is never taken for its predecessor. Immutable and safe to share.
+ * Identifier of one run of a router process: the instance and a random part, so that a restarted
+ * instance is never mistaken for its predecessor. Immutable and safe to share.
  *
  * @param value {@code instance~random}
  */
 public record Incarnation(@JsonValue String value) {
 
-    /** Parts the instance from the random part. */
     private static final char SEPARATOR = '~';
 
-    /** How many random bytes tell two starts apart. */
+    /** Number of random bytes that distinguish two runs. */
     private static final int RANDOM_BYTES = 6;
 
     /**
-     * Checks the shape.
+     * Checks the format.
      *
      * @param value {@code instance~random}
      */
@@ -31,23 +30,14 @@
         }
     }
 
-    /**
-     * Draws a new incarnation.
-     *
-     * @param instance the instance that starts
-     * @return an incarnation that no other process has
-     */
+    /** Creates a new incarnation with a random part. */
     public static Incarnation create(InstanceId instance) {
         byte[] random = new byte[RANDOM_BYTES];
         new SecureRandom().nextBytes(random);
         return new Incarnation(instance.value() + SEPARATOR + HexFormat.of().formatHex(random));
     }
 
-    /**
-     * Returns the instance whose start this is.
-     *
-     * @return the instance
-     */
+    /** Returns the instance of this incarnation. */
     public InstanceId instance() {
         return new InstanceId(value.substring(0, value.indexOf(SEPARATOR)));
     }
--- a/troutpier-common/src/main/java/org/troutpier/common/id/InstanceId.java
+++ b/troutpier-common/src/main/java/org/troutpier/common/id/InstanceId.java
@@ -4,18 +4,14 @@
 import com.fasterxml.jackson.annotation.JsonValue;
 
 /**
- * Names a router instance as the platform knows it; survives a restart. Immutable and safe to share
- * between threads.
+ * Identifier of a router instance as registered with the platform; unchanged by a restart.
+ * Immutable and safe to share between threads.
  *
  * @param value the identifier's text, checked by {@link Identifiers#check(String, String)}
  */
 public record InstanceId(@JsonValue String value) implements Comparable<InstanceId> {
 
-    /**
-     * Checks the text.
-     *
-     * @param value the identifier's text
-     */
+    /** Checks the text. */
     @JsonCreator(mode = JsonCreator.Mode.DELEGATING)
     public InstanceId {
         Identifiers.check("instance", value);
--- a/troutpier-common/src/main/java/org/troutpier/common/id/PartnerId.java
+++ b/troutpier-common/src/main/java/org/troutpier/common/id/PartnerId.java
@@ -4,18 +4,14 @@
 import com.fasterxml.jackson.annotation.JsonValue;
 
 /**
- * Names a partner: a customer with operators, callers and a share of its own. Immutable and safe to
- * share between threads.
+ * Identifier of a partner: a customer with its own operators, callers and share. Immutable and safe
+ * to share between threads.
  *
  * @param value the identifier's text, checked by {@link Identifiers#check(String, String)}
  */
 public record PartnerId(@JsonValue String value) implements Comparable<PartnerId> {
 
-    /**
-     * Checks the text.
-     *
-     * @param value the identifier's text
-     */
+    /** Checks the text. */
     @JsonCreator(mode = JsonCreator.Mode.DELEGATING)
     public PartnerId {
         Identifiers.check("partner", value);
--- a/troutpier-common/src/main/java/org/troutpier/common/id/RequestId.java
+++ b/troutpier-common/src/main/java/org/troutpier/common/id/RequestId.java
@@ -4,18 +4,14 @@
 import com.fasterxml.jackson.annotation.JsonValue;
 
 /**
- * Names one attempt-spanning request; made by the router that accepted it. Immutable and safe to
- * share between threads.
+ * Identifier of a request, shared by all of its attempts; assigned by the router that accepted it.
+ * Immutable and safe to share between threads.
  *
  * @param value the identifier's text, checked by {@link Identifiers#check(String, String)}
  */
 public record RequestId(@JsonValue String value) implements Comparable<RequestId> {
 
-    /**
-     * Checks the text.
-     *
-     * @param value the identifier's text
-     */
+    /** Checks the text. */
     @JsonCreator(mode = JsonCreator.Mode.DELEGATING)
     public RequestId {
         Identifiers.check("request", value);
--- a/troutpier-common/src/main/java/org/troutpier/common/id/ServiceName.java
+++ b/troutpier-common/src/main/java/org/troutpier/common/id/ServiceName.java
@@ -4,17 +4,13 @@
 import com.fasterxml.jackson.annotation.JsonValue;
 
 /**
- * Names a plain service; unique within its partner. Immutable and safe to share between threads.
+ * Name of a plain service, unique within its partner. Immutable and safe to share between threads.
  *
  * @param value the identifier's text, checked by {@link Identifiers#check(String, String)}
  */
 public record ServiceName(@JsonValue String value) implements Comparable<ServiceName> {
 
-    /**
-     * Checks the text.
-     *
-     * @param value the identifier's text
-     */
+    /** Checks the text. */
     @JsonCreator(mode = JsonCreator.Mode.DELEGATING)
     public ServiceName {
         Identifiers.check("service", value);
--- a/troutpier-common/src/main/java/org/troutpier/common/id/UpstreamId.java
+++ b/troutpier-common/src/main/java/org/troutpier/common/id/UpstreamId.java
@@ -4,18 +4,14 @@
 import com.fasterxml.jackson.annotation.JsonValue;
 
 /**
- * Names an upstream: a model engine or a plain service's replica. Immutable and safe to share
- * between threads.
+ * Identifier of an upstream: a model engine or a replica of a plain service. Immutable and safe to
+ * share between threads.
  *
  * @param value the identifier's text, checked by {@link Identifiers#check(String, String)}
  */
 public record UpstreamId(@JsonValue String value) implements Comparable<UpstreamId> {
 
-    /**
-     * Checks the text.
-     *
-     * @param value the identifier's text
-     */
+    /** Checks the text. */
     @JsonCreator(mode = JsonCreator.Mode.DELEGATING)
     public UpstreamId {
         Identifiers.check("upstream", value);
--- a/troutpier-common/src/main/java/org/troutpier/common/id/UpstreamIncarnation.java
+++ b/troutpier-common/src/main/java/org/troutpier/common/id/UpstreamIncarnation.java
@@ -4,32 +4,29 @@
 import com.fasterxml.jackson.annotation.JsonValue;
 
 /**
- * Names one start of an upstream: an upstream may start again under the id that it had, and then
- * holds and knows nothing of before. Immutable and safe to share between threads. Starts of the
- * same upstream compare by the upstream's own clock, which is compared with no other.
+ * Identifier of one run of an upstream: an upstream may restart under the same id, and then has
+ * lost all state of its previous run. Immutable and safe to share between threads. Runs of the same
+ * upstream are ordered by the upstream's own clock, which is never compared with another clock.
  *
  * @param id the upstream
- * @param startMillis when it started, milliseconds by its own clock; {@link #UNKNOWN} where it has
- *     not said so
+ * @param startMillis start time by its own clock, milliseconds; {@link #UNKNOWN} if it was not
+ *     reported
  */
 public record UpstreamIncarnation(UpstreamId id, long startMillis)
         implements Comparable<UpstreamIncarnation> {
 
-    /** The start of an upstream that has not said when it started. */
+    /** The start time of an upstream that did not report one. */
     public static final long UNKNOWN = 0;
 
-    /** Parts the id from the start; no id has it. */
     private static final char SEPARATOR = '~';
 
-    /** The base in which the start is written: short, since it travels with each report of load. */
-    private static final int BASE = Character.MAX_RADIX;
-
     /**
-     * Checks the start.
-     *
-     * @param id the upstream
-     * @param startMillis when it started
+     * Radix in which the start time is written: the largest, for a short text, since each load
+     * report has it.
      */
+    private static final int BASE = Character.MAX_RADIX;
+
+    /** Checks the start time. */
     public UpstreamIncarnation {
         if (startMillis < 0) {
             throw new IllegalArgumentException("not a start: " + startMillis);
@@ -37,10 +34,9 @@
     }
 
     /**
-     * Reads an incarnation.
+     * Parses an incarnation.
      *
      * @param text {@code id}, or {@code id~start}
-     * @return the incarnation
      */
     @JsonCreator(mode = JsonCreator.Mode.DELEGATING)
     public static UpstreamIncarnation of(String text) {
@@ -53,10 +49,9 @@
     }
 
     /**
-     * Returns whether this upstream has started again since another of its starts. A start that is
-     * not known is no news of a restart.
+     * Returns whether this run began after another run of the same upstream. An unknown start time
+     * is no evidence of a restart.
      *
-     * @param other the other start
      * @return whether this one is known to be later
      */
     public boolean startedAfter(UpstreamIncarnation other) {
@@ -66,10 +61,9 @@
     }
 
     /**
-     * Returns whether this may be the same start as another one, as far as both are known.
+     * Returns whether this may be the same run as another, as far as both start times are known.
      *
-     * @param other the other start
-     * @return whether the upstream is the same and the starts do not differ
+     * @return whether the upstream is the same and the known start times do not differ
      */
     public boolean mayEqual(UpstreamIncarnation other) {
         return id.equals(other.id)
--- a/troutpier-common/src/main/java/org/troutpier/common/id/package-info.java
+++ b/troutpier-common/src/main/java/org/troutpier/common/id/package-info.java
@@ -1,2 +1,2 @@
-/** Value types for the identifiers that travel between processes. */
+/** Value types for identifiers that are exchanged between processes. */
 package org.troutpier.common.id;
--- a/troutpier-common/src/main/java/org/troutpier/common/logging/DaemonLogging.java
+++ b/troutpier-common/src/main/java/org/troutpier/common/logging/DaemonLogging.java
@@ -9,29 +9,29 @@
 import org.apache.logging.log4j.core.config.LoggerConfig;
 
 /**
- * How a daemon logs: JSON lines on standard output, through a queue that drops and counts lines
- * when it is full ({@link DropWhenFull}). Built in code, because a configuration file has the
- * library look for its parts by name, which took almost half of a start. Thread safe once it is in
- * force.
+ * Log4j configuration of a daemon: JSON lines on standard output, through a queue that drops and
+ * counts lines when it is full ({@link DropWhenFull}). Built in code, because with a configuration
+ * file the library looks up its plug-ins by name, which took almost half of the start-up time.
+ * Thread safe once installed.
  */
 public final class DaemonLogging extends AbstractConfiguration {
 
-    /** How many lines wait to be written at most: a few seconds of a busy router. */
+    /** Capacity of the queue, lines: a few seconds of output of a busy router. */
     private static final int QUEUE_LINES = 1024;
 
-    /** How long a stop waits for lines that are left, milliseconds. */
+    /** How long a stop waits for queued lines to be written, milliseconds. */
     private static final int STOP_MILLIS = 500;
 
-    /** The appender that writes. */
     private static final String OUTPUT = "console";
 
-    /** The appender that queues. */
     private static final String QUEUE = "queue";
 
-    /** The property for which the library would ask the resolver of host names. */
     private static final String HOST_NAME = "hostName";
 
-    /** Creates a configuration. The daemon's own hook ends logging, after its last line. */
+    /**
+     * Creates a configuration without the library's shutdown hook; the daemon's own hook stops
+     * logging after its last line.
+     */
     private DaemonLogging() {
         super(null, ConfigurationSource.NULL_SOURCE);
         setName("daemon");
@@ -40,24 +40,21 @@
     }
 
     /**
-     * Puts this way to log in force; to be called before the first logger is asked for, since the
-     * library would look for a configuration file else.
+     * Installs this configuration; must be called before the first logger is created, since the
+     * library would otherwise look for a configuration file.
      */
     public static void install() {
         Configurator.initialize(DaemonLogging.class.getClassLoader(), configuration());
     }
 
-    /**
-     * Returns a configuration that is not in force yet.
-     *
-     * @return the configuration
-     */
+    /** Returns a configuration that is not installed. */
     static DaemonLogging configuration() {
         return new DaemonLogging();
     }
 
     /**
-     * {@inheritDoc} The library's way would load all of its plug-ins, none of which is named here.
+     * {@inheritDoc} The default implementation would load all plug-ins of the library, none of
+     * which is used here.
      */
     @Override
     public void initialize() {
@@ -85,11 +82,6 @@
         quiet("io.netty");
     }
 
-    /**
-     * Lets a library log errors only.
-     *
-     * @param logger what its loggers' names begin with
-     */
     private void quiet(String logger) {
         addLogger(logger, new LoggerConfig(logger, Level.ERROR, true));
     }
--- a/troutpier-common/src/main/java/org/troutpier/common/logging/JsonLinesLayout.java
+++ b/troutpier-common/src/main/java/org/troutpier/common/logging/JsonLinesLayout.java
@@ -16,12 +16,11 @@
 /**
  * Writes each event as one line of JSON: {@code at} (milliseconds of the wall clock), {@code
  * level}, {@code source}, {@code message} (an object where the event has named values, else text)
- * and {@code error} (the stack trace, where there is one). Thread safe. It does what the library's
- * template layout did, which took a quarter of a start to read its template.
+ * and {@code error} (the stack trace, where there is one). Thread safe. Replaces the library's
+ * template layout, which took a quarter of the start-up time to read its template.
  */
 public final class JsonLinesLayout extends AbstractStringLayout {
 
-    /** Writes JSON. */
     private static final JsonFactory JSON = new JsonFactory();
 
     /** Creates a layout. */
@@ -54,7 +53,6 @@
      * Writes a message.
      *
      * @param json where to
-     * @param message the message
      * @throws IOException if it cannot be written
      */
     private static void write(JsonGenerator json, Message message) throws IOException {
--- a/troutpier-common/src/main/java/org/troutpier/common/logging/LogThrottle.java
+++ b/troutpier-common/src/main/java/org/troutpier/common/logging/LogThrottle.java
@@ -1,31 +1,31 @@
 package org.troutpier.common.logging;
 
 /**
- * Keeps lines apart that may come often. Confined to one thread. Invariant: of any two lines, the
- * later one is a pause or more after the other.
+ * Limits how often a log line is written. Confined to one thread. Invariant: two lines are at least
+ * the interval apart.
  */
 public final class LogThrottle {
 
-    /** The shortest time between two lines, milliseconds. */
+    /** Minimum interval between two lines, milliseconds. */
     private final long mMillis;
 
-    /** When the last line was due, milliseconds. */
+    /** When the last line was written, milliseconds. */
     private long mLineAt = Long.MIN_VALUE / 2;
 
     /**
-     * Creates a pause that is over.
+     * Creates a throttle that permits a first line.
      *
-     * @param millis the shortest time between two lines, milliseconds
+     * @param millis minimum interval between two lines, milliseconds
      */
     public LogThrottle(long millis) {
         mMillis = millis;
     }
 
     /**
-     * Returns whether a line may be written, and begins the next pause if so.
+     * Returns whether a line may be written, and starts the next interval if so.
      *
      * @param now the monotonic clock, milliseconds
-     * @return whether the last one was long enough ago
+     * @return whether the interval since the last line has passed
      */
     public boolean tryAcquire(long now) {
         boolean over = now - mLineAt >= mMillis;
--- a/troutpier-common/src/main/java/org/troutpier/common/logging/StandardOutputAppender.java
+++ b/troutpier-common/src/main/java/org/troutpier/common/logging/StandardOutputAppender.java
@@ -7,10 +7,10 @@
 import org.apache.logging.log4j.core.config.Property;
 
 /**
- * Writes lines to standard output as it is when the appender is made. Thread safe: a line is
- * written by one call. The library's own appender checks its settings by reflection. Without it,
- * without the library's plug-ins and with text joined by plain code a start took 272 ms of
- * processor time in place of 289 (median of eight, by turns).
+ * Writes lines to the stream that is standard output when the appender is created. Thread safe: a
+ * line is written by one call. The library's own appender checks its settings by reflection.
+ * Without it, without the library's plug-ins and with strings concatenated by plain code a start
+ * took 272 ms of processor time instead of 289 ms (median of eight alternating runs).
  */
 final class StandardOutputAppender extends AbstractAppender {
 
@@ -20,7 +20,6 @@
     /**
      * Creates an appender.
      *
-     * @param name its name
      * @param layout makes the lines
      */
     StandardOutputAppender(String name, Layout<String> layout) {
--- a/troutpier-common/src/main/java/org/troutpier/common/logging/package-info.java
+++ b/troutpier-common/src/main/java/org/troutpier/common/logging/package-info.java
@@ -1,2 +1,2 @@
-/** How log lines are written without holding up those who write them. */
+/** Non-blocking logging as JSON lines. */
 package org.troutpier.common.logging;
--- a/troutpier-common/src/main/java/org/troutpier/common/settings/Address.java
+++ b/troutpier-common/src/main/java/org/troutpier/common/settings/Address.java
@@ -4,24 +4,23 @@
 import java.util.regex.Pattern;
 
 /**
- * An IP number and a port. Immutable and thread safe.
+ * An IP address and a port. Immutable and thread safe.
  *
- * @param host the IP number
- * @param port the port; 0 lets the system choose where a server listens
+ * @param host the IP address
+ * @param port the port; 0 lets the operating system choose one for a server
  */
 public record Address(String host, int port) {
 
-    /** What IP numbers are made of; compiled once, since each row of an upstream has one. */
+    /** Characters of an IP address; compiled once, since each upstream row has an address. */
     private static final Pattern NUMBER = Pattern.compile("[0-9.]+|[0-9a-fA-F:]+");
 
     /** The largest port. */
     private static final int MAX_PORT = 65535;
 
     /**
-     * Checks the fields.
+     * Validates the fields.
      *
-     * @param host the IP number
-     * @param port the port
+     * @param host the IP address
      */
     public Address {
         Check.present("host", host);
@@ -30,20 +29,19 @@
     }
 
     /**
-     * Makes the address of a socket that is bound or connected.
+     * Returns the address of a bound or connected socket.
      *
      * @param socket where it is
-     * @return the address, its host as an IP number
+     * @return the address, its host as an IP address
      */
     public static Address of(InetSocketAddress socket) {
         return new Address(socket.getAddress().getHostAddress(), socket.getPort());
     }
 
     /**
-     * Reads an address.
+     * Parses an address.
      *
-     * @param text the IP number, a colon and the port
-     * @return the address
+     * @param text IP address, colon and port
      */
     public static Address parse(String text) {
         int colon = text.lastIndexOf(':');
@@ -56,20 +54,15 @@
         }
     }
 
-    /**
-     * Returns the address as sockets take it.
-     *
-     * @return the socket address
-     */
+    /** Returns the socket address. */
     public InetSocketAddress socket() {
         return new InetSocketAddress(host, port);
     }
 
     /**
-     * Returns the URL of a path here.
+     * Returns the URL of a path at this address.
      *
      * @param path the path, with its slash
-     * @return the URL
      */
     public String url(String path) {
         return "http://" + this + path;
--- a/troutpier-common/src/main/java/org/troutpier/common/settings/CheckedYaml.java
+++ b/troutpier-common/src/main/java/org/troutpier/common/settings/CheckedYaml.java
@@ -23,12 +23,12 @@
 import org.troutpier.common.result.TroutpierException;
 
 /**
- * Reads YAML into records and refuses whatever is not exactly what the record takes. Thread safe:
- * the mapper is never changed after construction.
+ * Reads YAML into records with strict validation. Thread safe: the mapper is never changed after
+ * construction.
  */
 public final class CheckedYaml {
 
-    /** Refuses unknown, missing, null and wrongly typed fields. */
+    /** Rejects unknown, missing, null and wrongly typed fields. */
     private static final YAMLMapper MAPPER =
             YAMLMapper.builder()
                     .enable(DeserializationFeature.FAIL_ON_UNKNOWN_PROPERTIES)
@@ -39,16 +39,12 @@
                     .disable(MapperFeature.ALLOW_COERCION_OF_SCALARS)
                     .build();
 
-    /** Not to be instantiated. */
     private CheckedYaml() {}
 
     /**
      * Reads a file.
      *
-     * @param file the file to read
-     * @param type the record to make
      * @param <T> the record's type
-     * @return the record
      */
     public static <T> T read(Path file, Class<T> type) {
         try {
@@ -62,11 +58,7 @@
     /**
      * Reads a text.
      *
-     * @param name what the text is called in messages
-     * @param text the YAML
-     * @param type the record to make
      * @param <T> the record's type
-     * @return the record
      */
     public static <T> T parse(String name, String text, Class<T> type) {
         try {
@@ -84,12 +76,9 @@
     }
 
     /**
-     * Checks that every field is known, so that a misspelt one is named rather than the one that is
-     * missing for it.
+     * Checks that every field is known, so that the error names a misspelt field rather than the
+     * one that is missing because of it.
      *
-     * @param name the text's name
-     * @param text the YAML
-     * @param type the record to make
      * @throws JsonProcessingException when the text is no YAML
      */
     private static void requireKnownFields(String name, String text, Class<?> type)
@@ -102,11 +91,8 @@
     }
 
     /**
-     * Finds a field that the type does not have.
+     * Finds the first field that the type does not have.
      *
-     * @param node the tree
-     * @param type the type that it is to become
-     * @param path where the tree stands
      * @return the path of the first unknown field
      */
     private static Optional<String> unknownField(JsonNode node, Type type, String path) {
@@ -140,14 +126,7 @@
         return Optional.empty();
     }
 
-    /**
-     * Turns a mapping fault into one with file, line and field.
-     *
-     * @param name the text's name
-     * @param text the YAML
-     * @param exception the fault
-     * @return the exception to throw
-     */
+    /** Converts a mapping exception into one with file, line and field. */
     private static TroutpierException translated(
             String name, String text, JsonMappingException exception) {
         String path =
@@ -165,12 +144,6 @@
         return fault(name, line > 0 ? line : line(exception), path, message);
     }
 
-    /**
-     * Says what is wrong in words that fit a settings file.
-     *
-     * @param exception the fault
-     * @return the words
-     */
     private static String message(JsonMappingException exception) {
         if (exception instanceof UnrecognizedPropertyException) {
             return "is not a known field";
@@ -186,11 +159,7 @@
     /**
      * Makes the exception.
      *
-     * @param name the text's name
      * @param line the line, from 1
-     * @param field the field's path
-     * @param message what is wrong
-     * @return the exception to throw
      */
     private static TroutpierException fault(String name, int line, String field, String message) {
         String where = field.isEmpty() ? "" : " field " + field.replace('/', '.');
@@ -199,9 +168,8 @@
     }
 
     /**
-     * Returns the line of a parser's fault.
+     * Returns the line of a parser error.
      *
-     * @param exception the fault
      * @return the line, from 1
      */
     private static int line(JsonProcessingException exception) {
@@ -209,11 +177,9 @@
     }
 
     /**
-     * Finds the line on which a field stands.
+     * Finds the line of a field.
      *
-     * @param text the YAML
-     * @param pointer the field as a JSON pointer
-     * @return the line from 1, or 0 where the field is not there
+     * @return the line from 1, or 0 if the field is absent
      */
     private static int lineOf(String text, String pointer) {
         try (JsonParser parser = MAPPER.createParser(text)) {
--- a/troutpier-common/src/main/java/org/troutpier/common/settings/FieldException.java
+++ b/troutpier-common/src/main/java/org/troutpier/common/settings/FieldException.java
@@ -1,9 +1,8 @@
 package org.troutpier.common.settings;
 
-/** Says which field of the record under construction is wrong. Immutable and thread safe. */
+/** Thrown when a field of a record under construction is invalid. Immutable and thread safe. */
 public final class FieldException extends IllegalArgumentException {
 
-    /** Serial version, as every throwable has one. */
     private static final long serialVersionUID = 1L;
 
     /** The field's name within its record. */
@@ -13,18 +12,13 @@
      * Creates an exception.
      *
      * @param field the field's name within its record
-     * @param message what is wrong with it
      */
     public FieldException(String field, String message) {
         super(message);
         mField = field;
     }
 
-    /**
-     * Returns the field's name within its record.
-     *
-     * @return the field
-     */
+    /** Returns the field's name within its record. */
     public String field() {
         return mField;
     }
--- a/troutpier-common/src/main/java/org/troutpier/common/settings/Secret.java
+++ b/troutpier-common/src/main/java/org/troutpier/common/settings/Secret.java
@@ -4,14 +4,14 @@
 import com.fasterxml.jackson.annotation.JsonValue;
 
 /**
- * A text of the settings that is not to be shown, as in the line that a process logs at its start.
- * Immutable and thread safe.
+ * A text of the settings that must not be shown, for example in the settings that a process logs at
+ * start-up. Immutable and thread safe.
  *
  * @param value the text
  */
 public record Secret(@JsonValue String value) {
 
-    /** The shortest secret that is taken, characters. */
+    /** Minimum length of a secret, characters. */
     private static final int SHORTEST = 16;
 
     /** Checks the text. */
@@ -20,11 +20,7 @@
         Check.present("value", value);
     }
 
-    /**
-     * Checks that the secret is long enough.
-     *
-     * @param field the field that it stands in, for the message
-     */
+    /** Checks that the secret is long enough. */
     public void requireMinimumLength(String field) {
         Check.that(
                 field,
--- a/troutpier-common/src/main/java/org/troutpier/common/settings/package-info.java
+++ b/troutpier-common/src/main/java/org/troutpier/common/settings/package-info.java
@@ -1,2 +1,2 @@
-/** Checked YAML: every fault is told with file, line and field. */
+/** Validated YAML settings: each error names file, line and field. */
 package org.troutpier.common.settings;
--- a/troutpier-common/src/main/java/org/troutpier/common/time/ElapsedClock.java
+++ b/troutpier-common/src/main/java/org/troutpier/common/time/ElapsedClock.java
@@ -6,41 +6,41 @@
 import org.apache.logging.log4j.Logger;
 
 /**
- * A monotonic clock that also counts the time for which the machine was suspended. The system's own
- * stands still meanwhile: after ten seconds that a router did not see, it believed that it held a
- * lease which another had taken. The time of day goes on, so where it moved on much further than
- * the monotonic clock between two looks, the difference is taken for a suspension. It may have been
- * set ahead instead; then what is known looks older than it is, and is read anew. A suspension
- * during which the time of day is set back by as much is not seen. Thread safe. Invariant: it never
- * goes back.
+ * A monotonic clock that includes the time for which the machine was suspended. The system's
+ * monotonic clock stops during a suspension: after one of ten seconds, a router believed that it
+ * still held a lease that another had taken. The wall clock continues, so if it advanced much
+ * further than the monotonic clock between two readings, the difference is counted as a suspension.
+ * If it was set ahead instead, cached state looks older than it is and is read again. A suspension
+ * is not detected if the wall clock is set back by as much meanwhile. Thread safe. Invariant: it
+ * never goes back.
  */
 public final class ElapsedClock implements LongSupplier {
 
     /**
-     * How much further the time of day must have moved on, nanoseconds: half of the shortest margin
-     * between routers, and more than its ordinary corrections between two looks.
+     * How much further than the monotonic clock the wall clock must advance to count as a
+     * suspension, nanoseconds: half of the shortest safety margin between routers, and more than
+     * ordinary corrections between two readings.
      */
     static final long LEAST_SUSPENDED_NANOS = TimeUnit.MILLISECONDS.toNanos(500);
 
-    /** Logs suspensions. */
     private static final Logger LOGGER = LogManager.getLogger(ElapsedClock.class);
 
     /** The monotonic clock, nanoseconds. */
     private final LongSupplier mMonotonicNanos;
 
-    /** The time of day, milliseconds. */
+    /** The wall clock, milliseconds. */
     private final LongSupplier mWallMillis;
 
-    /** The monotonic clock at the last look, nanoseconds. */
+    /** The monotonic clock at the last reading, nanoseconds. */
     private long mLastMonotonic;
 
-    /** The time of day at the last look, nanoseconds. */
+    /** The wall clock at the last reading, nanoseconds. */
     private long mLastWall;
 
-    /** For how long the machine was suspended in all, nanoseconds. */
+    /** Total time of all suspensions, nanoseconds. */
     private long mSuspended;
 
-    /** Creates a clock on those of the system. */
+    /** Creates a clock over the system's clocks. */
     public ElapsedClock() {
         this(System::nanoTime, System::currentTimeMillis);
     }
@@ -49,7 +49,7 @@
      * Creates a clock.
      *
      * @param monotonicNanos the monotonic clock, nanoseconds
-     * @param wallMillis the time of day, milliseconds
+     * @param wallMillis the wall clock, milliseconds
      */
     public ElapsedClock(LongSupplier monotonicNanos, LongSupplier wallMillis) {
         mMonotonicNanos = monotonicNanos;
@@ -61,7 +61,7 @@
     /**
      * Returns the time.
      *
-     * @return nanoseconds since an arbitrary moment
+     * @return nanoseconds since an arbitrary origin
      */
     @Override
     public synchronized long getAsLong() {
@@ -79,7 +79,7 @@
     }
 
     /**
-     * Returns the time of day.
+     * Returns the wall clock.
      *
      * @return nanoseconds
      */
--- a/troutpier-common/src/main/java/org/troutpier/common/time/package-info.java
+++ b/troutpier-common/src/main/java/org/troutpier/common/time/package-info.java
@@ -1,2 +1,2 @@
-/** Clocks. */
+/** Clock that includes suspensions of the machine. */
 package org.troutpier.common.time;
