--- a/troutpier-cli/src/main/java/org/troutpier/cli/CliMain.java
+++ b/troutpier-cli/src/main/java/org/troutpier/cli/CliMain.java
@@ -21,7 +21,7 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 
-/** The operators' command line. Confined to the main thread. */
+/** The operators' command-line tool. Confined to the main thread. */
 @Command(
         name = "troutpier",
         mixinStandardHelpOptions = true,
@@ -59,16 +59,16 @@
     /**
      * Runs the tool.
      *
-     * @param arguments the command line's words
+     * @param arguments the command-line arguments
      */
     public static void main(String[] arguments) {
         System.exit(commandLine().execute(arguments));
     }
 
     /**
-     * Makes the command line.
+     * Creates the command line.
      *
-     * @return the command line, with faults turned into exit codes
+     * @return the command line, which maps exceptions to exit codes
      */
     static CommandLine commandLine() {
         CommandLine line = new CommandLine(new CliMain());
@@ -85,28 +85,23 @@
         return line;
     }
 
-    /** Where the routers are and who asks. Confined to the main thread. */
+    /** Options for the routers' addresses and the operator's token. Confined to the main thread. */
     static final class Connection {
 
-        /** The settings file. */
         @Option(names = "--settings", description = "YAML file with routers and token")
         private Path mSettings;
 
-        /** The routers. */
         @Option(
                 names = "--router",
                 split = ",",
                 description = "IP:port of the routers' operator ports; env TROUTPIER_ROUTER")
         private List<String> mRouters = new ArrayList<>();
 
-        /** The token. */
         @Option(names = "--token", description = "operator's token; env TROUTPIER_TOKEN")
         private String mToken;
 
         /**
-         * Returns the settings from the file, the options or the environment.
-         *
-         * @return the settings
+         * Returns the settings from the file or, without one, from the options and the environment.
          */
         CliSettings settings() {
             if (mSettings != null) {
@@ -130,11 +125,9 @@
         }
 
         /**
-         * Shows a list as a table, whose first column is the router that reports the entry.
+         * Prints a list as a table, whose first column is the router that reported the entry.
          *
-         * @param path the list's path
-         * @param line how a line is shown, router first
-         * @param columns the other columns
+         * @param line format of a line, router first
          */
         void table(String path, String line, List<Column> columns) {
             Stream<String> headings = columns.stream().map(Column::heading);
@@ -151,13 +144,7 @@
                     });
         }
 
-        /**
-         * Shows a list as each router reports it.
-         *
-         * @param path the list's path
-         * @param heading what is shown above it
-         * @param show shows one entry, with the router that reports it
-         */
+        /** Prints a list as reported by each router. */
         void list(String path, String heading, BiConsumer<Address, JsonNode> show) {
             CliSettings settings = settings();
             try (RouterClient client = new RouterClient(settings.token())) {
@@ -172,8 +159,8 @@
     /**
      * A column of a list.
      *
-     * @param heading what is shown above it
-     * @param field which field of an entry it shows
+     * @param heading the heading
+     * @param field the field of an entry that it shows
      */
     record Column(String heading, String field) {}
 
@@ -184,7 +171,6 @@
             description = "Checks declarations in files.")
     static final class Validate implements Callable<Integer> {
 
-        /** The files. */
         @Option(names = "-f", required = true, description = "directory or file")
         private Path mFiles;
 
@@ -199,17 +185,15 @@
         }
     }
 
-    /** Compares declarations in files with those in force. */
+    /** Compares declarations in files with the active ones. */
     @Command(
             name = "diff",
             mixinStandardHelpOptions = true,
             description = "Compares declarations in files with those in force.")
     static final class Diff implements Callable<Integer> {
 
-        /** Where the routers are. */
         @Mixin private Connection mConnection;
 
-        /** The files. */
         @Option(names = "-f", required = true, description = "directory or file")
         private Path mFiles;
 
@@ -227,17 +211,15 @@
         }
     }
 
-    /** Puts declarations in force. */
+    /** Applies declarations. */
     @Command(
             name = "apply",
             mixinStandardHelpOptions = true,
             description = "Puts declarations in files in force everywhere, or is refused.")
     static final class Apply implements Callable<Integer> {
 
-        /** Where the routers are. */
         @Mixin private Connection mConnection;
 
-        /** The files. */
         @Option(names = "-f", required = true, description = "directory or file")
         private Path mFiles;
 
@@ -277,14 +259,11 @@
             })
     static final class Run implements Callable<Integer> {
 
-        /** Where the routers are. */
         @Mixin private Connection mConnection;
 
-        /** The text. */
         @Parameters(paramLabel = "TEXT", description = "the query or command")
         private String mText;
 
-        /** The form of the output. */
         @Option(names = "--output", defaultValue = "table", description = "table or json")
         private String mOutput;
 
@@ -307,14 +286,13 @@
         }
     }
 
-    /** Shows how every router fares. */
+    /** Shows the status of every router. */
     @Command(
             name = "status",
             mixinStandardHelpOptions = true,
             description = "Shows whether every router takes work, and its version.")
     static final class Status implements Callable<Integer> {
 
-        /** Where the routers are. */
         @Mixin private Connection mConnection;
 
         /** {@inheritDoc} */
@@ -350,17 +328,14 @@
             description = "Merges the events of all processes into one time line.")
     static final class ShowTimeline implements Callable<Integer> {
 
-        /** Where the routers are. */
         @Mixin private Connection mConnection;
 
-        /** What the events are about. */
         @Option(
                 names = {"--request", "--upstream", "--change"},
                 defaultValue = "",
                 description = "what the events are about")
         private String mSubject;
 
-        /** Further processes. */
         @Option(names = "--also", split = ",", description = "IP:port of further processes")
         private List<String> mAlso = new ArrayList<>();
 
--- a/troutpier-cli/src/main/java/org/troutpier/cli/CliSettings.java
+++ b/troutpier-cli/src/main/java/org/troutpier/cli/CliSettings.java
@@ -7,7 +7,7 @@
 /**
  * The tool's settings file. Immutable and thread safe.
  *
- * @param routers where the routers take operators
+ * @param routers addresses of the routers' operator ports
  * @param token the operator's token
  */
 record CliSettings(List<Address> routers, String token) {
--- a/troutpier-cli/src/main/java/org/troutpier/cli/DeclarationFiles.java
+++ b/troutpier-cli/src/main/java/org/troutpier/cli/DeclarationFiles.java
@@ -12,13 +12,11 @@
 /** Reads declarations from files. Stateless and thread safe. */
 final class DeclarationFiles {
 
-    /** Not to be instantiated. */
     private DeclarationFiles() {}
 
     /**
      * Reads all YAML files of a directory, or one file.
      *
-     * @param path the directory or the file
      * @return the declarations in it; fails with a {@link CliException} that names every file, line
      *     and field that is wrong
      */
@@ -41,7 +39,6 @@
     /**
      * Lists the YAML files.
      *
-     * @param path the directory or the file
      * @return the files, in the order of their names
      */
     private static List<Path> files(Path path) {
--- a/troutpier-cli/src/main/java/org/troutpier/cli/Difference.java
+++ b/troutpier-cli/src/main/java/org/troutpier/cli/Difference.java
@@ -10,17 +10,14 @@
 import org.troutpier.common.declaration.DeclarationPart;
 import org.troutpier.common.http.Json;
 
-/** Compares declarations in files with those in force. Stateless and thread safe. */
+/** Compares declarations in files with the active ones. Stateless and thread safe. */
 final class Difference {
 
-    /** Not to be instantiated. */
     private Difference() {}
 
     /**
      * Lists the differences, one line each.
      *
-     * @param wanted the declarations in files
-     * @param inForce the declarations in force, as a router sends them
      * @return lines that begin with {@code +}, {@code -} or {@code ~}
      */
     static List<String> between(DeclarationPart wanted, JsonNode inForce) {
@@ -42,12 +39,6 @@
         return lines;
     }
 
-    /**
-     * Finds things by name.
-     *
-     * @param things the things
-     * @return the things by name, in order
-     */
     private static Map<String, JsonNode> byName(JsonNode things) {
         Map<String, JsonNode> byName = new TreeMap<>();
         for (JsonNode thing : things) {
@@ -58,11 +49,8 @@
     }
 
     /**
-     * Compares things of one kind.
+     * Compares the entries of one kind.
      *
-     * @param kind the kind
-     * @param wanted those in files
-     * @param inForce those in force
      * @param lines where the differences go
      */
     private static void compare(
@@ -84,11 +72,8 @@
     }
 
     /**
-     * Compares the fields of one thing.
+     * Compares the fields of one entry.
      *
-     * @param thing the thing
-     * @param wanted as in the files
-     * @param inForce as in force
      * @param lines where the differences go
      */
     private static void fields(
--- a/troutpier-cli/src/main/java/org/troutpier/cli/ExitCode.java
+++ b/troutpier-cli/src/main/java/org/troutpier/cli/ExitCode.java
@@ -2,48 +2,34 @@
 
 import org.troutpier.common.result.ResultCode;
 
-/** What the tool's exit codes mean. Immutable and thread safe. */
+/** Exit codes of the tool. Immutable and thread safe. */
 enum ExitCode {
-    /** Done; a change is in force everywhere. */
+    /** Success; a change is active on all routers. */
     DONE(0),
     /** Refused: nothing was changed. */
     REFUSED(1),
-    /** The words or the files are wrong. */
+    /** The arguments or the files are invalid. */
     WRONG_INPUT(2),
-    /** It is not known, or not yet everywhere. */
+    /** The outcome is unknown, or the change is not yet active on all routers. */
     UNKNOWN(3),
     /** No router was reached. */
     UNREACHED(4),
     /** There are differences. */
     DIFFERS(5);
 
-    /** The number. */
     private final int mNumber;
 
-    /**
-     * Creates an exit code.
-     *
-     * @param number the number
-     */
+    /** Creates an exit code. */
     ExitCode(int number) {
         mNumber = number;
     }
 
-    /**
-     * Returns the number.
-     *
-     * @return the number
-     */
+    /** Returns the number. */
     int number() {
         return mNumber;
     }
 
-    /**
-     * Returns the exit code for a router's result code.
-     *
-     * @param family what is known of the work, as on the wire
-     * @return the exit code
-     */
+    /** Returns the exit code for a router's result code. */
     static ExitCode of(String family) {
         return ResultCode.Family.NOT_RUN.label().equals(family) ? REFUSED : UNKNOWN;
     }
--- a/troutpier-cli/src/main/java/org/troutpier/cli/NoticesCommand.java
+++ b/troutpier-cli/src/main/java/org/troutpier/cli/NoticesCommand.java
@@ -5,7 +5,7 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Mixin;
 
-/** Shows what upstreams announce of themselves. Confined to one thread. */
+/** Shows the leaving and back-off notices of upstreams. Confined to one thread. */
 @Command(
         name = "notices",
         mixinStandardHelpOptions = true,
@@ -19,10 +19,9 @@
         })
 final class NoticesCommand implements Callable<Integer> {
 
-    /** How an upstream is shown. */
+    /** Format of a line. */
     private static final String LINE = "%-20s %-20s %8s %12s %8s %10s%n";
 
-    /** What is shown of an upstream. */
     private static final List<CliMain.Column> COLUMNS =
             List.of(
                     new CliMain.Column("upstream", "upstream"),
@@ -31,7 +30,6 @@
                     new CliMain.Column("sent", "sentSince"),
                     new CliMain.Column("withheld", "withheld"));
 
-    /** Where the routers are. */
     @Mixin private CliMain.Connection mConnection;
 
     /** {@inheritDoc} */
--- a/troutpier-cli/src/main/java/org/troutpier/cli/OrganisationsCommand.java
+++ b/troutpier-cli/src/main/java/org/troutpier/cli/OrganisationsCommand.java
@@ -9,7 +9,7 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Mixin;
 
-/** Shows what organisations use against their limits. Confined to one thread. */
+/** Shows the usage and limits of organisations. Confined to one thread. */
 @Command(
         name = "organisations",
         mixinStandardHelpOptions = true,
@@ -23,10 +23,9 @@
         })
 final class OrganisationsCommand implements Callable<Integer> {
 
-    /** How an organisation is shown. */
+    /** Format of a line. */
     private static final String LINE = "%-20s %-20s %-8s %10s %10s %10s %10s %8s  %s%n";
 
-    /** Where the routers are. */
     @Mixin private CliMain.Connection mConnection;
 
     /** {@inheritDoc} */
@@ -47,12 +46,6 @@
         return 0;
     }
 
-    /**
-     * Shows one organisation.
-     *
-     * @param router who reports it
-     * @param organisation what it reports
-     */
     private static void show(Address router, JsonNode organisation) {
         List<String> keys = new ArrayList<>();
         organisation.path("keys").forEach(key -> keys.add(key.asText()));
--- a/troutpier-cli/src/main/java/org/troutpier/cli/QuarantineCommand.java
+++ b/troutpier-cli/src/main/java/org/troutpier/cli/QuarantineCommand.java
@@ -11,7 +11,7 @@
 import picocli.CommandLine.Mixin;
 import picocli.CommandLine.Option;
 
-/** Shows the requests under which upstreams ended, or clears one. Confined to one thread. */
+/** Shows the requests that crashed upstreams, or clears one. Confined to one thread. */
 @Command(
         name = "quarantine",
         mixinStandardHelpOptions = true,
@@ -24,16 +24,16 @@
         })
 final class QuarantineCommand implements Callable<Integer> {
 
-    /** How a request is shown: its name, whether it is held, cleared how often, what ended. */
+    /**
+     * Format of a line: short name, whether it is held, how often it was cleared, upstreams that
+     * crashed.
+     */
     private static final String LINE = "%-10s %-6s %7s  %s%n";
 
-    /** What names a request: its short name, or more of its fingerprint. */
     private static final Pattern NAME = Pattern.compile("[0-9a-f]{8,32}");
 
-    /** Where the routers are. */
     @Mixin private CliMain.Connection mConnection;
 
-    /** The request to be cleared. */
     @Option(
             names = "--clear",
             defaultValue = "",
@@ -62,9 +62,8 @@
     }
 
     /**
-     * Shows what the first router that is reached knows.
+     * Prints the quarantine of the first router that can be reached.
      *
-     * @param client asks the routers
      * @param routers where they are
      */
     private static void show(RouterClient client, List<Address> routers) {
--- a/troutpier-cli/src/main/java/org/troutpier/cli/RatesCommand.java
+++ b/troutpier-cli/src/main/java/org/troutpier/cli/RatesCommand.java
@@ -5,7 +5,7 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Mixin;
 
-/** Shows the rates that upstreams in need name. Confined to one thread. */
+/** Shows the request rates that overloaded upstreams announced. Confined to one thread. */
 @Command(
         name = "rates",
         mixinStandardHelpOptions = true,
@@ -20,10 +20,9 @@
         })
 final class RatesCommand implements Callable<Integer> {
 
-    /** How an upstream is shown. */
+    /** Format of a line. */
     private static final String LINE = "%-20s %-20s %10s %10s %10s %10s %10s%n";
 
-    /** What is shown of an upstream. */
     private static final List<CliMain.Column> COLUMNS =
             List.of(
                     new CliMain.Column("upstream", "upstream"),
@@ -33,7 +32,6 @@
                     new CliMain.Column("elsewhere", "elsewhere"),
                     new CliMain.Column("withheld", "withheld"));
 
-    /** Where the routers are. */
     @Mixin private CliMain.Connection mConnection;
 
     /** {@inheritDoc} */
--- a/troutpier-cli/src/main/java/org/troutpier/cli/RouterClient.java
+++ b/troutpier-cli/src/main/java/org/troutpier/cli/RouterClient.java
@@ -13,60 +13,49 @@
 import org.troutpier.common.result.TroutpierException;
 import org.troutpier.common.settings.Address;
 
-/** Talks to routers. Confined to the command line's thread. */
+/** Client of the routers' operator ports. Confined to the command line's thread. */
 final class RouterClient implements AutoCloseable {
 
-    /** How long a change may take, milliseconds. */
+    /** Time limit of a change, milliseconds. */
     private static final int CHANGE_MILLIS = 15_000;
 
-    /** Carries the traffic. */
     private final EventLoopGroup mLoops = new NioEventLoopGroup(1);
 
-    /** Sends the requests. */
     private final HttpClient mCalls = new HttpClient(mLoops);
 
-    /** The operator's token. */
     private final String mToken;
 
-    /**
-     * Creates a client.
-     *
-     * @param token the operator's token
-     */
+    /** Creates a client. */
     RouterClient(String token) {
         mToken = token;
     }
 
     /**
-     * Asks one address.
+     * Sends a GET request to one address.
      *
      * @param address where
      * @param path the path and query
-     * @return the answer; fails with {@link CallFailedException}
+     * @return the response; fails with {@link CallFailedException}
      */
     HttpReply get(Address address, String path) {
         return send(HttpCall.of("GET", address.url(path)));
     }
 
     /**
-     * Sends JSON to the first router that can be reached. A router that may have got it is never
-     * followed by another.
+     * Sends JSON to the first router that can be reached. If a router may have received it, no
+     * other router is tried.
      *
-     * @param routers the routers
-     * @param path the path
-     * @param body what to send
-     * @return the answer's JSON; fails with a {@link CliException}
+     * @return the JSON of the response; fails with a {@link CliException}
      */
     JsonNode post(List<Address> routers, String path, Object body) {
         return first(routers, "POST", path, body);
     }
 
     /**
-     * Asks the first router that can be reached.
+     * Sends a GET request to the first router that can be reached.
      *
-     * @param routers the routers
      * @param path the path and query
-     * @return the answer's JSON; fails with a {@link CliException}
+     * @return the JSON of the response; fails with a {@link CliException}
      */
     JsonNode ask(List<Address> routers, String path) {
         return first(routers, "GET", path, null);
@@ -75,11 +64,8 @@
     /**
      * Sends to the first router that can be reached.
      *
-     * @param routers the routers
-     * @param method the HTTP method
      * @param path the path and query
      * @param body what to send as JSON, or null
-     * @return the answer's JSON
      */
     private JsonNode first(List<Address> routers, String method, String path, Object body) {
         CallFailedException last = null;
@@ -99,12 +85,7 @@
         throw new CliException(ExitCode.UNREACHED, "no router was reached: " + last.getMessage());
     }
 
-    /**
-     * Reads an answer, and fails where it tells a result code.
-     *
-     * @param reply the answer
-     * @return its JSON
-     */
+    /** Reads a response, and fails if it has a result code. */
     private static JsonNode checked(HttpReply reply) {
         JsonNode body;
         try {
@@ -125,12 +106,6 @@
                         + (again.isEmpty() ? "" : " (come back in " + again + " s)"));
     }
 
-    /**
-     * Sends a request and waits for the answer.
-     *
-     * @param call the request
-     * @return the answer
-     */
     private HttpReply send(HttpCall call) {
         try {
             return mCalls.call(call.withHeader("Authorization", "Bearer " + mToken)).join();
--- a/troutpier-cli/src/main/java/org/troutpier/cli/Texts.java
+++ b/troutpier-cli/src/main/java/org/troutpier/cli/Texts.java
@@ -5,16 +5,14 @@
 import java.util.List;
 import java.util.Locale;
 
-/** Lays out text for people. Stateless and thread safe. */
+/** Formats text output. Stateless and thread safe. */
 final class Texts {
 
-    /** Not to be instantiated. */
     private Texts() {}
 
     /**
-     * Lays out rows as a table.
+     * Formats rows as a table.
      *
-     * @param reply the columns and rows as a router sends them
      * @return the lines
      */
     static List<String> table(JsonNode reply) {
@@ -35,9 +33,8 @@
     }
 
     /**
-     * Pads a line's cells.
+     * Pads the cells of a line.
      *
-     * @param cells the cells
      * @param widths how wide each column is
      * @return the line
      */
--- a/troutpier-cli/src/main/java/org/troutpier/cli/Timeline.java
+++ b/troutpier-cli/src/main/java/org/troutpier/cli/Timeline.java
@@ -22,29 +22,22 @@
     private static final DateTimeFormatter TIME =
             DateTimeFormatter.ofPattern("HH:mm:ss.SSS", Locale.ROOT).withZone(ZoneOffset.UTC);
 
-    /** Asks the processes. */
     private final RouterClient mClient;
 
-    /** The events so far. */
     private final List<Event> mEvents = new ArrayList<>();
 
-    /** The processes that did not answer. */
     private final List<Address> mSilent = new ArrayList<>();
 
-    /**
-     * Creates an empty time line.
-     *
-     * @param client asks the processes
-     */
+    /** Creates an empty time line. */
     Timeline(RouterClient client) {
         mClient = client;
     }
 
     /**
-     * Adds the events of processes.
+     * Fetches and adds the events of processes.
      *
      * @param processes where they are
-     * @param subject what the events are about; also its attempts; empty for all
+     * @param subject the subject of the events, including its attempts; empty for all
      * @return this time line
      */
     Timeline add(List<Address> processes, String subject) {
@@ -69,9 +62,8 @@
     }
 
     /**
-     * Returns whether an event is about a subject.
+     * Returns whether an event concerns a subject or one of its attempts.
      *
-     * @param event the event
      * @param subject the subject, or empty
      * @return whether the event's subject is it or one of its attempts
      */
@@ -82,9 +74,9 @@
     }
 
     /**
-     * Lays the time line out.
+     * Formats the time line.
      *
-     * @return one line for each event, oldest first, then one for each silent process
+     * @return one line for each event, oldest first, then one for each process that did not respond
      */
     List<String> lines() {
         mEvents.sort(Comparator.comparingLong(Event::stamp).thenComparing(Event::process));
--- a/troutpier-cli/src/test/java/org/troutpier/cli/CliRun.java
+++ b/troutpier-cli/src/test/java/org/troutpier/cli/CliRun.java
@@ -8,7 +8,7 @@
 /**
  * One run of the tool.
  *
- * @param shown what a person sees
+ * @param shown the output
  * @param exit the exit code
  */
 record CliRun(String shown, int exit) {
--- a/troutpier-cli/src/test/java/org/troutpier/cli/NoticesCommandTest.java
+++ b/troutpier-cli/src/test/java/org/troutpier/cli/NoticesCommandTest.java
@@ -10,7 +10,7 @@
 import org.troutpier.common.http.HttpResponses;
 import org.troutpier.daemon.serving.UpstreamNotices;
 
-/** How operators look at what upstreams say of themselves. */
+/** Tests for the {@code notices} command. */
 public final class NoticesCommandTest {
 
     private RouterStandin mRouter;
--- a/troutpier-cli/src/test/java/org/troutpier/cli/OperatorSessionGoldenTest.java
+++ b/troutpier-cli/src/test/java/org/troutpier/cli/OperatorSessionGoldenTest.java
@@ -28,7 +28,7 @@
 import org.troutpier.standins.platform.ObjectStandin;
 import org.troutpier.standins.platform.TableStandin;
 
-/** Whole sessions of operators with a real router, held against files. */
+/** Complete operator sessions with a real router, compared with approved output. */
 public class OperatorSessionGoldenTest {
 
     private static final Path EXAMPLES = Path.of("..", "examples");
@@ -84,7 +84,6 @@
         mLoop.shutdownGracefully(0, 1, TimeUnit.SECONDS);
     }
 
-    /** Runs the tool and returns what a person sees. */
     private String run(String token, String... words) {
         List<String> all = new ArrayList<>(List.of(words));
         if (!token.isEmpty()) {
@@ -101,7 +100,7 @@
                 + ")\n\n";
     }
 
-    /** Waits until the router has noticed that nobody listens where the engines are declared. */
+    /** Waits until the router has detected that the declared engines do not listen. */
     private String awaitSilentEngines() {
         Awaitility.await()
                 .pollInterval(Duration.ofMillis(50))
--- a/troutpier-cli/src/test/java/org/troutpier/cli/OrganisationsCommandTest.java
+++ b/troutpier-cli/src/test/java/org/troutpier/cli/OrganisationsCommandTest.java
@@ -24,7 +24,7 @@
 import org.troutpier.daemon.route.RoutingConfiguration;
 import org.troutpier.daemon.route.UsageLimit;
 
-/** How operators look at what organisations use. */
+/** Tests for the {@code organisations} command. */
 public final class OrganisationsCommandTest {
 
     private static final String KEY = "a-callers-key";
--- a/troutpier-cli/src/test/java/org/troutpier/cli/QuarantineCommandTest.java
+++ b/troutpier-cli/src/test/java/org/troutpier/cli/QuarantineCommandTest.java
@@ -17,7 +17,7 @@
 import org.troutpier.daemon.quarantine.QuarantineSettings;
 import org.troutpier.daemon.quarantine.RequestFingerprint;
 
-/** How operators look at the quarantine and clear it. */
+/** Tests for the {@code quarantine} command. */
 public final class QuarantineCommandTest {
 
     private static final QuarantineSettings SETTINGS =
@@ -44,7 +44,7 @@
         mRouter.close();
     }
 
-    /** Runs the tool and returns what a person sees, with the exit code in the last line. */
+    /** Runs the tool and returns the output, with the exit code in the last line. */
     private String run(String token, String... words) {
         List<String> all = new ArrayList<>(List.of("quarantine", "--router"));
         all.addAll(List.of(mRouter.address(), "--token", token));
--- a/troutpier-cli/src/test/java/org/troutpier/cli/RatesCommandTest.java
+++ b/troutpier-cli/src/test/java/org/troutpier/cli/RatesCommandTest.java
@@ -10,7 +10,7 @@
 import org.troutpier.common.http.HttpResponses;
 import org.troutpier.daemon.serving.UpstreamRates;
 
-/** How operators look at the rates that upstreams name. */
+/** Tests for the {@code rates} command. */
 public final class RatesCommandTest {
 
     private RouterStandin mRouter;
--- a/troutpier-cli/src/test/java/org/troutpier/cli/RouterStandin.java
+++ b/troutpier-cli/src/test/java/org/troutpier/cli/RouterStandin.java
@@ -9,7 +9,7 @@
 import org.troutpier.common.http.ServerRefusals;
 import org.troutpier.common.settings.Address;
 
-/** What the tool asks of a router, answered by a handler. */
+/** A router stand-in that passes the tool's requests to a handler. */
 final class RouterStandin implements AutoCloseable {
 
     private final EventLoopGroup mLoop = new NioEventLoopGroup(1);
@@ -25,7 +25,7 @@
                         handler);
     }
 
-    /** Returns where it listens, as the tool takes it. */
+    /** Returns its address in the format of the tool's options. */
     String address() {
         return mServer.address().toString();
     }
--- a/troutpier-common/src/test/java/org/troutpier/common/collection/ExpiringMapTest.java
+++ b/troutpier-common/src/test/java/org/troutpier/common/collection/ExpiringMapTest.java
@@ -8,7 +8,7 @@
 import java.util.Optional;
 import org.testng.annotations.Test;
 
-/** What an aging map forgets, and when. */
+/** Tests expiry and eviction. */
 public final class ExpiringMapTest {
 
     @Test
--- a/troutpier-common/src/test/java/org/troutpier/common/declaration/DeclarationPartTest.java
+++ b/troutpier-common/src/test/java/org/troutpier/common/declaration/DeclarationPartTest.java
@@ -12,7 +12,7 @@
 import org.troutpier.common.result.TroutpierException;
 import org.troutpier.common.settings.CheckedYaml;
 
-/** What declarations may say. */
+/** Tests validation of declaration files. */
 public final class DeclarationPartTest {
 
     private static final String CLASS =
--- a/troutpier-common/src/test/java/org/troutpier/common/declaration/TokensTest.java
+++ b/troutpier-common/src/test/java/org/troutpier/common/declaration/TokensTest.java
@@ -8,7 +8,7 @@
 import java.util.Optional;
 import org.testng.annotations.Test;
 
-/** What carries a token, and what looks like the hash of one. */
+/** Tests parsing and hashing of tokens. */
 public final class TokensTest {
 
     @Test
--- a/troutpier-common/src/test/java/org/troutpier/common/http/HttpClientTest.java
+++ b/troutpier-common/src/test/java/org/troutpier/common/http/HttpClientTest.java
@@ -121,7 +121,7 @@
         assertFalse(ended.mEnd.isDone());
     }
 
-    /** Answers on each connection until it is told that those it has go silent. */
+    /** A server that responds on each connection until its open connections are made silent. */
     private static final class SilentLater implements AutoCloseable {
         final ServerSocket mSocket = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
         final List<Socket> mOpen = new CopyOnWriteArrayList<>();
--- a/troutpier-common/src/test/java/org/troutpier/common/http/HttpServerTest.java
+++ b/troutpier-common/src/test/java/org/troutpier/common/http/HttpServerTest.java
@@ -19,7 +19,7 @@
 import org.testng.annotations.Test;
 import org.troutpier.common.settings.Address;
 
-/** How a server ends its connections. */
+/** Tests accepting and closing of connections. */
 public final class HttpServerTest {
 
     private static final int READ_MILLIS = 10_000;
@@ -95,7 +95,7 @@
         assertEquals(handled, List.of("/there"));
     }
 
-    /** A server on a socket that listens already; it accepts nothing yet. */
+    /** Creates a server on a listening socket that does not accept connections yet. */
     private HttpServer server(ListeningSocket socket, HttpHandler handler) {
         return new HttpServer(
                 socket,
--- a/troutpier-common/src/test/java/org/troutpier/common/id/IdentifiersTest.java
+++ b/troutpier-common/src/test/java/org/troutpier/common/id/IdentifiersTest.java
@@ -6,7 +6,7 @@
 import java.util.regex.Pattern;
 import org.testng.annotations.Test;
 
-/** What an identifier may look like. */
+/** Tests validation of identifiers against the pattern. */
 public final class IdentifiersTest {
 
     private static final Pattern ALLOWED = Pattern.compile("[A-Za-z0-9][A-Za-z0-9._:-]{0,79}");
--- a/troutpier-common/src/test/java/org/troutpier/common/id/UpstreamIncarnationTest.java
+++ b/troutpier-common/src/test/java/org/troutpier/common/id/UpstreamIncarnationTest.java
@@ -10,7 +10,7 @@
 import org.testng.annotations.Test;
 import org.troutpier.common.http.Json;
 
-/** How two starts of an upstream are told apart. */
+/** Tests comparison of runs of an upstream. */
 public final class UpstreamIncarnationTest {
 
     private static final UpstreamIncarnation UNTOLD = UpstreamIncarnation.of("i-1");
--- a/troutpier-common/src/test/java/org/troutpier/common/logging/DaemonLoggingTest.java
+++ b/troutpier-common/src/test/java/org/troutpier/common/logging/DaemonLoggingTest.java
@@ -16,7 +16,7 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** What a daemon writes to standard output. */
+/** Tests the log output of a daemon. */
 public final class DaemonLoggingTest {
 
     private final PrintStream mBefore = System.out;
@@ -37,7 +37,7 @@
         mContext.stop();
     }
 
-    /** Ends logging, so that all lines are written, and returns the only one. */
+    /** Stops logging, which flushes the queue, and returns the only line. */
     private JsonNode onlyLine() throws IOException {
         mContext.stop();
         String written = mOutput.toString(StandardCharsets.UTF_8);
--- a/troutpier-common/src/test/java/org/troutpier/common/logging/DropWhenFullTest.java
+++ b/troutpier-common/src/test/java/org/troutpier/common/logging/DropWhenFullTest.java
@@ -18,13 +18,13 @@
 import org.apache.logging.log4j.message.SimpleMessage;
 import org.testng.annotations.Test;
 
-/** That nobody waits for a log. */
+/** Tests that logging never blocks. */
 public final class DropWhenFullTest {
 
     private static final int ROOM = 4;
     private static final int LINES = 50;
 
-    /** An output that stands still until it is let go. */
+    /** An appender that blocks until it is released. */
     private static final class StandingOutput extends AbstractAppender {
         final CountDownLatch mGo = new CountDownLatch(1);
         final List<String> mWritten = new CopyOnWriteArrayList<>();
--- a/troutpier-common/src/test/java/org/troutpier/common/logging/LogThrottleTest.java
+++ b/troutpier-common/src/test/java/org/troutpier/common/logging/LogThrottleTest.java
@@ -5,7 +5,7 @@
 
 import org.testng.annotations.Test;
 
-/** How lines are kept apart. */
+/** Tests the interval between lines. */
 public final class LogThrottleTest {
 
     @Test
--- a/troutpier-common/src/test/java/org/troutpier/common/time/ElapsedClockTest.java
+++ b/troutpier-common/src/test/java/org/troutpier/common/time/ElapsedClockTest.java
@@ -8,7 +8,7 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** What counts as time that has passed. */
+/** Tests which changes of the clocks count as elapsed time. */
 public final class ElapsedClockTest {
 
     private long mMonotonicMillis;
--- a/troutpier-testing/src/main/java/org/troutpier/testing/KnownFailureListener.java
+++ b/troutpier-testing/src/main/java/org/troutpier/testing/KnownFailureListener.java
@@ -5,10 +5,10 @@
 import org.testng.ITestResult;
 
 /**
- * Passes over exactly the tests that are known to fail and prints them; one that passes though it
- * is listed fails, so that it is taken off the list with the mend. Thread safe. The test framework
- * loads it in every module. A listed test takes no parameters, since each call would be judged for
- * itself.
+ * Skips and prints exactly the failures of tests that are known to fail; a listed test that passes
+ * fails, so that it is removed from the list together with the fix. Thread safe. TestNG loads it in
+ * every module. A listed test must not have parameters, since each invocation would be evaluated
+ * separately.
  */
 public final class KnownFailureListener implements IInvokedMethodListener {
 
@@ -41,13 +41,6 @@
         mKnown.symptom(test).ifPresent(seen -> judge(test, seen, result));
     }
 
-    /**
-     * Judges a listed test.
-     *
-     * @param test its name
-     * @param seen what was seen of its failure
-     * @param result how it ended
-     */
     private static void judge(String test, String seen, ITestResult result) {
         if (result.getStatus() == ITestResult.FAILURE) {
             System.out.println("known to fail: " + test + ": " + seen);
--- a/troutpier-testing/src/main/java/org/troutpier/testing/KnownFailures.java
+++ b/troutpier-testing/src/main/java/org/troutpier/testing/KnownFailures.java
@@ -12,35 +12,31 @@
 import java.util.stream.Stream;
 
 /**
- * The tests that fail for a fault which is known and not mended yet, as the file {@code
- * KNOWN-RED.txt} lists them. Immutable and thread safe. Invariants: there are {@link #MOST} at
- * most, and each line has a test, the command and seed that show the fault, what was seen, and an
- * open issue.
+ * The tests that are known to fail because of an open fault, as listed in the file {@code
+ * KNOWN-RED.txt}. Immutable and thread safe. Invariants: there are at most {@link #MOST}, and each
+ * line has a test, the command and seed that reproduce the fault, the symptom, and an open issue.
  */
 public final class KnownFailures {
 
-    /** How many failures may be known at once: more would hide a build that is broken. */
+    /** Maximum number of known failures: more would hide a broken build. */
     public static final int MOST = 3;
 
     /** The file's name, at the root of the repository. */
     public static final String FILE = "KNOWN-RED.txt";
 
-    /** The system property that names the root of the repository, set by the build. */
     private static final String ROOT_PROPERTY = "troutpier.root";
 
     /** Separates the parts of a line. */
     private static final Pattern SEPARATOR = Pattern.compile("\\s+\\|\\s+");
 
-    /** How many parts a line has: the test, the command, what was seen, the issue. */
+    /** Number of parts of a line: the test, the command, the symptom, the issue. */
     private static final int PARTS = 4;
 
-    /** What starts a line that lists nothing. */
+    /** Prefix of a comment line. */
     private static final String COMMENT = "#";
 
-    /** What stands between a class and a method. */
     private static final String METHOD = "#";
 
-    /** What was seen, by test. */
     private final Map<String, String> mSeen = new HashMap<>();
 
     /**
@@ -78,7 +74,7 @@
     /**
      * Returns the root of the repository.
      *
-     * @return its folder; the working directory where the build does not say, as in an editor
+     * @return its directory; the working directory if the property is not set, as in an IDE
      */
     static Path root() {
         return Path.of(System.getProperty(ROOT_PROPERTY, ""));
@@ -101,31 +97,22 @@
     }
 
     /**
-     * Returns what was seen of a test that is known to fail.
+     * Returns the recorded symptom of a test that is known to fail.
      *
-     * @param test its class and method
-     * @return what was seen, or empty where the test is not listed
+     * @return the symptom, or empty if the test is not listed
      */
     public Optional<String> symptom(String test) {
         return Optional.ofNullable(mSeen.get(test));
     }
 
-    /**
-     * Names a test as the file does.
-     *
-     * @param className its class with the package
-     * @param method its method
-     * @return its name in the file
-     */
+    /** Returns the name of a test in the file. */
     public static String name(String className, String method) {
         return className + METHOD + method;
     }
 
     /**
-     * Returns the listed tests that no module has.
+     * Returns the listed tests that do not exist in any module.
      *
-     * @param root the repository's folder, whose direct subfolders are the modules
-     * @return their names
      * @throws IOException if a file cannot be read
      */
     public List<String> missingTests(Path root) throws IOException {
@@ -136,10 +123,8 @@
     }
 
     /**
-     * Returns whether a test stands in one of the modules.
+     * Returns whether a test exists in one of the modules.
      *
-     * @param test the test
-     * @param sources the modules' folders of tests
      * @return whether it does
      */
     private static boolean stands(String test, List<Path> sources) {
@@ -152,12 +137,6 @@
                 .anyMatch(path -> text(path).contains(method));
     }
 
-    /**
-     * Reads a file.
-     *
-     * @param path the file
-     * @return its text
-     */
     private static String text(Path path) {
         try {
             return Files.readString(path);
--- a/troutpier-testing/src/main/java/org/troutpier/testing/RawHttpClient.java
+++ b/troutpier-testing/src/main/java/org/troutpier/testing/RawHttpClient.java
@@ -7,22 +7,24 @@
 import java.net.Socket;
 import java.nio.charset.StandardCharsets;
 
-/** Speaks to a server byte by byte, as no client library would. Stateless and thread safe. */
+/**
+ * Sends raw bytes to an HTTP server, including requests that no client library would send.
+ * Stateless and thread safe.
+ */
 public final class RawHttpClient {
 
-    /** How long the server may be silent, milliseconds. */
+    /** Read time-out, milliseconds. */
     private static final int QUIET_MILLIS = 10_000;
 
-    /** Not to be instantiated. */
     private RawHttpClient() {}
 
     /**
-     * Sends a text as it stands and reads until the server closes.
+     * Sends a text unchanged except for line ends and reads until the server closes the connection.
      *
      * @param host where the server is
      * @param port where it listens
-     * @param request the text, with plain line ends
-     * @return what the server sent, with plain line ends
+     * @param request the text, with \n as line end
+     * @return the response, with \n as line end
      */
     public static String exchange(String host, int port, String request) {
         try (Socket socket = new Socket(host, port)) {
--- a/troutpier-testing/src/main/java/org/troutpier/testing/package-info.java
+++ b/troutpier-testing/src/main/java/org/troutpier/testing/package-info.java
@@ -1,2 +1,2 @@
-/** What the tests of all modules share. */
+/** Test support shared by all modules. */
 package org.troutpier.testing;
--- a/troutpier-testing/src/test/java/org/troutpier/testing/KnownFailuresTest.java
+++ b/troutpier-testing/src/test/java/org/troutpier/testing/KnownFailuresTest.java
@@ -13,7 +13,7 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** That the build passes over exactly the tests that are known to fail. */
+/** Tests that the build skips exactly the failures that are known. */
 public final class KnownFailuresTest {
 
     private static final String REST = " | mvn verify | it fails | issue 1";
@@ -23,7 +23,7 @@
         return new KnownFailures(Arrays.stream(tests).map(test -> test + REST).toList());
     }
 
-    /** Played by a test framework of its own only, not as a test of this module. */
+    /** Run by a separate TestNG instance only, not as a test of this module. */
     static final class Sample {
 
         @Test
@@ -35,7 +35,7 @@
         public void passes() {}
     }
 
-    /** Counts how tests ended. */
+    /** Counts test results. */
     private static final class Tally implements ITestListener {
 
         private int mPassed;
