--- a/troutpier-common/src/main/java/org/troutpier/common/http/RefuseAll.java
+++ b/troutpier-common/src/main/java/org/troutpier/common/http/RefuseAllHandler.java
@@ -5,25 +5,17 @@
 import io.netty.util.ReferenceCountUtil;
 import org.troutpier.common.result.ResultCode;
 
-/** Refuses whatever arrives on a connection. Confined to the connection's event loop. */
-final class RefuseAll extends ChannelInboundHandlerAdapter {
+/** Refuses all requests on a connection. Confined to the connection's event loop. */
+final class RefuseAllHandler extends ChannelInboundHandlerAdapter {
 
-    /** Why everything is refused. */
     private final ResultCode mCode;
 
-    /** Makes the answer. */
     private final ServerRefusals mRefusals;
 
-    /** Whether the answer was sent. */
     private boolean mRefused;
 
-    /**
-     * Creates a handler.
-     *
-     * @param code why everything is refused
-     * @param refusals makes the answer
-     */
-    RefuseAll(ResultCode code, ServerRefusals refusals) {
+    /** Creates a handler. */
+    RefuseAllHandler(ResultCode code, ServerRefusals refusals) {
         mCode = code;
         mRefusals = refusals;
     }
@@ -34,7 +26,7 @@
         ReferenceCountUtil.release(message);
         if (!mRefused) {
             mRefused = true;
-            Refusing.refuseAndClose(context.channel(), mRefusals, mCode);
+            RefusalWriter.refuseAndClose(context.channel(), mRefusals, mCode);
         }
     }
 
--- a/troutpier-common/src/test/java/org/troutpier/common/declaration/TokensTest.java
+++ b/troutpier-common/src/test/java/org/troutpier/common/declaration/TokensTest.java
@@ -8,14 +8,14 @@
 import java.util.Optional;
 import org.testng.annotations.Test;
 
-/** What carries a token, and what looks like the hash of one. */
+/** Tests parsing and hashing of tokens. */
 public final class TokensTest {
 
     @Test
     public void aTokenIsCarriedByABearerHeaderOnly() {
-        assertEquals(Tokens.bearer("Bearer abc"), Optional.of("abc"));
-        assertEquals(Tokens.bearer("Basic abc"), Optional.empty());
-        assertEquals(Tokens.bearer(null), Optional.empty());
+        assertEquals(Tokens.parseBearer("Bearer abc"), Optional.of("abc"));
+        assertEquals(Tokens.parseBearer("Basic abc"), Optional.empty());
+        assertEquals(Tokens.parseBearer(null), Optional.empty());
     }
 
     @Test
--- a/troutpier-common/src/test/java/org/troutpier/common/id/UpstreamIncarnationTest.java
+++ b/troutpier-common/src/test/java/org/troutpier/common/id/UpstreamIncarnationTest.java
@@ -10,7 +10,7 @@
 import org.testng.annotations.Test;
 import org.troutpier.common.http.Json;
 
-/** How two starts of an upstream are told apart. */
+/** Tests comparison of runs of an upstream. */
 public final class UpstreamIncarnationTest {
 
     private static final UpstreamIncarnation UNTOLD = UpstreamIncarnation.of("i-1");
@@ -23,20 +23,20 @@
 
     @Test
     public void onlyALaterStartOfTheSameUpstreamFollows() {
-        assertTrue(SECOND.follows(FIRST));
-        assertFalse(FIRST.follows(SECOND));
-        assertFalse(FIRST.follows(FIRST));
-        assertFalse(OTHER.follows(FIRST));
+        assertTrue(SECOND.startedAfter(FIRST));
+        assertFalse(FIRST.startedAfter(SECOND));
+        assertFalse(FIRST.startedAfter(FIRST));
+        assertFalse(OTHER.startedAfter(FIRST));
     }
 
     @Test
     public void aStartThatIsNotToldFollowsNoneAndIsFollowedByNone() {
-        assertFalse(UNTOLD.follows(FIRST));
-        assertFalse(FIRST.follows(UNTOLD));
-        assertTrue(UNTOLD.mayBe(FIRST));
-        assertTrue(FIRST.mayBe(UNTOLD));
-        assertFalse(SECOND.mayBe(FIRST));
-        assertFalse(OTHER.mayBe(UNTOLD));
+        assertFalse(UNTOLD.startedAfter(FIRST));
+        assertFalse(FIRST.startedAfter(UNTOLD));
+        assertTrue(UNTOLD.mayEqual(FIRST));
+        assertTrue(FIRST.mayEqual(UNTOLD));
+        assertFalse(SECOND.mayEqual(FIRST));
+        assertFalse(OTHER.mayEqual(UNTOLD));
     }
 
     @Test
--- a/troutpier-common/src/test/java/org/troutpier/common/logging/DropWhenFullTest.java
+++ b/troutpier-common/src/test/java/org/troutpier/common/logging/DropWhenFullTest.java
@@ -18,13 +18,13 @@
 import org.apache.logging.log4j.message.SimpleMessage;
 import org.testng.annotations.Test;
 
-/** That nobody waits for a log. */
+/** Tests that logging never blocks. */
 public final class DropWhenFullTest {
 
     private static final int ROOM = 4;
     private static final int LINES = 50;
 
-    /** An output that stands still until it is let go. */
+    /** An appender that blocks until it is released. */
     private static final class StandingOutput extends AbstractAppender {
         final CountDownLatch mGo = new CountDownLatch(1);
         final List<String> mWritten = new CopyOnWriteArrayList<>();
@@ -61,7 +61,7 @@
                                 })
                         .build();
         queue.start();
-        long before = DropWhenFull.dropped();
+        long before = DropWhenFull.droppedCount();
         for (int line = 0; line < LINES; line++) {
             queue.append(
                     Log4jLogEvent.newBuilder()
@@ -69,7 +69,7 @@
                             .setMessage(new SimpleMessage("line " + line))
                             .build());
         }
-        long dropped = DropWhenFull.dropped() - before;
+        long dropped = DropWhenFull.droppedCount() - before;
         assertTrue(dropped >= LINES - ROOM - 1, "dropped " + dropped);
         output.mGo.countDown();
         queue.stop(10, TimeUnit.SECONDS);
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/RouterDaemon.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/RouterDaemon.java
@@ -11,7 +11,7 @@
 import org.apache.logging.log4j.Logger;
 import org.troutpier.common.event.EventRing;
 import org.troutpier.common.event.HybridClock;
-import org.troutpier.common.http.HttpCalls;
+import org.troutpier.common.http.HttpClient;
 import org.troutpier.common.http.HttpServer;
 import org.troutpier.common.http.ServerLimits;
 import org.troutpier.common.http.ServerRefusals;
@@ -252,11 +252,11 @@
     private static Node createNode(DaemonSettings settings) {
         EventLoopGroup loops = new NioEventLoopGroup(settings.threads());
         return new Node(
-                Incarnation.start(settings.instance()),
+                Incarnation.create(settings.instance()),
                 settings.hall(),
                 loops,
                 new ControlThread(),
-                new HttpCalls(loops),
+                new HttpClient(loops),
                 new MetricRegistry(),
                 new EventRing(settings.instance().value(), EVENT_RING_CAPACITY, new HybridClock()),
                 new ElapsedClock());
@@ -345,7 +345,7 @@
     /** Returns whether a request, the last bytes of an answer, or a cancellation is in progress. */
     private boolean isBusy() {
         boolean cancelling = mCancellations.pendingCount() > 0;
-        return !mRegistry.all().isEmpty() || mCallers.busy() > 0 || cancelling;
+        return !mRegistry.all().isEmpty() || mCallers.activeExchanges() > 0 || cancelling;
     }
 
     /** Closes everything at once; further calls do nothing. */
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/caller/CallerHandler.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/caller/CallerHandler.java
@@ -167,7 +167,7 @@
      */
     private static PartnerDeclaration findPartner(Declarations declarations, String authorization) {
         String hash =
-                Tokens.bearer(authorization)
+                Tokens.parseBearer(authorization)
                         .map(Tokens::hash)
                         .orElseThrow(
                                 () ->
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/objectstore/ObjectStore.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/objectstore/ObjectStore.java
@@ -3,7 +3,7 @@
 import java.util.Optional;
 import java.util.concurrent.CompletableFuture;
 import org.troutpier.common.http.HttpCall;
-import org.troutpier.common.http.HttpCalls;
+import org.troutpier.common.http.HttpClient;
 import org.troutpier.common.result.ResultCode;
 import org.troutpier.common.result.TroutpierException;
 
@@ -33,7 +33,7 @@
 
         private static final int NOT_FOUND = 404;
 
-        private final HttpCalls mCalls;
+        private final HttpClient mCalls;
 
         private final String mUrl;
 
@@ -46,7 +46,7 @@
          * @param url the store's URL
          * @param timeoutMillis the timeout of one call, milliseconds
          */
-        public OverHttp(HttpCalls calls, String url, int timeoutMillis) {
+        public OverHttp(HttpClient calls, String url, int timeoutMillis) {
             mCalls = calls;
             mUrl = url;
             mTimeoutMillis = timeoutMillis;
@@ -56,7 +56,7 @@
         @Override
         public CompletableFuture<Boolean> write(String key, byte[] object) {
             return mCalls.call(objectCall("PUT", key).withBody(object))
-                    .handle((reply, failure) -> failure == null && reply.ok());
+                    .handle((reply, failure) -> failure == null && reply.isSuccessful());
         }
 
         /** {@inheritDoc} */
@@ -68,7 +68,7 @@
                                 if (reply.status() == NOT_FOUND) {
                                     return Optional.empty();
                                 }
-                                if (!reply.ok()) {
+                                if (!reply.isSuccessful()) {
                                     throw new TroutpierException(
                                             ResultCode.TABLE_UNAVAILABLE,
                                             "the object store answers " + reply.status());
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/operator/Inventory.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/operator/Inventory.java
@@ -238,7 +238,7 @@
     /** Returns the steps of changes that are still in the event ring. */
     private ResultTable changes() {
         List<Map<String, String>> rows = new ArrayList<>();
-        for (Event event : mNode.events().about("")) {
+        for (Event event : mNode.events().eventsAbout("")) {
             if (event.kind().startsWith("change-") || event.kind().equals("version")) {
                 rows.add(
                         row(
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/request/RequestExchange.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/request/RequestExchange.java
@@ -7,9 +7,9 @@
 import java.util.concurrent.TimeUnit;
 import org.troutpier.common.declaration.ClassDeclaration;
 import org.troutpier.common.declaration.ClassDeclaration.AnswerCommit;
-import org.troutpier.common.declaration.ClassDeclaration.TableRule;
-import org.troutpier.common.http.Answers;
+import org.troutpier.common.declaration.ClassDeclaration.TableOutagePolicy;
 import org.troutpier.common.http.HttpExchange;
+import org.troutpier.common.http.HttpResponses;
 import org.troutpier.common.id.RequestId;
 import org.troutpier.common.id.UpstreamId;
 import org.troutpier.common.result.ResultCode;
@@ -97,12 +97,15 @@
         if (!mServices.registry().add(this, partnerLimit)) {
             mStage = Stage.OVER;
             count("refused." + ResultCode.PARTNER_LIMIT.label());
-            exchange().answer(Answers.refusal(ResultCode.PARTNER_LIMIT, "limit " + partnerLimit));
+            exchange()
+                    .answer(
+                            HttpResponses.refusal(
+                                    ResultCode.PARTNER_LIMIT, "limit " + partnerLimit));
             return;
         }
         count("accepted");
         recordEvent("accepted", requestClass().partner() + "/" + requestClass().name());
-        exchange().onGone(this::onCallerGone);
+        exchange().onDisconnect(this::onCallerGone);
         mDeadlineTimer =
                 exchange()
                         .loop()
@@ -140,7 +143,7 @@
             finish(null);
         } else if (outcome instanceof ClaimOutcome.Refused refused) {
             refuse(refused.code(), refused.detail());
-        } else if (requestClass().whenTableUnavailable() == TableRule.RUN) {
+        } else if (requestClass().whenTableUnavailable() == TableOutagePolicy.RUN) {
             recordEvent("run-without-claim", "");
             enqueue();
         } else {
@@ -425,10 +428,10 @@
                 id());
         count("refused." + code.label());
         recordEvent("refused", code.label() + " " + detail);
-        if (exchange().begun()) {
+        if (exchange().hasBegun()) {
             sendTruncation(code, detail);
         } else {
-            exchange().answer(Answers.refusal(code, detail));
+            exchange().answer(HttpResponses.refusal(code, detail));
         }
         finish(code);
     }
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/request/ServiceExchange.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/request/ServiceExchange.java
@@ -16,7 +16,7 @@
 import java.util.Set;
 import org.troutpier.common.http.CallFailedException;
 import org.troutpier.common.http.HttpCall;
-import org.troutpier.common.http.HttpCalls;
+import org.troutpier.common.http.HttpClient;
 import org.troutpier.common.http.ReplyListener;
 import org.troutpier.common.id.UpstreamId;
 import org.troutpier.common.result.ResultCode;
@@ -68,7 +68,7 @@
     private final String mPath;
 
     /** The call to the service, or null. */
-    private HttpCalls.Ongoing mCall;
+    private HttpClient.OngoingCall mCall;
 
     private String mAttempt = "";
 
@@ -190,7 +190,7 @@
             ifCurrent(
                     () ->
                             onCallFailure(
-                                    failure.sent()
+                                    failure.mayHaveBeenSent()
                                             ? AttemptEnd.lost(detail)
                                             : AttemptEnd.unreached(detail)));
         }
@@ -229,7 +229,7 @@
      * is slower.
      */
     private void forward(byte[] part) {
-        if (!exchange().begun()) {
+        if (!exchange().hasBegun()) {
             HttpHeaders headers = callerHeaders(mHeaders);
             if (mOverflow) {
                 headers.remove(HttpHeaderNames.CONTENT_LENGTH);
@@ -238,9 +238,9 @@
             exchange().onWritable(this::resume);
         }
         exchange().write(part);
-        if (!exchange().writable() && mCall != null) {
+        if (!exchange().isWritable() && mCall != null) {
             mCall.pause();
-            if (exchange().writable()) {
+            if (exchange().isWritable()) {
                 mCall.resume();
             }
         }
@@ -276,7 +276,7 @@
      * ends.
      */
     private void onCallFailure(AttemptEnd end) {
-        if (exchange().begun()) {
+        if (exchange().hasBegun()) {
             refuse(ResultCode.UPSTREAM_FAILED, end.detail());
         } else {
             onAttemptEnd(end);
@@ -301,7 +301,7 @@
     /** {@inheritDoc} */
     @Override
     protected void sendAnswer(StoredAnswer answer) {
-        if (exchange().begun()) {
+        if (exchange().hasBegun()) {
             exchange().end();
             return;
         }
@@ -322,7 +322,7 @@
     /** {@inheritDoc} */
     @Override
     protected void sendTruncation(ResultCode code, String detail) {
-        exchange().cut();
+        exchange().abort();
     }
 
     /** Returns the headers of the service's answer that are forwarded to the caller. */
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/upstream/HttpEngineClient.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/upstream/HttpEngineClient.java
@@ -12,7 +12,7 @@
 import org.troutpier.common.declaration.UpstreamDeclaration;
 import org.troutpier.common.http.CallFailedException;
 import org.troutpier.common.http.HttpCall;
-import org.troutpier.common.http.HttpCalls;
+import org.troutpier.common.http.HttpClient;
 import org.troutpier.common.http.HttpReply;
 import org.troutpier.common.http.Json;
 import org.troutpier.common.http.ReplyListener;
@@ -25,10 +25,10 @@
     /** Timeout of queries and cancellations. */
     private static final int QUERY_TIMEOUT_MILLIS = 700;
 
-    private final HttpCalls mCalls;
+    private final HttpClient mCalls;
 
     /** Creates a client. */
-    public HttpEngineClient(HttpCalls calls) {
+    public HttpEngineClient(HttpClient calls) {
         mCalls = calls;
     }
 
@@ -62,7 +62,7 @@
     private static void onPrefillReply(
             PrefillRequest request, HttpReply reply, PrefillListener listener) {
         try {
-            if (!reply.ok()) {
+            if (!reply.isSuccessful()) {
                 listener.onPrefillFailure(parseRefusal(reply.status(), reply.body()));
                 return;
             }
@@ -102,7 +102,7 @@
 
     /** Converts the failure of a call that got no reply. */
     private static AttemptEnd toAttemptEnd(Throwable failure) {
-        boolean sent = !(failure instanceof CallFailedException failed) || failed.sent();
+        boolean mayHaveBeenSent = !(failure instanceof CallFailedException failed) || failed.mayHaveBeenSent();
         String detail = String.valueOf(failure.getMessage());
         return sent ? AttemptEnd.lost(detail) : AttemptEnd.unreached(detail);
     }
@@ -118,7 +118,7 @@
                 HttpCall.of("POST", engine.address().url("/v1/decode"))
                         .withJson(decodeBody(request))
                         .withTimeout(timeoutMillis);
-        HttpCalls.Ongoing ongoing =
+        HttpClient.OngoingCall ongoing =
                 mCalls.send(call, new DecodeStreamReader(request.attempt(), listener));
         return ongoing::abort;
     }
@@ -130,7 +130,7 @@
                 HttpCall.of("POST", engine.address().url("/v1/cancel"))
                         .withJson(Map.of("request_id", attempt))
                         .withTimeout(QUERY_TIMEOUT_MILLIS);
-        return mCalls.call(call).thenApply(HttpReply::ok);
+        return mCalls.call(call).thenApply(HttpReply::isSuccessful);
     }
 
     /** {@inheritDoc} */
@@ -176,7 +176,7 @@
         return mCalls.call(call)
                 .thenApply(
                         reply -> {
-                            if (!reply.ok()) {
+                            if (!reply.isSuccessful()) {
                                 throw new TroutpierException(
                                         ResultCode.UPSTREAM_FAILED,
                                         engine.id() + " answers " + reply.status());
