--- a/troutpier-standins/src/main/java/org/troutpier/standins/soak/FaultPlan.java
+++ b/troutpier-standins/src/main/java/org/troutpier/standins/soak/FaultPlan.java
@@ -8,34 +8,28 @@
 import org.troutpier.standins.fault.LinkFault;
 
 /**
- * A plan of faults that the seed fixes: when, what and where. Immutable and thread safe. Faults
- * overlap and come twice, as they do.
+ * A fault schedule derived from a seed. Immutable and thread safe. Faults may overlap and repeat,
+ * as they do in production.
  *
- * @param steps the faults in order of time
+ * @param steps the faults, ordered by time
  */
 public record FaultPlan(List<Step> steps) {
 
-    /** The mean time between two faults, milliseconds. */
-    private static final double MEAN_GAP = 700;
+    private static final double MEAN_INTERVAL_MILLIS = 700;
 
-    /** The faults at processes. */
     private static final String[] PROCESS_FAULTS = {"kill", "freeze", "stop"};
 
-    /** The faults of the table. */
     private static final String[] TABLE_FAULTS = {"outage", "hang", "delay", "lost-ack"};
 
-    /** The faults of prefill engines. */
     private static final String[] PREFILL_FAULTS = {"stall", "full", "wrong-id", "outage"};
 
-    /** The faults of decode engines. */
     private static final String[] DECODE_FAULTS = {
         "cut", "full", "wrong-id", "leaving", "lost-ack", "hang"
     };
 
-    /** The faults of services. */
     private static final String[] SERVICE_FAULTS = {"lost-ack", "full", "delay", "hang", "leaving"};
 
-    /** Whose connections are harmed, besides those of callers to routers. */
+    /** Targets of link faults other than the routers. */
     private static final String[] LINKS = {
         "table",
         "objects",
@@ -51,12 +45,12 @@
     /**
      * One fault.
      *
-     * @param atMillis when, from the start
+     * @param atMillis start time relative to the start of the run
      * @param action {@code kill}, {@code freeze}, {@code stop}, {@code fault} or {@code link}
-     * @param target the process, or for {@code link} the one whose connections are harmed
-     * @param kind the fault's kind, for {@code fault} and {@code link}; else {@code -}
-     * @param millis how long it lasts
-     * @param amount how strong it is
+     * @param target the process, or for {@code link} the one whose connections are affected
+     * @param kind the kind of fault for {@code fault} and {@code link}, {@code -} otherwise
+     * @param millis its duration
+     * @param amount its strength; the unit depends on the kind
      */
     public record Step(
             long atMillis, String action, String target, String kind, int millis, int amount) {
@@ -77,33 +71,25 @@
     }
 
     /**
-     * Makes a plan.
+     * Creates the plan of a seed. The same arguments always give the same plan.
      *
-     * @param seed fixes everything
-     * @param seconds how long faults come
-     * @param routers how many routers there are
+     * @param seed the seed of the random generator
+     * @param seconds how long faults are injected
+     * @param routers the number of routers
      * @return the plan
      */
     public static FaultPlan of(long seed, int seconds, int routers) {
         UniformRandomProvider random = RandomSource.XO_RO_SHI_RO_128_PP.create(seed);
         List<Step> steps = new ArrayList<>();
         final double millis = 1000;
-        double at = MEAN_GAP;
+        double at = MEAN_INTERVAL_MILLIS;
         while (at < seconds * millis) {
             steps.add(step((long) at, routers, random));
-            at += -Math.log(1 - random.nextDouble()) * MEAN_GAP;
+            at += -Math.log(1 - random.nextDouble()) * MEAN_INTERVAL_MILLIS;
         }
         return new FaultPlan(List.copyOf(steps));
     }
 
-    /**
-     * Draws one fault.
-     *
-     * @param at when
-     * @param routers how many routers there are
-     * @param random the source of chance
-     * @return the fault
-     */
     private static Step step(long at, int routers, UniformRandomProvider random) {
         final int shortest = 300;
         final int spread = 3500;
@@ -116,7 +102,7 @@
             case 0, 1 ->
                     new Step(
                             at,
-                            any(PROCESS_FAULTS, random),
+                            pick(PROCESS_FAULTS, random),
                             "router-" + (1 + random.nextInt(routers)),
                             "-",
                             millis,
@@ -126,19 +112,19 @@
                     "prefill-1", "prefill-2", "decode-1", "decode-2", "status-1", "status-2"
                 };
                 String action = random.nextBoolean() ? "kill" : "freeze";
-                yield new Step(at, action, any(engines, random), "-", millis, 0);
+                yield new Step(at, action, pick(engines, random), "-", millis, 0);
             }
-            case 3 -> new Step(at, "fault", "table", any(TABLE_FAULTS, random), millis, delay);
+            case 3 -> new Step(at, "fault", "table", pick(TABLE_FAULTS, random), millis, delay);
             case 4 -> {
                 String target = random.nextBoolean() ? "objects" : "instances";
-                yield new Step(at, "fault", target, any(TABLE_FAULTS, random), millis, delay);
+                yield new Step(at, "fault", target, pick(TABLE_FAULTS, random), millis, delay);
             }
             case 5 ->
                     new Step(
                             at,
                             "fault",
                             "prefill-" + (1 + random.nextInt(2)),
-                            any(PREFILL_FAULTS, random),
+                            pick(PREFILL_FAULTS, random),
                             millis,
                             amount);
             case 6 ->
@@ -146,7 +132,7 @@
                             at,
                             "fault",
                             "decode-" + (1 + random.nextInt(2)),
-                            any(DECODE_FAULTS, random),
+                            pick(DECODE_FAULTS, random),
                             millis,
                             amount);
             case 7 ->
@@ -154,42 +140,24 @@
                             at,
                             "fault",
                             "status-" + (1 + random.nextInt(2)),
-                            any(SERVICE_FAULTS, random),
+                            pick(SERVICE_FAULTS, random),
                             millis,
                             delay);
             default -> link(at, routers, millis, 1 + delay, random);
         };
     }
 
-    /**
-     * Draws a fault of connections.
-     *
-     * @param at when
-     * @param routers how many routers there are
-     * @param millis how long it lasts
-     * @param amount how strong it is
-     * @param random the source of chance
-     * @return the fault
-     */
     private static Step link(
             long at, int routers, int millis, int amount, UniformRandomProvider random) {
         String target =
                 random.nextBoolean()
-                        ? any(LINKS, random)
+                        ? pick(LINKS, random)
                         : "router-" + (1 + random.nextInt(routers));
-        String kind = any(LinkFault.values(), random).label();
+        String kind = pick(LinkFault.values(), random).label();
         return new Step(at, "link", target, kind, millis, amount);
     }
 
-    /**
-     * Draws one of several.
-     *
-     * @param <T> what they are
-     * @param words what to draw from
-     * @param random the source of chance
-     * @return one of them
-     */
-    private static <T> T any(T[] words, UniformRandomProvider random) {
+    private static <T> T pick(T[] words, UniformRandomProvider random) {
         return words[random.nextInt(words.length)];
     }
 }
--- a/troutpier-standins/src/main/java/org/troutpier/standins/soak/PlanCommand.java
+++ b/troutpier-standins/src/main/java/org/troutpier/standins/soak/PlanCommand.java
@@ -4,26 +4,24 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
-/** Prints a plan of faults, one a line. Confined to the command line's thread. */
+/** Prints a fault plan, one fault per line. Confined to the command line's thread. */
 @Command(
         name = "plan",
         mixinStandardHelpOptions = true,
-        description = "Prints the seeded plan of faults of a soak run.")
+        description = "Prints the fault plan of a soak run for a seed.")
 public final class PlanCommand implements Callable<Integer> {
 
-    /** Fixes the plan. */
     @Option(names = "--seed", required = true)
     private long mSeed;
 
-    /** How long faults come. */
+    /** How long faults are injected. */
     @Option(names = "--seconds", required = true)
     private int mSeconds;
 
-    /** How many routers there are. */
     @Option(names = "--routers", required = true)
     private int mRouters;
 
-    /** Created by the command line. */
+    /** Instantiated by picocli. */
     private PlanCommand() {}
 
     /** {@inheritDoc} */
--- a/troutpier-standins/src/main/java/org/troutpier/standins/soak/SoakCaller.java
+++ b/troutpier-standins/src/main/java/org/troutpier/standins/soak/SoakCaller.java
@@ -16,76 +16,71 @@
 import org.troutpier.standins.load.GatheredAnswer;
 
 /**
- * One caller: it asks, sometimes goes away in the middle, and asks again with the same key, also at
- * two routers at once. Confined to its own thread.
+ * A caller that sends requests, aborts some of them midway and retries with the same key, sometimes
+ * through two routers at once. Confined to its own thread.
  */
 final class SoakCaller implements Runnable {
 
-    /** How long an ask may take, milliseconds. */
-    private static final int ASK_MILLIS = 40_000;
+    /** Time-out of one attempt. */
+    private static final int CALL_TIMEOUT_MILLIS = 40_000;
 
-    /** How long a caller that must have its answer goes on after the faults, nanoseconds. */
-    private static final long PATIENCE_NANOS = 60_000_000_000L;
+    /** How long a request that must complete is retried after the faults have ended. */
+    private static final long DELIVERY_TIMEOUT_NANOS = 60_000_000_000L;
 
-    /** How long a caller waits before it asks again, milliseconds. */
-    private static final int AGAIN_MILLIS = 150;
+    /** Delay between two attempts of a request. */
+    private static final int RETRY_DELAY_MILLIS = 150;
 
-    /** Sends the requests. */
     private final HttpCalls mCalls;
 
-    /** The routers. */
     private final List<Address> mRouters;
 
-    /** What was told. */
+    /** Records the outcomes. */
     private final SoakLedger mLedger;
 
-    /** Whether new requests are made. */
-    private final AtomicBoolean mGoOn;
+    /** Whether new requests are started. */
+    private final AtomicBoolean mRunning;
 
-    /** The source of chance. */
     private final UniformRandomProvider mRandom;
 
-    /** This caller's name. */
     private final String mName;
 
-    /** How many requests it has made. */
-    private int mMade;
+    private int mRequestCount;
 
-    /** What kinds of requests there are. */
+    /** Kinds of requests; the name is part of the request id. */
     private enum Kind {
-        /** A repair note: unkeyed, may be repeated. */
+        /** A completion without a key, which may run more than once. */
         NOTE,
-        /** A summary: keyed, exactly once, must arrive. */
+        /** A completion with a key, which must be answered by exactly one run. */
         SUMMARY,
-        /** An order: keyed, must not be repeated. */
+        /** A service call with a key, which must not run more than once. */
         KEYED_ORDER,
-        /** An order without a key. */
+        /** A service call without a key, which must not run more than once. */
         ORDER,
-        /** A status call. */
+        /** A service call that may run more than once. */
         STATUS
     }
 
     /**
      * Creates a caller.
      *
-     * @param calls sends the requests
-     * @param routers the routers
-     * @param ledger what was told
-     * @param goOn whether new requests are made
-     * @param name its name
-     * @param seed fixes what it does
+     * @param calls the HTTP client
+     * @param routers the addresses of the routers
+     * @param ledger records the outcomes
+     * @param running cleared to stop new requests
+     * @param name the name of the caller, a prefix of its request ids
+     * @param seed the seed of the random generator
      */
     SoakCaller(
             HttpCalls calls,
             List<Address> routers,
             SoakLedger ledger,
-            AtomicBoolean goOn,
+            AtomicBoolean running,
             String name,
             long seed) {
         mCalls = calls;
         mRouters = routers;
         mLedger = ledger;
-        mGoOn = goOn;
+        mRunning = running;
         mName = name;
         mRandom = RandomSource.XO_RO_SHI_RO_128_PP.create(seed);
     }
@@ -94,69 +89,73 @@
     @Override
     public void run() {
         Kind[] kinds = Kind.values();
-        while (mGoOn.get()) {
-            request(kinds[mRandom.nextInt(kinds.length)]);
+        while (mRunning.get()) {
+            runRequest(kinds[mRandom.nextInt(kinds.length)]);
         }
     }
 
     /**
-     * Makes one request and asks until it is settled.
+     * Runs one request and retries until it needs no further attempt.
      *
-     * @param kind what kind
+     * @param kind the kind of request
      */
-    private void request(Kind kind) {
-        final int mostTokens = 40;
-        String id = mName + "-" + mMade++ + "-" + kind.name().toLowerCase(java.util.Locale.ROOT);
-        int tokens = 1 + mRandom.nextInt(mostTokens);
-        boolean once = kind == Kind.ORDER || kind == Kind.KEYED_ORDER;
-        mLedger.request(id, once);
-        boolean mustArrive = kind == Kind.SUMMARY || kind == Kind.NOTE;
+    private void runRequest(Kind kind) {
+        final int maxTokens = 40;
+        String id =
+                mName
+                        + "-"
+                        + mRequestCount++
+                        + "-"
+                        + kind.name().toLowerCase(java.util.Locale.ROOT);
+        int tokens = 1 + mRandom.nextInt(maxTokens);
+        boolean nonRepeatable = kind == Kind.ORDER || kind == Kind.KEYED_ORDER;
+        mLedger.recordRequest(id, nonRepeatable);
+        boolean mustComplete = kind == Kind.SUMMARY || kind == Kind.NOTE;
         long end = 0;
-        for (int ask = 0; ; ask++) {
-            Ask first = ask(kind, id, ask, tokens);
+        for (int number = 0; ; number++) {
+            Attempt first = sendAttempt(kind, id, number, tokens);
             if (kind == Kind.SUMMARY && mRandom.nextInt(4) == 0) {
-                ask++;
-                settle(kind, id, ask(kind, id, ask, tokens), tokens);
+                number++;
+                checkOutcome(kind, id, sendAttempt(kind, id, number, tokens), tokens);
             }
-            boolean settled = settle(kind, id, first, tokens);
-            if (settled || !mustArrive && (kind != Kind.KEYED_ORDER || mRandom.nextBoolean())) {
+            boolean completed = checkOutcome(kind, id, first, tokens);
+            if (completed || !mustComplete && (kind != Kind.KEYED_ORDER || mRandom.nextBoolean())) {
                 return;
             }
-            if (!mGoOn.get() && end == 0) {
-                end = System.nanoTime() + PATIENCE_NANOS;
+            if (!mRunning.get() && end == 0) {
+                end = System.nanoTime() + DELIVERY_TIMEOUT_NANOS;
             }
             if (end != 0 && System.nanoTime() > end) {
-                mLedger.violation(
+                mLedger.recordViolation(
                         id
-                                + " never arrived; last told "
+                                + " never completed; last code "
                                 + first.answer().header(Answers.CODE_HEADER));
                 return;
             }
-            pause();
+            awaitRetryDelay();
         }
     }
 
-    /** Waits a little before asking again. */
-    private static void pause() {
+    private static void awaitRetryDelay() {
         try {
-            TimeUnit.MILLISECONDS.sleep(AGAIN_MILLIS);
+            TimeUnit.MILLISECONDS.sleep(RETRY_DELAY_MILLIS);
         } catch (InterruptedException exception) {
             Thread.currentThread().interrupt();
         }
     }
 
     /**
-     * Asks once.
+     * Sends one attempt to a random router. Aborts one attempt in eight within 400 ms.
      *
-     * @param kind what kind
-     * @param id the request
-     * @param number the ask's number
-     * @param tokens how many tokens it asks for
-     * @return the ask under way
+     * @param kind the kind of request
+     * @param id the id of the request
+     * @param number the number of the attempt
+     * @param tokens the number of tokens to request
+     * @return the attempt in progress
      */
-    private Ask ask(Kind kind, String id, int number, int tokens) {
-        mLedger.ask();
-        String mark = id + SoakLedger.ASK_SEPARATOR + number;
+    private Attempt sendAttempt(Kind kind, String id, int number, int tokens) {
+        mLedger.recordAttempt();
+        String attemptId = id + SoakLedger.ATTEMPT_SEPARATOR + number;
         Address router = mRouters.get(mRandom.nextInt(mRouters.size()));
         boolean completion = kind == Kind.NOTE || kind == Kind.SUMMARY;
         String path = completion ? "/v1/completions" : "/services/status/orders";
@@ -164,9 +163,9 @@
         HttpCall call =
                 HttpCall.of("POST", router.url(path))
                         .withHeader("Authorization", "Bearer " + token)
-                        .withHeader("X-Call", mark)
+                        .withHeader("X-Call", attemptId)
                         .withHeader("Troutpier-Class", requestClass(kind))
-                        .withTimeout(ASK_MILLIS);
+                        .withTimeout(CALL_TIMEOUT_MILLIS);
         if (kind == Kind.SUMMARY || kind == Kind.KEYED_ORDER) {
             call = call.withHeader("Idempotency-Key", id);
         }
@@ -175,21 +174,15 @@
                         ? call.withJson(Map.of("prompt", id, "max_tokens", tokens, "stream", true))
                         : call.withBody(id.getBytes(StandardCharsets.UTF_8));
         GatheredAnswer answer = new GatheredAnswer();
-        Ask ask = new Ask(mark, answer, mCalls.send(call, answer));
+        Attempt attempt = new Attempt(attemptId, answer, mCalls.send(call, answer));
         final int cancelOneIn = 8;
         final int cancelWithin = 400;
         if (mRandom.nextInt(cancelOneIn) == 0) {
-            ask.leaveAfter(mRandom.nextInt(cancelWithin));
+            attempt.abortAfter(mRandom.nextInt(cancelWithin));
         }
-        return ask;
+        return attempt;
     }
 
-    /**
-     * Returns the class of a kind.
-     *
-     * @param kind the kind
-     * @return the class's name
-     */
     private static String requestClass(Kind kind) {
         return switch (kind) {
             case NOTE -> "repair-note";
@@ -200,50 +193,56 @@
     }
 
     /**
-     * Waits for an ask and judges what it was told.
+     * Waits for an attempt to end and checks its outcome.
      *
-     * @param kind what kind
-     * @param id the request
-     * @param ask the ask
-     * @param tokens how many tokens it asked for
-     * @return whether it got its whole answer
+     * @param kind the kind of request
+     * @param id the id of the request
+     * @param attempt the attempt
+     * @param tokens the number of tokens requested
+     * @return whether the answer was complete
      */
-    private boolean settle(Kind kind, String id, Ask ask, int tokens) {
-        ask.await();
-        if ("not-run".equals(ask.family())) {
-            mLedger.toldNotRun(ask.mark());
+    private boolean checkOutcome(Kind kind, String id, Attempt attempt, int tokens) {
+        attempt.await();
+        if ("not-run".equals(attempt.family())) {
+            mLedger.recordNotRun(attempt.id());
         }
         boolean completion = kind == Kind.NOTE || kind == Kind.SUMMARY;
-        String body = ask.answer().body();
+        String body = attempt.answer().body();
         if (!completion) {
-            boolean whole = ask.answer().ended() && ask.answer().status() == 200;
-            if (whole && !body.contains(id)) {
-                mLedger.violation(id + " got another's answer: " + body);
+            boolean complete = attempt.answer().ended() && attempt.answer().status() == 200;
+            if (complete && !body.contains(id)) {
+                mLedger.recordViolation(id + " got the answer of another request: " + body);
             }
-            return whole;
+            return complete;
         }
-        boolean whole = ask.answer().ended() && body.contains("data: [DONE]");
+        boolean complete = attempt.answer().ended() && body.contains("data: [DONE]");
         String text = text(body);
         if (!text.isEmpty() && !text.replaceAll("/[0-9a-f]+", "").equals(expected(id, text))) {
-            mLedger.violation(id + " got a wrong answer: " + text);
+            mLedger.recordViolation(id + " got a wrong answer: " + text);
         }
-        if (whole) {
+        if (complete) {
             int got = text.split(" ").length;
             if (got != tokens) {
-                mLedger.violation(id + " got " + got + " of " + tokens + " tokens as whole");
+                mLedger.recordViolation(
+                        id
+                                + " got "
+                                + got
+                                + " of "
+                                + tokens
+                                + " tokens in an answer marked complete");
             }
             if (kind == Kind.SUMMARY) {
-                mLedger.answered(id, text.split("[/ ]")[1]);
+                mLedger.recordAnswer(id, text.split("[/ ]")[1]);
             }
         }
-        return whole;
+        return complete;
     }
 
     /**
-     * Puts the text of a stream together.
+     * Concatenates the text of the events of a stream.
      *
      * @param body the stream
-     * @return the text of its tokens
+     * @return the concatenated text, complete events only
      */
     private static String text(String body) {
         StringBuilder text = new StringBuilder();
@@ -257,11 +256,11 @@
     }
 
     /**
-     * Returns what the text must be.
+     * Returns the text that the engines generate for a prompt.
      *
      * @param prompt the prompt
-     * @param text the text, for its length
-     * @return as many tokens of the right answer
+     * @param text the received text, which determines the number of tokens
+     * @return the expected text of the same number of tokens
      */
     private static String expected(String prompt, String text) {
         StringBuilder expected = new StringBuilder();
@@ -274,20 +273,20 @@
     }
 
     /**
-     * One ask under way.
+     * One attempt in progress.
      *
-     * @param mark names the ask
-     * @param answer what came of it
-     * @param ongoing the exchange
+     * @param id the id of the attempt
+     * @param answer collects the answer
+     * @param ongoing the HTTP call
      */
-    private record Ask(String mark, GatheredAnswer answer, HttpCalls.Ongoing ongoing) {
+    private record Attempt(String id, GatheredAnswer answer, HttpCalls.Ongoing ongoing) {
 
         /**
-         * Leaves after a while.
+         * Aborts the call after a delay, as a caller that disconnects.
          *
-         * @param millis the while
+         * @param millis the delay
          */
-        void leaveAfter(int millis) {
+        void abortAfter(int millis) {
             CompletableFuture.delayedExecutor(millis, TimeUnit.MILLISECONDS)
                     .execute(
                             () -> {
@@ -296,10 +295,10 @@
                             });
         }
 
-        /** Waits until it is over. */
+        /** Waits until the answer has ended; aborts the call after twice its time-out. */
         void await() {
             try {
-                if (!answer.await(ASK_MILLIS * 2)) {
+                if (!answer.await(CALL_TIMEOUT_MILLIS * 2)) {
                     ongoing.abort();
                 }
             } catch (InterruptedException exception) {
@@ -308,9 +307,9 @@
         }
 
         /**
-         * Returns what is known of the work, as told.
+         * Returns the family of the result code.
          *
-         * @return the family of the result code, or nothing
+         * @return the family, or an empty string when the answer has none
          */
         String family() {
             return answer.header(Answers.FAMILY_HEADER);
--- a/troutpier-standins/src/main/java/org/troutpier/standins/soak/SoakCommand.java
+++ b/troutpier-standins/src/main/java/org/troutpier/standins/soak/SoakCommand.java
@@ -23,53 +23,53 @@
 import picocli.CommandLine.Option;
 
 /**
- * The callers and operators of a soak run, and its verdict. Confined to the command line's thread.
+ * Runs the callers and operators of a soak run and checks the guarantees. Confined to the thread of
+ * the command line.
  */
 @Command(
         name = "callers",
         mixinStandardHelpOptions = true,
-        description = "Asks and changes while faults come, then holds all against the promises.")
+        description =
+                "Sends requests and changes while faults are injected, then checks the guarantees.")
 public final class SoakCommand implements Callable<Integer> {
 
-    /** How long engines may hold something after the last request, nanoseconds. */
-    private static final long QUIET_NANOS = 20_000_000_000L;
+    /** How long engines and routers may take to settle after the last request. */
+    private static final long SETTLE_TIMEOUT_NANOS = 20_000_000_000L;
 
-    /** How often engines are asked whether they hold something, milliseconds. */
+    /** Interval between two polls of an engine or router. */
     private static final long POLL_MILLIS = 200;
 
-    /** Where the routers take callers. */
+    /** The caller addresses of the routers. */
     @Option(names = "--routers", required = true, split = ",")
     private List<String> mRouters;
 
-    /** Where the routers take operators. */
+    /** The operator addresses of the routers. */
     @Option(names = "--operators", required = true, split = ",")
     private List<String> mOperators;
 
-    /** The engines. */
     @Option(names = "--engines", required = true, split = ",")
     private List<String> mEngines;
 
-    /** Where the stand-ins wrote what ran. */
+    /** Directory of the run logs of the stand-ins. */
     @Option(names = "--ran", required = true)
     private Path mRan;
 
-    /** How long new requests are made. */
+    /** How long new requests are started. */
     @Option(names = "--seconds", defaultValue = "30")
     private int mSeconds;
 
-    /** Fixes what the callers do. */
+    /** Seed of the random generators of callers and operators. */
     @Option(names = "--seed", defaultValue = "1")
     private long mSeed;
 
-    /** How many callers there are. */
     @Option(names = "--callers", defaultValue = "24")
     private int mCallers;
 
-    /** How many faults were planned, for the last line. */
+    /** Number of planned faults, printed in the last line. */
     @Option(names = "--faults", defaultValue = "0")
     private int mFaults;
 
-    /** Created by the command line. */
+    /** Instantiated by picocli. */
     private SoakCommand() {}
 
     /** {@inheritDoc} */
@@ -78,30 +78,30 @@
         EventLoopGroup loops = new NioEventLoopGroup(2);
         HttpCalls calls = new HttpCalls(loops);
         SoakLedger ledger = new SoakLedger();
-        AtomicBoolean goOn = new AtomicBoolean(true);
+        AtomicBoolean running = new AtomicBoolean(true);
         List<Address> routers = mRouters.stream().map(Address::parse).toList();
         List<Address> operators = mOperators.stream().map(Address::parse).toList();
-        ChangeWatcher changes = new ChangeWatcher(calls, operators, ledger, goOn, mSeed);
+        ChangeWatcher changeWatcher = new ChangeWatcher(calls, operators, ledger, running, mSeed);
         ExecutorService threads = Executors.newCachedThreadPool();
         for (int caller = 0; caller < mCallers; caller++) {
             String name = "c" + caller;
             threads.execute(
-                    new SoakCaller(calls, routers, ledger, goOn, name, mSeed * 1000 + caller));
+                    new SoakCaller(calls, routers, ledger, running, name, mSeed * 1000 + caller));
         }
-        threads.execute(changes);
+        threads.execute(changeWatcher);
         TimeUnit.SECONDS.sleep(mSeconds);
-        goOn.set(false);
+        running.set(false);
         threads.shutdown();
-        final int patienceMinutes = 4;
-        if (!threads.awaitTermination(patienceMinutes, TimeUnit.MINUTES)) {
-            ledger.violation("some caller never ended");
+        final int timeoutMinutes = 4;
+        if (!threads.awaitTermination(timeoutMinutes, TimeUnit.MINUTES)) {
+            ledger.recordViolation("callers did not finish within the time limit");
         }
-        awaitNothingHeld(calls, ledger);
-        routers(calls, operators, ledger);
-        ledger.compare(ran());
+        awaitEnginesIdle(calls, ledger);
+        checkRouters(calls, operators, ledger);
+        ledger.checkRuns(readRunLogs());
         List<String> violations = ledger.violations();
         violations.forEach(System.out::println);
-        System.out.println("asks=" + ledger.asks() + " " + changes.summary());
+        System.out.println("asks=" + ledger.attempts() + " " + changeWatcher.summary());
         System.out.printf(
                 "requests=%d faults=%d violations=%d%n",
                 ledger.requests(), mFaults, violations.size());
@@ -111,31 +111,31 @@
     }
 
     /**
-     * Waits until no engine holds anything.
+     * Waits until no engine holds work or memory.
      *
-     * @param calls sends the requests
-     * @param ledger takes note where one still does
+     * @param calls the HTTP client
+     * @param ledger records a violation when one still does after the time-out
      * @throws InterruptedException when the thread is interrupted
      */
-    private void awaitNothingHeld(HttpCalls calls, SoakLedger ledger) throws InterruptedException {
-        long end = System.nanoTime() + QUIET_NANOS;
+    private void awaitEnginesIdle(HttpCalls calls, SoakLedger ledger) throws InterruptedException {
+        long end = System.nanoTime() + SETTLE_TIMEOUT_NANOS;
         String held = "?";
         while (!held.isEmpty() && System.nanoTime() < end) {
-            held = held(calls);
+            held = findHeldWork(calls);
             TimeUnit.MILLISECONDS.sleep(POLL_MILLIS);
         }
         if (!held.isEmpty()) {
-            ledger.violation("still held: " + held);
+            ledger.recordViolation("still held: " + held);
         }
     }
 
     /**
-     * Asks all engines what they hold.
+     * Reads from all engines what they hold.
      *
-     * @param calls sends the requests
-     * @return what is held, empty for nothing
+     * @param calls the HTTP client
+     * @return what is held, empty when nothing is
      */
-    private String held(HttpCalls calls) {
+    private String findHeldWork(HttpCalls calls) {
         StringBuilder held = new StringBuilder();
         for (String engine : mEngines) {
             JsonNode node = get(calls, Address.parse(engine), "/v1/holding");
@@ -149,39 +149,39 @@
     }
 
     /**
-     * Checks what the routers say of themselves, once they are up again.
+     * Checks the metrics of the routers; a router may still be restarting.
      *
-     * @param calls sends the requests
-     * @param operators where they take operators
-     * @param ledger takes note of what is wrong
+     * @param calls the HTTP client
+     * @param operators the operator addresses of the routers
+     * @param ledger records violations
      * @throws InterruptedException when the thread is interrupted
      */
-    private static void routers(HttpCalls calls, List<Address> operators, SoakLedger ledger)
+    private static void checkRouters(HttpCalls calls, List<Address> operators, SoakLedger ledger)
             throws InterruptedException {
         for (Address operator : operators) {
-            long end = System.nanoTime() + QUIET_NANOS;
-            String fault = fault(calls, operator);
+            long end = System.nanoTime() + SETTLE_TIMEOUT_NANOS;
+            String fault = findFault(calls, operator);
             while (!fault.isEmpty() && System.nanoTime() < end) {
                 TimeUnit.MILLISECONDS.sleep(POLL_MILLIS);
-                fault = fault(calls, operator);
+                fault = findFault(calls, operator);
             }
             if (!fault.isEmpty()) {
-                ledger.violation(operator + " " + fault);
+                ledger.recordViolation(operator + " " + fault);
             }
         }
     }
 
     /**
-     * Says what is wrong with a router.
+     * Describes what is wrong with a router.
      *
-     * @param calls sends the requests
-     * @param operator where it takes operators
-     * @return a few words, empty for nothing
+     * @param calls the HTTP client
+     * @param operator the operator address of the router
+     * @return the description, empty when nothing is wrong
      */
-    private static String fault(HttpCalls calls, Address operator) {
+    private static String findFault(HttpCalls calls, Address operator) {
         JsonNode metrics = get(calls, operator, "/metrics");
         if (metrics == null) {
-            return "does not answer in the end";
+            return "does not answer after the run";
         }
         if (metrics.path("invariant").asInt() != 0) {
             return "has broken invariants";
@@ -190,12 +190,12 @@
     }
 
     /**
-     * Asks one address.
+     * Reads a path of an address.
      *
-     * @param calls sends the requests
-     * @param address where
+     * @param calls the HTTP client
+     * @param address the address
      * @param path the path
-     * @return the answer, or null
+     * @return the answer, or null when the call failed
      */
     private static JsonNode get(HttpCalls calls, Address address, String path) {
         try {
@@ -206,12 +206,12 @@
     }
 
     /**
-     * Reads what ran.
+     * Reads the run logs.
      *
      * @return the entries of all stand-ins, killed ones included
      * @throws IOException when a file cannot be read
      */
-    private List<RunLog.Entry> ran() throws IOException {
+    private List<RunLog.Entry> readRunLogs() throws IOException {
         List<RunLog.Entry> entries = new ArrayList<>();
         try (Stream<Path> files = Files.list(mRan)) {
             for (Path file : files.filter(one -> one.toString().endsWith(".ran")).toList()) {
--- a/troutpier-standins/src/main/java/org/troutpier/standins/soak/SoakLedger.java
+++ b/troutpier-standins/src/main/java/org/troutpier/standins/soak/SoakLedger.java
@@ -9,99 +9,98 @@
 import org.troutpier.standins.fault.RunLog;
 
 /**
- * What callers were told, to be held against what ran. Thread safe by its lock. A request has one
- * id over all its asks; each ask has a mark of its own, {@code id#number}.
+ * Records the outcomes that callers received, to be compared with what the upstreams ran. Thread
+ * safe; guarded by its own lock. A request keeps its id over all attempts; the id of an attempt is
+ * {@code id#number}.
  */
 final class SoakLedger {
 
-    /** Parts a request's id from the number of the ask. */
-    static final char ASK_SEPARATOR = '#';
+    /** Separates the id of a request from the number of the attempt. */
+    static final char ATTEMPT_SEPARATOR = '#';
 
-    /** What must be true of everything said so far, and is not. */
+    /** The violations found so far. */
     private final List<String> mViolations = new ArrayList<>();
 
-    /** The asks that were told that nothing was run. */
-    private final Set<String> mToldNotRun = new HashSet<>();
+    /** The attempts that were answered with the family not-run. */
+    private final Set<String> mNotRun = new HashSet<>();
 
-    /** The requests that must not be run twice. */
-    private final Set<String> mOnce = new HashSet<>();
+    /** The requests that must not run more than once. */
+    private final Set<String> mNonRepeatable = new HashSet<>();
 
-    /** The run whose answer a keyed request got. */
-    private final Map<String, String> mAnswers = new HashMap<>();
+    /** The run that produced the answer, by keyed request. */
+    private final Map<String, String> mAnsweringRuns = new HashMap<>();
 
-    /** How many requests there were. */
     private int mRequests;
 
-    /** How many asks there were. */
-    private int mAsks;
+    private int mAttempts;
 
     /**
-     * Takes note of a request.
+     * Records a request.
      *
-     * @param id the request
-     * @param once whether it must not be run twice
+     * @param id the id of the request
+     * @param nonRepeatable whether it must not run more than once
      */
-    synchronized void request(String id, boolean once) {
+    synchronized void recordRequest(String id, boolean nonRepeatable) {
         mRequests++;
-        if (once) {
-            mOnce.add(id);
+        if (nonRepeatable) {
+            mNonRepeatable.add(id);
         }
     }
 
-    /** Takes note of an ask. */
-    synchronized void ask() {
-        mAsks++;
+    /** Records an attempt of any request. */
+    synchronized void recordAttempt() {
+        mAttempts++;
     }
 
     /**
-     * Takes note that an ask was told that nothing was run.
+     * Records that an attempt was answered with the family not-run.
      *
-     * @param mark the ask
+     * @param attempt the id of the attempt
      */
-    synchronized void toldNotRun(String mark) {
-        mToldNotRun.add(mark);
+    synchronized void recordNotRun(String attempt) {
+        mNotRun.add(attempt);
     }
 
     /**
-     * Takes note of a keyed request's whole answer.
+     * Records the complete answer of a keyed request; two answers must come from the same run.
      *
-     * @param id the request
-     * @param run names the run that made the answer
+     * @param id the id of the request
+     * @param run the run that produced the answer
      */
-    synchronized void answered(String id, String run) {
-        String before = mAnswers.putIfAbsent(id, run);
+    synchronized void recordAnswer(String id, String run) {
+        String before = mAnsweringRuns.putIfAbsent(id, run);
         if (before != null && !before.equals(run)) {
             mViolations.add(id + " got two answers, of runs " + before + " and " + run);
         }
     }
 
     /**
-     * Takes note of something that must not be.
+     * Records a violation.
      *
-     * @param what what it is
+     * @param description what was violated
      */
-    synchronized void violation(String what) {
-        mViolations.add(what);
+    synchronized void recordViolation(String description) {
+        mViolations.add(description);
     }
 
     /**
-     * Holds what ran against what was told.
+     * Checks the run logs against the outcomes that callers received.
      *
-     * @param ran what ran
+     * @param entries the run log entries of all stand-ins
      */
-    synchronized void compare(List<RunLog.Entry> ran) {
+    synchronized void checkRuns(List<RunLog.Entry> entries) {
         Map<String, Integer> starts = new HashMap<>();
-        for (RunLog.Entry entry : ran) {
+        for (RunLog.Entry entry : entries) {
             if (!entry.step().equals("started") || entry.call().isEmpty()) {
                 continue;
             }
-            if (mToldNotRun.contains(entry.call())) {
-                mViolations.add(entry.call() + " was told as not run but ran");
+            if (mNotRun.contains(entry.call())) {
+                mViolations.add(entry.call() + " was answered as not run but ran");
             }
-            String id = entry.call().substring(0, entry.call().indexOf(ASK_SEPARATOR));
+            String id = entry.call().substring(0, entry.call().indexOf(ATTEMPT_SEPARATOR));
             starts.merge(id, 1, Integer::sum);
         }
-        for (String id : mOnce) {
+        for (String id : mNonRepeatable) {
             if (starts.getOrDefault(id, 0) > 1) {
                 mViolations.add(id + " must not be repeated but ran " + starts.get(id) + " times");
             }
@@ -109,7 +108,7 @@
     }
 
     /**
-     * Lists what must not be and is.
+     * Returns the violations found so far.
      *
      * @return a copy
      */
@@ -117,21 +116,11 @@
         return List.copyOf(mViolations);
     }
 
-    /**
-     * Counts the requests.
-     *
-     * @return how many there were
-     */
     synchronized int requests() {
         return mRequests;
     }
 
-    /**
-     * Counts the asks.
-     *
-     * @return how many there were
-     */
-    synchronized int asks() {
-        return mAsks;
+    synchronized int attempts() {
+        return mAttempts;
     }
 }
--- a/troutpier-standins/src/main/java/org/troutpier/standins/soak/package-info.java
+++ b/troutpier-standins/src/main/java/org/troutpier/standins/soak/package-info.java
@@ -1,4 +1,2 @@
-/**
- * The soak run: a seeded plan of faults, callers that ask again, and the verdict on the promises.
- */
+/** The soak run: a seeded fault plan, callers that retry, and the check of the guarantees. */
 package org.troutpier.standins.soak;
