--- a/troutpier-standins/src/main/java/org/troutpier/standins/fault/Fault.java
+++ b/troutpier-standins/src/main/java/org/troutpier/standins/fault/Fault.java
@@ -2,40 +2,40 @@
 
 import java.util.Locale;
 
-/** What can be made to go wrong in a stand-in. Immutable and thread safe. */
+/** Faults that can be injected into a stand-in. Immutable and thread safe. */
 public enum Fault {
-    /** Every request is answered 503 with no proof of anything. */
+    /** Every request is answered 503, without an indication of whether it was started. */
     OUTAGE,
     /** No request is answered. */
     HANG,
-    /** Every answer is later by the amount, in milliseconds. */
+    /** Every request is delayed by the amount, in milliseconds. */
     DELAY,
-    /** Writes take effect, but the connection is cut in place of an answer. */
+    /** Writes take effect, but the connection is closed instead of an answer. */
     LOST_ACK,
-    /** Streams are cut after the amount, in tokens or bytes. */
+    /** Streams are cut off after the amount, in tokens or bytes. */
     CUT,
     /** Requests are refused as not started. */
     FULL,
-    /** Answers bear another request's id. */
+    /** Answers carry the id of another request. */
     WRONG_ID,
-    /** Transfers of prefill results do not move. */
+    /** Transfers of prefill results make no progress. */
     STALL,
-    /** The upstream is leaving: it refuses new work as not started. */
+    /** The upstream is shutting down and refuses new work as not started. */
     LEAVING;
 
     /**
-     * Returns the name on the wire.
+     * Returns the name in URLs.
      *
-     * @return the name in lower case with dashes
+     * @return the name in lower case with hyphens
      */
     public String label() {
         return name().toLowerCase(Locale.ROOT).replace('_', '-');
     }
 
     /**
-     * Finds a fault.
+     * Returns the fault of a name.
      *
-     * @param label its name on the wire
+     * @param label its name in URLs
      * @return the fault
      */
     public static Fault of(String label) {
--- a/troutpier-standins/src/main/java/org/troutpier/standins/fault/FaultBoard.java
+++ b/troutpier-standins/src/main/java/org/troutpier/standins/fault/FaultBoard.java
@@ -3,20 +3,18 @@
 import java.util.EnumMap;
 import java.util.Map;
 
-/** Which faults are on, until when, and how strong. Thread safe by its lock. */
+/** The faults that are active, with their end and amount. Thread safe; guarded by its own lock. */
 public final class FaultBoard {
 
-    /** Nanoseconds in a millisecond. */
-    private static final long NANOS = 1_000_000L;
+    private static final long NANOS_PER_MILLI = 1_000_000L;
 
-    /** The faults that were switched on. */
     private final Map<Fault, Entry> mEntries = new EnumMap<>(Fault.class);
 
     /**
-     * One fault that was switched on.
+     * A fault that has been switched on.
      *
-     * @param untilNanos when it ends, by {@link System#nanoTime()}
-     * @param amount how strong it is
+     * @param untilNanos when it ends, as {@link System#nanoTime()}
+     * @param amount the amount, whose unit depends on the fault
      */
     private record Entry(long untilNanos, int amount) {}
 
@@ -24,18 +22,18 @@
      * Switches a fault on.
      *
      * @param fault the fault
-     * @param millis how long, 0 to switch it off
-     * @param amount how strong
+     * @param millis its duration, 0 to switch it off
+     * @param amount its amount
      */
     public synchronized void set(Fault fault, long millis, int amount) {
-        mEntries.put(fault, new Entry(System.nanoTime() + millis * NANOS, amount));
+        mEntries.put(fault, new Entry(System.nanoTime() + millis * NANOS_PER_MILLI, amount));
     }
 
     /**
-     * Returns whether a fault is on.
+     * Returns whether a fault is active.
      *
      * @param fault the fault
-     * @return whether it is on now
+     * @return whether it is active now
      */
     public synchronized boolean on(Fault fault) {
         Entry entry = mEntries.get(fault);
@@ -43,10 +41,10 @@
     }
 
     /**
-     * Returns how strong a fault is.
+     * Returns the amount of a fault.
      *
      * @param fault the fault
-     * @return its amount, or 0 where it is off
+     * @return the amount, or 0 when the fault is not active
      */
     public synchronized int amount(Fault fault) {
         return on(fault) ? mEntries.get(fault).amount() : 0;
--- a/troutpier-standins/src/main/java/org/troutpier/standins/fault/FaultProxy.java
+++ b/troutpier-standins/src/main/java/org/troutpier/standins/fault/FaultProxy.java
@@ -23,40 +23,36 @@
 import org.troutpier.common.settings.Address;
 
 /**
- * Passes connections on to a target and harms them from outside, as a bad network does. Thread
- * safe; each connection is confined to one event loop. Invariant: bytes are never changed, lost
- * from the middle, or overtaken; a cut holds them and the closing of its side up until it ends, as
- * a partition does.
+ * A TCP proxy that simulates network faults between its clients and a target. Thread safe; each
+ * connection is confined to one event loop. Invariant: bytes are never changed, reordered or
+ * dropped from the middle of a stream. A cut delays bytes, and the close of the side that sends
+ * them, until it ends, as a network partition does.
  */
 public final class FaultProxy implements AutoCloseable {
 
-    /** Nanoseconds in a millisecond. */
-    private static final long NANOS = 1_000_000L;
+    private static final long NANOS_PER_MILLI = 1_000_000L;
 
-    /** Which faults are on, by when they end, nanoseconds. */
-    private final Map<LinkFault, Long> mUntil = new ConcurrentHashMap<>();
+    /** When each fault ends, as {@link System#nanoTime()}. */
+    private final Map<LinkFault, Long> mFaultEnds = new ConcurrentHashMap<>();
 
-    /** The open connections. */
     private final Set<Connection> mConnections = ConcurrentHashMap.newKeySet();
 
-    /** Runs the connections. */
     private final EventLoopGroup mLoops;
 
-    /** Listens. */
     private final Channel mListener;
 
-    /** Where connections go. */
+    /** The target of new connections. */
     private volatile Address mTarget;
 
-    /** By how much bytes are late while {@link LinkFault#DELAY} is on, milliseconds. */
+    /** The delay of bytes while {@link LinkFault#DELAY} is active. */
     private volatile int mDelayMillis;
 
     /**
-     * Creates a proxy and starts to listen.
+     * Creates a proxy and starts listening.
      *
-     * @param listen where to listen; port 0 takes a free one
-     * @param target where connections go
-     * @param loops runs the connections
+     * @param listen the address to listen on; port 0 selects a free port
+     * @param target the target of connections
+     * @param loops the event loops of the connections
      */
     public FaultProxy(Address listen, Address target, EventLoopGroup loops) {
         mTarget = target;
@@ -71,7 +67,7 @@
                                 new ChannelInitializer<Channel>() {
                                     @Override
                                     protected void initChannel(Channel channel) {
-                                        accepted(channel);
+                                        onAccepted(channel);
                                     }
                                 })
                         .bind(listen.host(), listen.port())
@@ -80,7 +76,7 @@
     }
 
     /**
-     * Returns where the proxy listens.
+     * Returns the address that the proxy listens on.
      *
      * @return the address
      */
@@ -90,9 +86,9 @@
     }
 
     /**
-     * Sends new connections elsewhere.
+     * Sets the target of new connections.
      *
-     * @param target where they go from now on
+     * @param target the new target
      */
     public void target(Address target) {
         mTarget = target;
@@ -102,72 +98,70 @@
      * Switches a fault on.
      *
      * @param fault the fault
-     * @param millis how long it lasts; {@link LinkFault#FORGET} has no length
-     * @param amount how strong it is
-     * @return completes once every open connection is harmed
+     * @param millis its duration; ignored for {@link LinkFault#FORGET}, which is permanent
+     * @param amount the delay in milliseconds for {@link LinkFault#DELAY}, else ignored
+     * @return completes once every open connection has applied the fault
      */
     public CompletableFuture<Void> fault(LinkFault fault, long millis, int amount) {
         if (fault == LinkFault.DELAY) {
             mDelayMillis = amount;
         }
         if (fault != LinkFault.FORGET) {
-            mUntil.put(fault, System.nanoTime() + millis * NANOS);
-            mLoops.next().schedule(this::apply, millis + 1, TimeUnit.MILLISECONDS);
+            mFaultEnds.put(fault, System.nanoTime() + millis * NANOS_PER_MILLI);
+            mLoops.next().schedule(this::applyFaults, millis + 1, TimeUnit.MILLISECONDS);
         }
-        mConnections.forEach(connection -> connection.harmed(fault));
-        return apply();
+        mConnections.forEach(connection -> connection.onFault(fault));
+        return applyFaults();
     }
 
-    /** Ends all faults; connections that were forgotten stay so. */
+    /**
+     * Ends all faults, except that connections silenced by {@link LinkFault#FORGET} stay silent.
+     */
     public void heal() {
-        mUntil.clear();
-        apply();
+        mFaultEnds.clear();
+        applyFaults();
     }
 
     /**
-     * Has every connection look at what is on.
+     * Makes every connection apply the active faults.
      *
-     * @return completes once all have
+     * @return completes once all have done so
      */
-    private CompletableFuture<Void> apply() {
+    private CompletableFuture<Void> applyFaults() {
         return CompletableFuture.allOf(
-                mConnections.stream().map(Connection::look).toArray(CompletableFuture[]::new));
+                mConnections.stream()
+                        .map(Connection::updateAutoRead)
+                        .toArray(CompletableFuture[]::new));
     }
 
-    /**
-     * Returns whether a fault is on.
-     *
-     * @param fault the fault
-     * @return whether it is
-     */
     private boolean on(LinkFault fault) {
-        Long until = mUntil.get(fault);
+        Long until = mFaultEnds.get(fault);
         return until != null && until - System.nanoTime() > 0;
     }
 
     /**
-     * Takes a new connection.
+     * Handles a new connection; resets it while {@link LinkFault#RESET} is active.
      *
      * @param channel the connection
      */
-    private void accepted(Channel channel) {
+    private void onAccepted(Channel channel) {
         if (on(LinkFault.RESET)) {
-            reset(channel);
+            resetChannel(channel);
             return;
         }
         Connection connection = new Connection(channel);
-        channel.pipeline().addLast(connection.mForth);
+        channel.pipeline().addLast(connection.mToTarget);
         mConnections.add(connection);
         channel.closeFuture().addListener(closed -> mConnections.remove(connection));
         connection.connect();
     }
 
     /**
-     * Ends a connection with a reset.
+     * Closes a connection with a TCP reset.
      *
      * @param channel the connection
      */
-    private static void reset(Channel channel) {
+    private static void resetChannel(Channel channel) {
         channel.config().setOption(ChannelOption.SO_LINGER, 0);
         channel.close();
     }
@@ -176,154 +170,161 @@
     @Override
     public void close() {
         mListener.close().syncUninterruptibly();
-        mConnections.forEach(connection -> connection.mNear.close());
+        mConnections.forEach(connection -> connection.mClientChannel.close());
     }
 
-    /** One connection and its continuation to the target. Confined to the near side's loop. */
+    /**
+     * A client connection and its connection to the target. Confined to the event loop of the
+     * client connection.
+     */
     private final class Connection {
 
-        /** The side that was accepted. */
-        private final Channel mNear;
+        /** The accepted connection. */
+        private final Channel mClientChannel;
 
-        /** Passes bytes towards the target. */
-        private final Direction mForth = new Direction(this, LinkFault.CUT_FORTH);
+        /** Passes bytes from the client to the target. */
+        private final Direction mToTarget = new Direction(this, LinkFault.CUT_FORTH);
 
-        /** Passes bytes back. */
-        private final Direction mBack = new Direction(this, LinkFault.CUT_BACK);
+        /** Passes bytes from the target to the client. */
+        private final Direction mFromTarget = new Direction(this, LinkFault.CUT_BACK);
 
-        /** Whether nothing passes any more. */
-        private boolean mForgotten;
+        /** Whether {@link LinkFault#FORGET} has permanently stopped this connection. */
+        private boolean mSilenced;
 
         /**
          * Creates a connection.
          *
-         * @param near the side that was accepted
+         * @param clientChannel the accepted connection
          */
-        Connection(Channel near) {
-            mNear = near;
+        Connection(Channel clientChannel) {
+            mClientChannel = clientChannel;
         }
 
-        /** Opens the side to the target. */
+        /** Connects to the target; resets the client connection if that fails. */
         private void connect() {
             Address target = mTarget;
             ChannelFuture opened =
                     new Bootstrap()
-                            .group(mNear.eventLoop())
+                            .group(mClientChannel.eventLoop())
                             .channel(NioSocketChannel.class)
                             .option(ChannelOption.AUTO_READ, false)
                             .option(ChannelOption.TCP_NODELAY, true)
-                            .handler(mBack)
+                            .handler(mFromTarget)
                             .connect(target.host(), target.port());
             opened.addListener(
                     connected -> {
                         if (!connected.isSuccess()) {
-                            reset(mNear);
+                            resetChannel(mClientChannel);
                             return;
                         }
-                        mForth.mTo = opened.channel();
-                        mBack.mTo = mNear;
-                        mForth.mFrom = mNear;
-                        mBack.mFrom = opened.channel();
-                        if (!mNear.isActive()) {
+                        mToTarget.mSink = opened.channel();
+                        mFromTarget.mSink = mClientChannel;
+                        mToTarget.mSource = mClientChannel;
+                        mFromTarget.mSource = opened.channel();
+                        if (!mClientChannel.isActive()) {
                             opened.channel().close();
                         }
-                        look();
+                        updateAutoRead();
                     });
         }
 
         /**
-         * Takes a fault that hits open connections at its start.
+         * Applies a fault that affects open connections when it starts.
          *
          * @param fault the fault
          */
-        private void harmed(LinkFault fault) {
+        private void onFault(LinkFault fault) {
             if (fault == LinkFault.FORGET) {
-                mNear.eventLoop().execute(() -> mForgotten = true);
+                mClientChannel.eventLoop().execute(() -> mSilenced = true);
             } else if (fault == LinkFault.RESET) {
-                mNear.eventLoop()
+                mClientChannel
+                        .eventLoop()
                         .execute(
                                 () -> {
-                                    reset(mNear);
-                                    if (mBack.mFrom != null) {
-                                        reset(mBack.mFrom);
+                                    resetChannel(mClientChannel);
+                                    if (mFromTarget.mSource != null) {
+                                        resetChannel(mFromTarget.mSource);
                                     }
                                 });
             }
         }
 
         /**
-         * Lets each direction pass or holds it, by what is on.
+         * Pauses or resumes both directions according to the active faults.
          *
          * @return completes once it has
          */
-        private CompletableFuture<Void> look() {
+        private CompletableFuture<Void> updateAutoRead() {
             return CompletableFuture.runAsync(
                     () -> {
-                        boolean held = mForgotten || on(LinkFault.DARK);
-                        mForth.look(held);
-                        mBack.look(held);
+                        boolean paused = mSilenced || on(LinkFault.DARK);
+                        mToTarget.updateAutoRead(paused);
+                        mFromTarget.updateAutoRead(paused);
                     },
-                    mNear.eventLoop());
+                    mClientChannel.eventLoop());
         }
     }
 
-    /** One direction of a connection. Confined to its loop. */
+    /** One direction of a connection. Confined to the event loop of the connection. */
     private final class Direction extends ChannelInboundHandlerAdapter {
 
-        /** The connection that this is a direction of. */
+        /** The connection that this direction belongs to. */
         private final Connection mConnection;
 
-        /** The fault that holds this direction up. */
-        private final LinkFault mCut;
+        /** The fault that pauses this direction. */
+        private final LinkFault mCutFault;
 
-        /** Where bytes come from, once both sides are open. */
-        private Channel mFrom;
+        /** The channel that bytes are read from; null until both sides are open. */
+        private Channel mSource;
 
-        /** Where bytes go. */
-        private Channel mTo;
+        /** The channel that bytes are written to; null until both sides are open. */
+        private Channel mSink;
 
-        /** Before when nothing is passed on, nanoseconds: a shorter delay overtakes nothing. */
-        private long mNotBefore = System.nanoTime();
+        /**
+         * The earliest time at which bytes may pass, as {@link System#nanoTime()}. It never
+         * decreases, so that a shorter delay does not reorder bytes.
+         */
+        private long mNextPassNanos = System.nanoTime();
 
-        /** What waits, in order: each time that comes up lets the first go. */
-        private final Queue<Runnable> mWaiting = new ArrayDeque<>();
+        /** The delayed actions in order. Each timer that fires runs the first of them. */
+        private final Queue<Runnable> mPending = new ArrayDeque<>();
 
         /**
          * Creates a direction.
          *
-         * @param connection the connection that this is a direction of
-         * @param cut the fault that holds it up
+         * @param connection the connection that this direction belongs to
+         * @param cutFault the fault that pauses it
          */
-        Direction(Connection connection, LinkFault cut) {
+        Direction(Connection connection, LinkFault cutFault) {
             mConnection = connection;
-            mCut = cut;
+            mCutFault = cutFault;
         }
 
         /**
-         * Reads on or not.
+         * Reads from the source unless this direction is paused or the sink is not writable.
          *
-         * @param held whether the whole connection is held up
+         * @param paused whether the whole connection is paused
          */
-        private void look(boolean held) {
-            if (mFrom != null) {
-                mFrom.config().setAutoRead(!held && !on(mCut) && mTo.isWritable());
+        private void updateAutoRead(boolean paused) {
+            if (mSource != null) {
+                mSource.config().setAutoRead(!paused && !on(mCutFault) && mSink.isWritable());
             }
         }
 
         /** {@inheritDoc} */
         @Override
         public void channelRead(ChannelHandlerContext context, Object bytes) {
-            later(context, () -> write(bytes));
+            runDelayed(context, () -> write(bytes));
         }
 
         /**
-         * Passes bytes on, or drops them where the other side is closed.
+         * Writes bytes to the sink, or drops them when the sink is closed.
          *
          * @param bytes the bytes
          */
         private void write(Object bytes) {
-            if (mTo.isActive()) {
-                mTo.writeAndFlush(bytes);
+            if (mSink.isActive()) {
+                mSink.writeAndFlush(bytes);
             } else {
                 ReferenceCountUtil.release(bytes);
             }
@@ -332,42 +333,44 @@
         /** {@inheritDoc} */
         @Override
         public void channelInactive(ChannelHandlerContext context) {
-            if (mTo != null) {
-                later(context, mTo::close);
+            if (mSink != null) {
+                runDelayed(context, mSink::close);
             }
         }
 
         /**
-         * Does something after the delay that is on, never before what came earlier.
+         * Runs an action after the active delay, never before an earlier action.
          *
-         * @param context the side that is read
-         * @param action what to do
+         * @param context the context of the source
+         * @param action the action
          */
-        private void later(ChannelHandlerContext context, Runnable action) {
+        private void runDelayed(ChannelHandlerContext context, Runnable action) {
             long now = System.nanoTime();
-            long delay = on(LinkFault.DELAY) ? mDelayMillis * NANOS : 0;
-            mNotBefore = Math.max(mNotBefore, now + delay);
-            if (mNotBefore <= now && mWaiting.isEmpty()) {
+            long delay = on(LinkFault.DELAY) ? mDelayMillis * NANOS_PER_MILLI : 0;
+            mNextPassNanos = Math.max(mNextPassNanos, now + delay);
+            if (mNextPassNanos <= now && mPending.isEmpty()) {
                 action.run();
                 return;
             }
-            mWaiting.add(action);
+            mPending.add(action);
             context.executor()
                     .schedule(
-                            () -> mWaiting.remove().run(), mNotBefore - now, TimeUnit.NANOSECONDS);
+                            () -> mPending.remove().run(),
+                            mNextPassNanos - now,
+                            TimeUnit.NANOSECONDS);
         }
 
         /** {@inheritDoc} */
         @Override
         public void channelWritabilityChanged(ChannelHandlerContext context) {
-            mConnection.look();
+            mConnection.updateAutoRead();
             context.fireChannelWritabilityChanged();
         }
 
         /** {@inheritDoc} */
         @Override
         public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
-            reset(context.channel());
+            resetChannel(context.channel());
         }
     }
 }
--- a/troutpier-standins/src/main/java/org/troutpier/standins/fault/LinkFault.java
+++ b/troutpier-standins/src/main/java/org/troutpier/standins/fault/LinkFault.java
@@ -2,19 +2,19 @@
 
 import java.util.Locale;
 
-/** What can be made to go wrong on the connections of a {@link FaultProxy}. Immutable. */
+/** Faults that can be injected into the connections of a {@link FaultProxy}. Immutable. */
 public enum LinkFault {
-    /** Every byte is later by the amount, in milliseconds. */
+    /** All bytes are delayed by the amount, in milliseconds. */
     DELAY,
     /** Open connections are reset, and so are new ones. */
     RESET,
-    /** Nothing goes on towards the target; what comes back still does. */
+    /** No bytes pass to the target; bytes from the target still pass. */
     CUT_FORTH,
-    /** Nothing comes back from the target; what goes towards it still does. */
+    /** No bytes pass from the target; bytes to the target still pass. */
     CUT_BACK,
-    /** Nothing passes either way, also on new connections. */
+    /** No bytes pass in either direction, also on new connections. */
     DARK,
-    /** Open connections pass nothing any more, for good and without a reset; new ones work. */
+    /** Open connections pass no more bytes, permanently and without a reset; new ones work. */
     FORGET;
 
     /**
@@ -27,11 +27,11 @@
     }
 
     /**
-     * Finds a fault by its name.
+     * Returns the fault of a name.
      *
      * @param label the name
      * @return the fault
-     * @throws IllegalArgumentException if there is none of that name
+     * @throws IllegalArgumentException if no fault has that name
      */
     public static LinkFault of(String label) {
         return valueOf(label.toUpperCase(Locale.ROOT).replace('-', '_'));
--- a/troutpier-standins/src/main/java/org/troutpier/standins/fault/ProxiesCommand.java
+++ b/troutpier-standins/src/main/java/org/troutpier/standins/fault/ProxiesCommand.java
@@ -16,31 +16,28 @@
 import picocli.CommandLine.Option;
 
 /**
- * Runs proxies that harm connections when told to, by {@code POST
- * /fault/KIND?link=PORT&millis=N&amount=N}. Confined to the command line's thread, but for the
- * handler, which is thread safe.
+ * Runs fault proxies that are controlled by {@code POST /fault/KIND?link=PORT&millis=N&amount=N}.
+ * Confined to the thread of the command line, except for the handler, which is thread safe.
  */
-@Command(name = "proxies", description = "Runs proxies that harm connections when told to.")
+@Command(name = "proxies", description = "Runs proxies that inject network faults on request.")
 public final class ProxiesCommand implements Callable<Integer> {
 
-    /** Where all of it is. */
     private static final String HOST = "127.0.0.1";
 
-    /** What the control port's paths begin with. */
     private static final String FAULT_PATH = "/fault/";
 
-    /** Where faults are switched on. */
+    /** The port of the control interface. */
     @Option(names = "--port", required = true, description = "control port")
     private int mPort;
 
-    /** The port of each target, by the port where its proxy listens. */
+    /** The port of each target, by the port that its proxy listens on. */
     @Option(names = "--links", required = true, split = ",", description = "PORT=TARGET_PORT")
     private Map<Integer, Integer> mLinks;
 
-    /** The proxies, by the port where each listens. */
+    /** The proxies, by the port that each listens on. */
     private final Map<String, FaultProxy> mProxies = new HashMap<>();
 
-    /** Created by the command line. */
+    /** Instantiated by picocli. */
     private ProxiesCommand() {}
 
     /** {@inheritDoc} */
@@ -67,9 +64,9 @@
     }
 
     /**
-     * Switches a fault on.
+     * Switches a fault of a link on.
      *
-     * @param exchange names the fault, the link, how long it lasts and how strong it is
+     * @param exchange the request, which names the fault, the link, the duration and the amount
      */
     private void handle(HttpExchange exchange) {
         FaultProxy proxy = mProxies.get(exchange.query("link"));
--- a/troutpier-standins/src/main/java/org/troutpier/standins/fault/RunLog.java
+++ b/troutpier-standins/src/main/java/org/troutpier/standins/fault/RunLog.java
@@ -11,22 +11,18 @@
 import java.util.List;
 
 /**
- * What a stand-in ran, so that it can be held against what callers were told. Thread safe by its
- * lock. Bounded: the oldest half is dropped when it is full. With {@code -Dstandin.ran=FILE} every
- * entry is also appended to a file, which outlives a killed process.
+ * Records what a stand-in ran, to be compared with the outcomes that callers received. Thread safe;
+ * guarded by its own lock. Bounded: when the log is full, the oldest half is dropped. With {@code
+ * -Dstandin.ran=FILE} every entry is also appended to a file, which survives a killed process.
  */
 public final class RunLog {
 
-    /** Names the file. */
     private static final String FILE_PROPERTY = "standin.ran";
 
-    /** How many entries are kept. */
-    private static final int MOST = 400_000;
+    private static final int MAX_ENTRIES = 400_000;
 
-    /** The entries, oldest first. */
     private final List<Entry> mEntries = new ArrayList<>();
 
-    /** The file, or null. */
     private final PrintWriter mFile;
 
     /** Creates an empty log. */
@@ -35,18 +31,18 @@
     }
 
     /**
-     * One thing that ran.
+     * A step of a request.
      *
-     * @param request the id that the router gave
-     * @param call the caller's own mark, empty for none
+     * @param request the id assigned by the router
+     * @param call the id assigned by the caller, empty for none
      * @param step what happened: {@code started}, {@code finished} or {@code cancelled}
      */
     public record Entry(String request, String call, String step) {}
 
     /**
-     * Opens the file.
+     * Opens the file that entries are appended to.
      *
-     * @param name its name, or null
+     * @param name its name, or null for none
      * @return the file, or null
      */
     private static PrintWriter open(String name) {
@@ -68,13 +64,13 @@
     /**
      * Adds an entry.
      *
-     * @param request the id that the router gave
-     * @param call the caller's own mark, empty for none
+     * @param request the id assigned by the router
+     * @param call the id assigned by the caller, empty for none
      * @param step what happened
      */
     public synchronized void add(String request, String call, String step) {
-        if (mEntries.size() >= MOST) {
-            mEntries.subList(0, MOST / 2).clear();
+        if (mEntries.size() >= MAX_ENTRIES) {
+            mEntries.subList(0, MAX_ENTRIES / 2).clear();
         }
         mEntries.add(new Entry(request, call, step));
         if (mFile != null) {
@@ -84,7 +80,7 @@
     }
 
     /**
-     * Lists the entries.
+     * Returns the entries.
      *
      * @return a copy, oldest first
      */
--- a/troutpier-standins/src/main/java/org/troutpier/standins/fault/StandinServer.java
+++ b/troutpier-standins/src/main/java/org/troutpier/standins/fault/StandinServer.java
@@ -16,60 +16,53 @@
 import org.troutpier.common.settings.Address;
 
 /**
- * The server of a stand-in: it serves {@code /fault}, {@code /ran}, {@code /events} and {@code
- * /healthz} itself and lets faults act on everything else. Thread safe.
+ * The HTTP server of a stand-in. Serves {@code /fault}, {@code /ran}, {@code /events} and {@code
+ * /healthz} itself and applies the active faults to all other paths. Thread safe.
  */
 public final class StandinServer implements AutoCloseable {
 
-    /** How many events are kept. */
-    private static final int RING = 8192;
+    private static final int EVENT_CAPACITY = 8192;
 
-    /** The status of an outage. */
     private static final int UNAVAILABLE = 503;
 
-    /** The name that events bear. */
     private final String mName;
 
-    /** The faults that are on. */
     private final FaultBoard mFaults = new FaultBoard();
 
-    /** What ran here. */
-    private final RunLog mRan = new RunLog();
+    private final RunLog mRunLog = new RunLog();
 
-    /** What happened here. */
     private final EventRing mEvents;
 
-    /** The server. */
     private final HttpServer mServer;
 
     /**
      * Creates and starts a server.
      *
-     * @param name the name that events bear
-     * @param address where to listen
-     * @param loops carries the traffic
-     * @param routes makes the handler of the stand-in's own paths
+     * @param name the name of the stand-in in its events
+     * @param address the address to listen on
+     * @param loops the event loops of the connections
+     * @param routes creates the handler of the stand-in's own paths
      */
     public StandinServer(String name, Address address, EventLoopGroup loops, Routes routes) {
         mName = name;
-        mEvents = new EventRing(name, RING, new HybridClock());
-        HttpHandler own = routes.handler(this);
+        mEvents = new EventRing(name, EVENT_CAPACITY, new HybridClock());
+        HttpHandler handler = routes.handler(this);
         mServer =
                 new HttpServer(
                         address,
                         loops,
                         ServerLimits.DEFAULT,
                         ServerRefusals.AsJson.INSTANCE,
-                        exchange -> route(exchange, own));
+                        exchange -> route(exchange, handler));
     }
 
-    /** Makes the handler of a stand-in's own paths. */
+    /** Creates the handler of a stand-in's own paths. */
     public interface Routes {
 
         /**
-         * Makes the handler.
+         * Creates the handler.
          *
-         * @param server the server that it will belong to
+         * @param server the server that the handler belongs to
          * @return the handler
          */
         HttpHandler handler(StandinServer server);
@@ -79,14 +72,14 @@
      * Serves one request.
      *
      * @param exchange the request
-     * @param own the stand-in's own handler
+     * @param handler the handler of the stand-in's own paths
      */
-    private void route(HttpExchange exchange, HttpHandler own) {
+    private void route(HttpExchange exchange, HttpHandler handler) {
         String path = exchange.path();
         if (path.startsWith("/fault/")) {
             switchFault(exchange, Fault.of(path.substring("/fault/".length())));
         } else if (path.equals("/ran")) {
-            exchange.answer(Answers.json(200, mRan.all()));
+            exchange.answer(Answers.json(200, mRunLog.all()));
         } else if (path.equals("/events")) {
             exchange.answer(Answers.json(200, mEvents.about(exchange.query("subject"))));
         } else if (path.equals("/healthz")) {
@@ -95,14 +88,14 @@
         } else if (mFaults.on(Fault.OUTAGE)) {
             exchange.answer(Answers.json(UNAVAILABLE, Map.of("error", "outage")));
         } else if (!mFaults.on(Fault.HANG)) {
-            delayed(exchange, () -> own.handle(exchange));
+            runDelayed(exchange, () -> handler.handle(exchange));
         }
     }
 
     /**
-     * Switches a fault.
+     * Switches a fault on or off.
      *
-     * @param exchange the request to do so
+     * @param exchange the request, with the duration and the amount
      * @param fault the fault
      */
     private void switchFault(HttpExchange exchange, Fault fault) {
@@ -114,12 +107,12 @@
     }
 
     /**
-     * Runs an action now or after the delay that is switched on.
+     * Runs an action, after the delay of {@link Fault#DELAY} if that is active.
      *
      * @param exchange the request
      * @param action the action
      */
-    private void delayed(HttpExchange exchange, Runnable action) {
+    private void runDelayed(HttpExchange exchange, Runnable action) {
         int millis = mFaults.amount(Fault.DELAY);
         if (millis == 0) {
             action.run();
@@ -129,7 +122,7 @@
     }
 
     /**
-     * Sends the answer to a write, or cuts the connection where acknowledgements are lost.
+     * Sends the answer to a write, or closes the connection while {@link Fault#LOST_ACK} is active.
      *
      * @param exchange the request
      * @param answer the answer
@@ -144,7 +137,7 @@
     }
 
     /**
-     * Answers a path that means nothing here.
+     * Answers a request for an unknown path.
      *
      * @param exchange the request
      */
@@ -153,34 +146,34 @@
     }
 
     /**
-     * Returns the faults that are on.
+     * Returns the active faults.
      *
-     * @return the board
+     * @return the fault board
      */
     public FaultBoard faults() {
         return mFaults;
     }
 
     /**
-     * Returns what ran here.
+     * Returns the log of what this stand-in ran.
      *
-     * @return the log
+     * @return the run log
      */
     public RunLog ran() {
-        return mRan;
+        return mRunLog;
     }
 
     /**
-     * Returns what happened here.
+     * Returns the events of this stand-in.
      *
-     * @return the ring
+     * @return the event ring
      */
     public EventRing events() {
         return mEvents;
     }
 
     /**
-     * Returns where this stand-in listens.
+     * Returns the address that this stand-in listens on.
      *
      * @return the address
      */
--- a/troutpier-standins/src/main/java/org/troutpier/standins/fault/package-info.java
+++ b/troutpier-standins/src/main/java/org/troutpier/standins/fault/package-info.java
@@ -1,2 +1,2 @@
-/** Faults that are switched on and off over HTTP, the same way in every stand-in. */
+/** Fault injection: faults of stand-ins and of network links, controlled over HTTP. */
 package org.troutpier.standins.fault;
--- a/troutpier-standins/src/test/java/org/troutpier/standins/fault/FaultProxyTest.java
+++ b/troutpier-standins/src/test/java/org/troutpier/standins/fault/FaultProxyTest.java
@@ -20,13 +20,13 @@
 import org.testng.annotations.Test;
 import org.troutpier.common.settings.Address;
 
-/** What a proxy does to connections. The target sends back each number that it gets. */
+/** Tests the faults of {@link FaultProxy} on connections to a target that echoes each number. */
 public final class FaultProxyTest {
 
-    private static final int SOON_MILLIS = 150;
-    private static final int PATIENCE_MILLIS = 10_000;
-    private static final int LONG_MILLIS = 60_000;
-    private static final int NUMBERS = 2000;
+    private static final int SILENCE_MILLIS = 150;
+    private static final int TIMEOUT_MILLIS = 10_000;
+    private static final int FAULT_MILLIS = 60_000;
+    private static final int NUMBER_COUNT = 2000;
 
     private final ExecutorService mThreads = Executors.newCachedThreadPool();
     private NioEventLoopGroup mLoops;
@@ -56,7 +56,7 @@
                 mThreads.execute(() -> echo(socket));
             }
         } catch (IOException closed) {
-            // The test is over.
+            // The listener was closed at the end of the test.
             return;
         }
     }
@@ -69,7 +69,7 @@
                 out.writeInt(in.readInt());
             }
         } catch (IOException ended) {
-            // The other side has closed, as each test does in the end.
+            // The client closed the connection at the end of the test.
             return;
         }
     }
@@ -107,7 +107,7 @@
     public void bytesPassBothWays() throws IOException {
         try (Client client = new Client()) {
             client.send(7);
-            assertEquals(client.receive(PATIENCE_MILLIS), 7);
+            assertEquals(client.receive(TIMEOUT_MILLIS), 7);
         }
     }
 
@@ -117,7 +117,7 @@
             var sent =
                     mThreads.submit(
                             () -> {
-                                for (int number = 0; number < NUMBERS; number++) {
+                                for (int number = 0; number < NUMBER_COUNT; number++) {
                                     if (number % 100 == 0) {
                                         mProxy.fault(LinkFault.DELAY, 3, 1 + number % 7);
                                     }
@@ -125,8 +125,8 @@
                                 }
                                 return null;
                             });
-            for (int number = 0; number < NUMBERS; number++) {
-                assertEquals(client.receive(PATIENCE_MILLIS), number);
+            for (int number = 0; number < NUMBER_COUNT; number++) {
+                assertEquals(client.receive(TIMEOUT_MILLIS), number);
             }
             sent.get();
         }
@@ -138,12 +138,12 @@
                 new LinkFault[] {LinkFault.CUT_FORTH, LinkFault.CUT_BACK, LinkFault.DARK}) {
             try (Client client = new Client()) {
                 client.send(1);
-                assertEquals(client.receive(PATIENCE_MILLIS), 1);
-                mProxy.fault(cut, LONG_MILLIS, 0).join();
+                assertEquals(client.receive(TIMEOUT_MILLIS), 1);
+                mProxy.fault(cut, FAULT_MILLIS, 0).join();
                 client.send(2);
-                assertThrows(SocketTimeoutException.class, () -> client.receive(SOON_MILLIS));
+                assertThrows(SocketTimeoutException.class, () -> client.receive(SILENCE_MILLIS));
                 mProxy.heal();
-                assertEquals(client.receive(PATIENCE_MILLIS), 2);
+                assertEquals(client.receive(TIMEOUT_MILLIS), 2);
             }
         }
     }
@@ -152,14 +152,14 @@
     public void aForgottenConnectionIsSilentWhileNewOnesWork() throws IOException {
         try (Client old = new Client()) {
             old.send(1);
-            assertEquals(old.receive(PATIENCE_MILLIS), 1);
+            assertEquals(old.receive(TIMEOUT_MILLIS), 1);
             mProxy.fault(LinkFault.FORGET, 0, 0).join();
             old.send(2);
             try (Client next = new Client()) {
                 next.send(3);
-                assertEquals(next.receive(PATIENCE_MILLIS), 3);
+                assertEquals(next.receive(TIMEOUT_MILLIS), 3);
             }
-            assertThrows(SocketTimeoutException.class, () -> old.receive(SOON_MILLIS));
+            assertThrows(SocketTimeoutException.class, () -> old.receive(SILENCE_MILLIS));
         }
     }
 
@@ -167,11 +167,11 @@
     public void aResetEndsOpenConnections() throws IOException {
         try (Client client = new Client()) {
             client.send(1);
-            assertEquals(client.receive(PATIENCE_MILLIS), 1);
-            mProxy.fault(LinkFault.RESET, LONG_MILLIS, 0);
+            assertEquals(client.receive(TIMEOUT_MILLIS), 1);
+            mProxy.fault(LinkFault.RESET, FAULT_MILLIS, 0);
             IOException end = null;
             try {
-                client.receive(PATIENCE_MILLIS);
+                client.receive(TIMEOUT_MILLIS);
             } catch (IOException exception) {
                 end = exception;
             }
