--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/cluster/PeerExchange.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/cluster/PeerExchange.java
@@ -407,7 +407,10 @@
         mLoads.aggregateIfOutdated(mNode.millis());
         mRelay.resendUnchanged();
         if (mLoads.peerCount() != mLoggedPeerCount) {
-            LOGGER.info("routers heard before={} now={}", mLoggedPeerCount, mLoads.peerCount());
+            LOGGER.info(
+                    "number of routers with recent reports changed before={} now={}",
+                    mLoggedPeerCount,
+                    mLoads.peerCount());
             mLoggedPeerCount = mLoads.peerCount();
         }
     }
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/directory/UpstreamDirectory.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/directory/UpstreamDirectory.java
@@ -185,7 +185,9 @@
     public void onStoreUnavailable() {
         if (!mStoreUnavailable) {
             LOGGER.warn(
-                    "directory store lost entries={} ageMillis={}", mEntries.size(), ageMillis());
+                    "directory store unavailable, keeping known upstreams entries={} ageMillis={}",
+                    mEntries.size(),
+                    ageMillis());
         }
         mStoreUnavailable = true;
     }
@@ -204,7 +206,7 @@
         if (own && mStoreUnavailable) {
             mStoreUnavailable = false;
             LOGGER.info(
-                    "directory store regained entries={} ageMillis={}",
+                    "directory store available again entries={} ageMillis={}",
                     mEntries.size(),
                     ageMillis());
         }
@@ -296,7 +298,7 @@
         mLeaving.put(incarnation.id(), incarnation, mMillis.getAsLong());
         UpstreamEntry entry = mEntries.get(incarnation.id());
         if (entry != null && !entry.draining() && entry.incarnation().mayEqual(incarnation)) {
-            LOGGER.info("upstream leaves id={}", incarnation);
+            LOGGER.info("upstream is leaving, marked as draining id={}", incarnation);
             mEntries.put(incarnation.id(), entry.asDraining());
             publish();
         }
@@ -321,7 +323,7 @@
      */
     public void markUnreadable(UpstreamId id) {
         if (mEntries.containsKey(id) && mUnreadable.add(id)) {
-            LOGGER.warn("upstream withheld id={}, its entry cannot be read", id);
+            LOGGER.warn("upstream not used id={}, its latest entry cannot be decoded", id);
             publish();
         }
     }
@@ -361,13 +363,16 @@
         }
         long remaining = mGraceUntil - mMillis.getAsLong();
         if (remaining > 0 && !entry.draining() && !mUnreadable.contains(id)) {
-            LOGGER.info("upstream missing id={} believedMillis={}", id, remaining);
+            LOGGER.info(
+                    "upstream missing from store, kept for a grace period id={} believedMillis={}",
+                    id,
+                    remaining);
             mMissing.add(id);
             scheduleExpiry();
             return false;
         }
         discard(id);
-        LOGGER.info("upstream gone id={}", id);
+        LOGGER.info("upstream removed id={}", id);
         return true;
     }
 
@@ -400,7 +405,7 @@
         for (UpstreamId missing : mMissing) {
             discard(missing);
             LOGGER.info(
-                    "upstream gone after the store's return id={} overdueMillis={}",
+                    "upstream removed after its grace period id={} overdueMillis={}",
                     missing,
                     overdue);
         }
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/organisation/OrganisationLimiter.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/organisation/OrganisationLimiter.java
@@ -274,7 +274,7 @@
                                 (long) headroom.allowed(),
                                 mSettings.windowMillis());
         if (account.mLogPause.tryAcquire(now)) {
-            LOGGER.info("organisation beyond its limit: {}", detail);
+            LOGGER.info("request refused, organisation over its usage limit: {}", detail);
         }
         double excess = cost - headroom.remaining();
         double freedPerMilli = Math.max(1, account.mLimit.target()) / mSettings.windowMillis();
@@ -313,7 +313,10 @@
         if (partial != mLoggedPartial) {
             mLoggedPartial = partial;
             LOGGER.info(
-                    "limits are kept with part={} heard={} known={}", partial, reachable, known);
+                    "routers sharing organisation limits changed part={} heard={} known={}",
+                    partial,
+                    reachable,
+                    known);
         }
         return new LimitShare(limit, mSettings.tolerance(limit), reachable, known, assumed);
     }
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/quarantine/Quarantine.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/quarantine/Quarantine.java
@@ -141,7 +141,7 @@
         }
         mCrashCount.inc();
         LOGGER.warn(
-                "upstream ended under a request content={} upstream={} ended={}",
+                "upstream crashed while working on a request content={} upstream={} ended={}",
                 request,
                 upstream,
                 after.ended().size());
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/role/RoleLease.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/role/RoleLease.java
@@ -129,7 +129,7 @@
      */
     void tick(boolean otherHolds, boolean eligible) {
         if (mToken != 0 && !isHeld()) {
-            LOGGER.warn("role lease lapsed token={}", mToken);
+            LOGGER.warn("role lease expired without renewal token={}", mToken);
             mToken = 0;
         }
         if (mCallPending || mNode.millis() < mNextCall) {
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/rows/RowDecoder.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/rows/RowDecoder.java
@@ -97,7 +97,7 @@
         }
         mLines++;
         LOGGER.warn(
-                "row not readable table={} key={} version={} bytes={} fault={}",
+                "cannot decode row table={} key={} version={} bytes={} fault={}",
                 row.table(),
                 row.key(),
                 row.version(),
@@ -108,7 +108,7 @@
     /** Starts a window, and logs how many rows the last one left out. */
     private void openWindow() {
         if (mSuppressed > 0) {
-            LOGGER.warn("rows not readable and not logged count={}", mSuppressed);
+            LOGGER.warn("further undecodable rows not logged count={}", mSuppressed);
         }
         mWindowStart = mMillis.getAsLong();
         mLines = 0;
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/rows/TableFollower.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/rows/TableFollower.java
@@ -338,13 +338,17 @@
             return;
         }
         if (mFailures > 0) {
-            LOGGER.info("store regained table={} failures={}", mTable, mFailures);
+            LOGGER.info("store available again table={} failures={}", mTable, mFailures);
         }
         mFailures = 0;
         mOldestValidCall = mLastCall + 1;
         schedule(mTiming.pauseMillis());
         if (page.version() < mVersion) {
-            LOGGER.info("older page table={} known={} read={}", mTable, mVersion, page.version());
+            LOGGER.info(
+                    "ignored a page older than the known version table={} known={} read={}",
+                    mTable,
+                    mVersion,
+                    page.version());
             schedule(Math.max(FIRST_RETRY_DELAY_MILLIS, mTiming.pauseMillis()));
             return;
         }
@@ -403,7 +407,7 @@
     private void applySnapshot(long version, List<Row> rows) {
         if (isRestored(version)) {
             LOGGER.warn(
-                    "store came back from a copy table={} known={}/{} read={}/{}",
+                    "store restored from a backup, rows replaced table={} known={}/{} read={}/{}",
                     mTable,
                     StoreVersion.era(mVersion),
                     StoreVersion.number(mVersion),
@@ -423,7 +427,10 @@
         Throwable cause = failure instanceof CompletionException ? failure.getCause() : failure;
         if (cause instanceof RowStoreException refused
                 && refused.reason() == RowStoreException.Reason.HISTORY_GONE) {
-            LOGGER.info("history gone table={} version={}", mTable, mVersion);
+            LOGGER.info(
+                    "change history not available, reading all rows table={} version={}",
+                    mTable,
+                    mVersion);
             mSnapshotNeeded = true;
             mOldestValidCall = mLastCall + 1;
             schedule(0);
@@ -431,7 +438,7 @@
         }
         mUncertain = true;
         if (mFailures++ == 0) {
-            LOGGER.warn("store lost table={} cause={}", mTable, String.valueOf(cause));
+            LOGGER.warn("store unavailable table={} cause={}", mTable, String.valueOf(cause));
             schedule(FIRST_RETRY_DELAY_MILLIS);
         }
         mListener.onStoreUnavailable();
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/CrashGuard.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/CrashGuard.java
@@ -245,7 +245,7 @@
             mRecentCrashes.put(incarnation, Boolean.TRUE, mLoop.millis());
             mLost.addAll(mLostSinceSent);
             mCrashCount.inc();
-            LOGGER.warn("upstream ended id={} requests={}", incarnation, mLost.size());
+            LOGGER.warn("upstream crashed id={} requests={}", incarnation, mLost.size());
             mLost.forEach(LostCall::markCrashed);
             mLost.forEach(call -> mQuarantine.recordCrash(call.mRequest, incarnation));
         }
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/UpstreamLoads.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/UpstreamLoads.java
@@ -312,7 +312,7 @@
     public void succeeded(UpstreamEntry upstream) {
         Load load = load(upstream.incarnation());
         if (load.mEjectedUntil != 0) {
-            LOGGER.info("upstream used again id={}", upstream.id());
+            LOGGER.info("upstream ejection ended by a successful call id={}", upstream.id());
         }
         load.mRecentSuccesses.add(1, mLoop.millis());
         load.mConsecutiveFailures = 0;
@@ -345,7 +345,7 @@
         load.mRefusingRunsUntil = mLoop.millis() + millis;
         mOnUrgentChange.run();
         LOGGER.warn(
-                "upstream refuses runs id={} refusals={} millis={}",
+                "upstream ejected for runs after repeated refusals id={} refusals={} millis={}",
                 engine.id(),
                 load.mConsecutiveRunRefusals,
                 millis);
@@ -373,7 +373,7 @@
         long now = mLoop.millis();
         if (load.ejectedUntil(upstream) <= now) {
             LOGGER.warn(
-                    "upstream replaced id={} role={} millis={}",
+                    "upstream ejected, another one answers at its address id={} role={} millis={}",
                     upstream.id(),
                     upstream.role(),
                     REPLACEMENT_EJECTION_MILLIS);
@@ -421,7 +421,7 @@
                 Math.min(MAX_EJECTION_MILLIS, Math.max(minMillis, 2 * load.mEjectionMillis));
         load.mEjectedUntil = now + load.mEjectionMillis;
         LOGGER.warn(
-                "upstream passed over id={} failures={} millis={} cause={}",
+                "upstream ejected after failures id={} failures={} millis={} cause={}",
                 upstream.id(),
                 load.mConsecutiveFailures,
                 load.mEjectionMillis,
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/UpstreamNotices.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/UpstreamNotices.java
@@ -105,7 +105,7 @@
             state.mLeaving = true;
             state.mSentSince = 0;
             LOGGER.info(
-                    "upstream announces that it leaves id={} service={} address={}",
+                    "upstream announced that it is leaving id={} service={} address={}",
                     upstream.incarnation(),
                     upstream.service(),
                     upstream.address());
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/UpstreamRates.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/UpstreamRates.java
@@ -138,7 +138,8 @@
         } else if (announced.state() == NoticeState.UNREADABLE) {
             count(rate, "rate-unreadable");
             if (rate.shouldLog(mLoop.millis())) {
-                LOGGER.warn("upstream rate not readable id={}", upstream.incarnation());
+                LOGGER.warn(
+                        "cannot parse rate announced by upstream id={}", upstream.incarnation());
             }
         } else if (verdict == UpstreamPort.Verdict.SUCCESS
                 && rate.isLimited()
@@ -213,7 +214,7 @@
         rate.recordWithheld();
         count(rate, "rate-withheld");
         if (rate.shouldLog(now)) {
-            LOGGER.info("upstream at its rate {}", status(rate, peers));
+            LOGGER.info("call withheld, upstream at its announced rate {}", status(rate, peers));
         }
     }
 
--- a/troutpier-daemon/src/test/java/org/troutpier/daemon/node/TestNode.java
+++ b/troutpier-daemon/src/test/java/org/troutpier/daemon/node/TestNode.java
@@ -17,7 +17,7 @@
 
     /** Creates the node of a new start of a router, in an arbitrary hall. */
     public static Node of(String name, ControlExecutor control, LongSupplier nanos) {
-        return of(Incarnation.start(new InstanceId(name)), new HallId("hall"), control, nanos);
+        return of(Incarnation.create(new InstanceId(name)), new HallId("hall"), control, nanos);
     }
 
     /** Creates the node of a given start of a router in a given hall. */
