--- a/bin/lib.sh
+++ b/bin/lib.sh
@@ -1,4 +1,4 @@
-# Shared by the scripts in bin: where things are, and how processes are started and ended.
+# Functions shared by the scripts in bin: paths, and starting and stopping of processes.
 # shellcheck shell=bash
 set -euo pipefail
 TOP=$(cd "$(dirname "${BASH_SOURCE[0]}")/.." && pwd)
@@ -11,7 +11,7 @@
 
 class_path() { echo "$TOP/$1/target/classes:$TOP/$1/target/lib/*"; }
 
-# Builds when there is no build or a source is newer than the last one.
+# Builds if there is no build or a source file is newer than the last build.
 ensure_built() {
     local mark=$TOP/troutpier-cli/target/lib
     if [ ! -d "$mark" ] || [ ! -d "$TOP/troutpier-daemon/target/lib" ] || [ ! -d "$TOP/platform/target/lib" ] ||
@@ -22,7 +22,7 @@
     fi
 }
 
-# start NAME COMMAND... : starts a process in the background; its output goes to a file.
+# start NAME COMMAND... : starts a process in the background and redirects its output to a file
 start() {
     local name=$1
     shift
@@ -70,13 +70,13 @@
     standin instances instances $(($1 + 3)) --lag-millis 300
 }
 
-# register ID PORT BASE_PORT : tells the instance list where to ask for an instance's health.
+# register ID PORT BASE_PORT : registers an instance and its health URL with the instance list
 register() {
     curl -fsS -o /dev/null -X POST "http://127.0.0.1:$(($3 + 3))/instances" \
         -d "{\"id\":\"$1\",\"health\":\"http://127.0.0.1:$2/healthz\"}"
 }
 
-# await_http URL SECONDS : waits until a URL answers with success.
+# await_http URL SECONDS : waits until a URL responds with success
 await_http() {
     local end=$((SECONDS + $2))
     until curl -fsS -o /dev/null --max-time 2 "$1" 2>/dev/null; do
@@ -96,7 +96,7 @@
         -cp "$(class_path troutpier-cli)" org.troutpier.cli.CliMain "$@"
 }
 
-# Ends everything that was started here, at the end and on Ctrl-C.
+# Stops all processes that were started here, at exit and on Ctrl-C.
 cleanup() {
     local pid
     trap - EXIT INT TERM
