--- a/troutpier-cli/src/main/java/org/troutpier/cli/CliMain.java
+++ b/troutpier-cli/src/main/java/org/troutpier/cli/CliMain.java
@@ -150,7 +150,8 @@
             try (RouterClient client = new RouterClient(settings.token())) {
                 System.out.print(heading);
                 for (Address router : settings.routers()) {
-                    client.ask(List.of(router), path).forEach(entry -> show.accept(router, entry));
+                    client.getFromFirst(List.of(router), path)
+                            .forEach(entry -> show.accept(router, entry));
                 }
             }
         }
@@ -203,8 +204,8 @@
             DeclarationPart part = DeclarationFiles.read(mFiles);
             CliSettings settings = mConnection.settings();
             try (RouterClient client = new RouterClient(settings.token())) {
-                JsonNode inForce = client.ask(settings.routers(), "/v1/declarations");
-                List<String> lines = Difference.between(part, inForce);
+                JsonNode inForce = client.getFromFirst(settings.routers(), "/v1/declarations");
+                List<String> lines = DeclarationDiff.between(part, inForce);
                 lines.forEach(System.out::println);
                 return lines.isEmpty() ? 0 : ExitCode.DIFFERS.number();
             }
@@ -229,8 +230,8 @@
             DeclarationPart part = DeclarationFiles.read(mFiles);
             CliSettings settings = mConnection.settings();
             try (RouterClient client = new RouterClient(settings.token())) {
-                JsonNode inForce = client.ask(settings.routers(), "/v1/declarations");
-                if (Difference.between(part, inForce).isEmpty()) {
+                JsonNode inForce = client.getFromFirst(settings.routers(), "/v1/declarations");
+                if (DeclarationDiff.between(part, inForce).isEmpty()) {
                     System.out.println("unchanged, version " + inForce.path("version"));
                     return 0;
                 }
@@ -277,7 +278,7 @@
                 if (mOutput.equals("json")) {
                     System.out.println(reply);
                 } else if (reply.has("columns")) {
-                    Texts.table(reply).forEach(System.out::println);
+                    TextTable.format(reply).forEach(System.out::println);
                 } else {
                     System.out.println("accepted as version " + reply.path("version"));
                 }
--- a/troutpier-cli/src/main/java/org/troutpier/cli/Difference.java
+++ b/troutpier-cli/src/main/java/org/troutpier/cli/DeclarationDiff.java
@@ -11,9 +11,9 @@
 import org.troutpier.common.http.Json;
 
 /** Compares declarations in files with the active ones. Stateless and thread safe. */
-final class Difference {
+final class DeclarationDiff {
 
-    private Difference() {}
+    private DeclarationDiff() {}
 
     /**
      * Lists the differences, one line each.
--- a/troutpier-cli/src/main/java/org/troutpier/cli/QuarantineCommand.java
+++ b/troutpier-cli/src/main/java/org/troutpier/cli/QuarantineCommand.java
@@ -68,7 +68,7 @@
      */
     private static void show(RouterClient client, List<Address> routers) {
         System.out.printf(LINE, "content", "held", "cleared", "upstreams that ended");
-        for (JsonNode each : client.ask(routers, "/quarantine")) {
+        for (JsonNode each : client.getFromFirst(routers, "/quarantine")) {
             List<String> ended = new ArrayList<>();
             each.path("ended").forEach(upstream -> ended.add(upstream.asText()));
             System.out.printf(
--- a/troutpier-cli/src/main/java/org/troutpier/cli/RouterClient.java
+++ b/troutpier-cli/src/main/java/org/troutpier/cli/RouterClient.java
@@ -17,7 +17,7 @@
 final class RouterClient implements AutoCloseable {
 
     /** Time limit of a change, milliseconds. */
-    private static final int CHANGE_MILLIS = 15_000;
+    private static final int CHANGE_TIMEOUT_MILLIS = 15_000;
 
     private final EventLoopGroup mLoops = new NioEventLoopGroup(1);
 
@@ -48,7 +48,7 @@
      * @return the JSON of the response; fails with a {@link CliException}
      */
     JsonNode post(List<Address> routers, String path, Object body) {
-        return first(routers, "POST", path, body);
+        return sendToFirstReachable(routers, "POST", path, body);
     }
 
     /**
@@ -57,8 +57,8 @@
      * @param path the path and query
      * @return the JSON of the response; fails with a {@link CliException}
      */
-    JsonNode ask(List<Address> routers, String path) {
-        return first(routers, "GET", path, null);
+    JsonNode getFromFirst(List<Address> routers, String path) {
+        return sendToFirstReachable(routers, "GET", path, null);
     }
 
     /**
@@ -67,12 +67,14 @@
      * @param path the path and query
      * @param body what to send as JSON, or null
      */
-    private JsonNode first(List<Address> routers, String method, String path, Object body) {
+    private JsonNode sendToFirstReachable(
+            List<Address> routers, String method, String path, Object body) {
         CallFailedException last = null;
         for (Address router : routers) {
-            HttpCall call = HttpCall.of(method, router.url(path)).withTimeout(CHANGE_MILLIS);
+            HttpCall call =
+                    HttpCall.of(method, router.url(path)).withTimeout(CHANGE_TIMEOUT_MILLIS);
             try {
-                return checked(send(body == null ? call : call.withJson(body)));
+                return readBody(send(body == null ? call : call.withJson(body)));
             } catch (CallFailedException exception) {
                 if (exception.mayHaveBeenSent() && body != null) {
                     throw new CliException(
@@ -86,7 +88,7 @@
     }
 
     /** Reads a response, and fails if it has a result code. */
-    private static JsonNode checked(HttpReply reply) {
+    private static JsonNode readBody(HttpReply reply) {
         JsonNode body;
         try {
             body = reply.as(JsonNode.class);
@@ -97,13 +99,13 @@
             return body;
         }
         JsonNode error = body.path("error");
-        String again = error.path("retry_after_seconds").asText("");
+        String retryAfter = error.path("retry_after_seconds").asText("");
         throw new CliException(
                 ExitCode.of(error.path("family").asText()),
                 error.path("code").asText()
                         + " "
                         + error.path("detail").asText()
-                        + (again.isEmpty() ? "" : " (come back in " + again + " s)"));
+                        + (retryAfter.isEmpty() ? "" : " (come back in " + retryAfter + " s)"));
     }
 
     private HttpReply send(HttpCall call) {
--- a/troutpier-cli/src/main/java/org/troutpier/cli/Texts.java
+++ b/troutpier-cli/src/main/java/org/troutpier/cli/TextTable.java
@@ -6,16 +6,16 @@
 import java.util.Locale;
 
 /** Formats text output. Stateless and thread safe. */
-final class Texts {
+final class TextTable {
 
-    private Texts() {}
+    private TextTable() {}
 
     /**
      * Formats rows as a table.
      *
      * @return the lines
      */
-    static List<String> table(JsonNode reply) {
+    static List<String> format(JsonNode reply) {
         List<String> columns = new ArrayList<>();
         reply.path("columns").forEach(column -> columns.add(column.asText()));
         List<List<String>> lines = new ArrayList<>();
@@ -29,7 +29,7 @@
                 widths[column] = Math.max(widths[column], line.get(column).length());
             }
         }
-        return lines.stream().map(line -> padded(line, widths)).toList();
+        return lines.stream().map(line -> padCells(line, widths)).toList();
     }
 
     /**
@@ -38,7 +38,7 @@
      * @param widths how wide each column is
      * @return the line
      */
-    private static String padded(List<String> cells, int[] widths) {
+    private static String padCells(List<String> cells, int[] widths) {
         StringBuilder line = new StringBuilder();
         for (int column = 0; column < widths.length; column++) {
             line.append(cells.get(column));
--- a/troutpier-cli/src/main/java/org/troutpier/cli/Timeline.java
+++ b/troutpier-cli/src/main/java/org/troutpier/cli/Timeline.java
@@ -26,7 +26,7 @@
 
     private final List<Event> mEvents = new ArrayList<>();
 
-    private final List<Address> mSilent = new ArrayList<>();
+    private final List<Address> mUnresponsive = new ArrayList<>();
 
     /** Creates an empty time line. */
     Timeline(RouterClient client) {
@@ -45,17 +45,17 @@
             try {
                 HttpReply reply = mClient.get(process, "/events");
                 if (!reply.isSuccessful()) {
-                    mSilent.add(process);
+                    mUnresponsive.add(process);
                     continue;
                 }
                 for (JsonNode node : reply.as(JsonNode.class)) {
                     Event event = Json.mapper().convertValue(node, Event.class);
-                    if (about(event, subject)) {
+                    if (concerns(event, subject)) {
                         mEvents.add(event);
                     }
                 }
             } catch (CallFailedException exception) {
-                mSilent.add(process);
+                mUnresponsive.add(process);
             }
         }
         return this;
@@ -67,7 +67,7 @@
      * @param subject the subject, or empty
      * @return whether the event's subject is it or one of its attempts
      */
-    private static boolean about(Event event, String subject) {
+    private static boolean concerns(Event event, String subject) {
         return subject.isEmpty()
                 || event.subject().equals(subject)
                 || event.subject().startsWith(subject + ".");
@@ -94,7 +94,7 @@
                             event.detail());
             lines.add(line.stripTrailing());
         }
-        mSilent.forEach(process -> lines.add("(no events from " + process + ")"));
+        mUnresponsive.forEach(process -> lines.add("(no events from " + process + ")"));
         return lines;
     }
 }
--- a/troutpier-common/src/main/java/org/troutpier/common/collection/ExpiringMap.java
+++ b/troutpier-common/src/main/java/org/troutpier/common/collection/ExpiringMap.java
@@ -15,13 +15,13 @@
  */
 public final class ExpiringMap<K, V> {
 
-    private final int mMost;
+    private final int mMaxSize;
 
     /** How long an entry is kept, milliseconds. */
-    private final long mMillis;
+    private final long mRetentionMillis;
 
     /** The entries in the order of their last changes. */
-    private final Map<K, Aged<V>> mEntries = new LinkedHashMap<>();
+    private final Map<K, TimedValue<V>> mEntries = new LinkedHashMap<>();
 
     /**
      * A value and its age.
@@ -30,16 +30,16 @@
      * @param at when it was set, milliseconds
      * @param <V> the value's type
      */
-    private record Aged<V>(V value, long at) {}
+    private record TimedValue<V>(V value, long at) {}
 
     /**
      * Creates an empty map.
      *
      * @param millis how long an entry is kept, milliseconds
      */
-    public ExpiringMap(int most, long millis) {
-        mMost = most;
-        mMillis = millis;
+    public ExpiringMap(int maxSize, long retentionMillis) {
+        mMaxSize = maxSize;
+        mRetentionMillis = retentionMillis;
     }
 
     /**
@@ -49,8 +49,8 @@
      */
     public void put(K key, V value, long now) {
         mEntries.remove(key);
-        mEntries.put(key, new Aged<>(value, now));
-        forgetOld(now);
+        mEntries.put(key, new TimedValue<>(value, now));
+        evict(now);
     }
 
     /**
@@ -60,8 +60,10 @@
      * @return the value, if it is present and has not expired
      */
     public Optional<V> get(K key, long now) {
-        Aged<V> aged = mEntries.get(key);
-        return aged == null || old(aged, now) ? Optional.empty() : Optional.of(aged.value());
+        TimedValue<V> timed = mEntries.get(key);
+        return timed == null || isExpired(timed, now)
+                ? Optional.empty()
+                : Optional.of(timed.value());
     }
 
     /**
@@ -86,7 +88,7 @@
      * @return whether it is empty
      */
     public boolean isEmpty(long now) {
-        forgetOld(now);
+        evict(now);
         return mEntries.isEmpty();
     }
 
@@ -97,9 +99,9 @@
      * @return a copy by key, the oldest first
      */
     public Map<K, V> values(long now) {
-        forgetOld(now);
+        evict(now);
         Map<K, V> values = new LinkedHashMap<>();
-        mEntries.forEach((key, aged) -> values.put(key, aged.value()));
+        mEntries.forEach((key, timed) -> values.put(key, timed.value()));
         return Collections.unmodifiableMap(values);
     }
 
@@ -108,10 +110,10 @@
      *
      * @param now the monotonic clock, milliseconds
      */
-    private void forgetOld(long now) {
-        Iterator<Aged<V>> oldest = mEntries.values().iterator();
+    private void evict(long now) {
+        Iterator<TimedValue<V>> oldest = mEntries.values().iterator();
         while (oldest.hasNext()) {
-            if (!old(oldest.next(), now) && mEntries.size() <= mMost) {
+            if (!isExpired(oldest.next(), now) && mEntries.size() <= mMaxSize) {
                 return;
             }
             oldest.remove();
@@ -124,7 +126,7 @@
      * @param now the monotonic clock, milliseconds
      * @return whether it is
      */
-    private boolean old(Aged<V> aged, long now) {
-        return now - aged.at() > mMillis;
+    private boolean isExpired(TimedValue<V> timed, long now) {
+        return now - timed.at() > mRetentionMillis;
     }
 }
--- a/troutpier-common/src/main/java/org/troutpier/common/declaration/ClassDeclaration.java
+++ b/troutpier-common/src/main/java/org/troutpier/common/declaration/ClassDeclaration.java
@@ -40,22 +40,22 @@
         Integer maxBodyBytes) {
 
     /** Upper bound of the latency targets, milliseconds. */
-    private static final int MAX_TARGET = 600_000;
+    private static final int MAX_TARGET_MILLIS = 600_000;
 
     /** Upper bound of the deadline, milliseconds. */
-    private static final int MAX_DEADLINE = 3_600_000;
+    private static final int MAX_DEADLINE_MILLIS = 3_600_000;
 
     /** Upper bound of the time that responses are stored, seconds. */
-    private static final int MAX_KEEP = 604_800;
+    private static final int MAX_KEEP_SECONDS = 604_800;
 
     /** Upper bound of the request body limit, bytes. */
-    private static final int MAX_BODY = 16 * 1024 * 1024;
+    private static final int MAX_BODY_BYTES = 16 * 1024 * 1024;
 
     /** Default limit of the request body, bytes. */
-    private static final int DEFAULT_BODY = 1024 * 1024;
+    private static final int DEFAULT_BODY_BYTES = 1024 * 1024;
 
     /** Default time that responses are stored, seconds. */
-    private static final int DEFAULT_KEEP = 3600;
+    private static final int DEFAULT_KEEP_SECONDS = 3600;
 
     /** Whether a class is served by a model or by a plain service. */
     public enum Kind {
@@ -96,9 +96,9 @@
         Check.present("kind", kind);
         Check.present("serves", serves);
         Check.that("serves", !serves.isBlank(), "must not be blank");
-        Check.range("firstTokenMillis", firstTokenMillis, 0, MAX_TARGET);
-        Check.range("perTokenMillis", perTokenMillis, 0, MAX_TARGET);
-        Check.range("deadlineMillis", deadlineMillis, 1, MAX_DEADLINE);
+        Check.range("firstTokenMillis", firstTokenMillis, 0, MAX_TARGET_MILLIS);
+        Check.range("perTokenMillis", perTokenMillis, 0, MAX_TARGET_MILLIS);
+        Check.range("deadlineMillis", deadlineMillis, 1, MAX_DEADLINE_MILLIS);
         Check.that(
                 "firstTokenMillis",
                 firstTokenMillis <= deadlineMillis,
@@ -110,10 +110,10 @@
                 repeatable || whenTableUnavailable == TableOutagePolicy.REFUSE,
                 "must be refuse for a class that is not repeatable");
         answerCommit = answerCommit == null ? AnswerCommit.BEFORE_END_MARK : answerCommit;
-        keepAnswerSeconds = keepAnswerSeconds == null ? DEFAULT_KEEP : keepAnswerSeconds;
-        Check.range("keepAnswerSeconds", keepAnswerSeconds, 1, MAX_KEEP);
-        maxBodyBytes = maxBodyBytes == null ? DEFAULT_BODY : maxBodyBytes;
-        Check.range("maxBodyBytes", maxBodyBytes, 1, MAX_BODY);
+        keepAnswerSeconds = keepAnswerSeconds == null ? DEFAULT_KEEP_SECONDS : keepAnswerSeconds;
+        Check.range("keepAnswerSeconds", keepAnswerSeconds, 1, MAX_KEEP_SECONDS);
+        maxBodyBytes = maxBodyBytes == null ? DEFAULT_BODY_BYTES : maxBodyBytes;
+        Check.range("maxBodyBytes", maxBodyBytes, 1, MAX_BODY_BYTES);
     }
 
     /**
--- a/troutpier-common/src/main/java/org/troutpier/common/declaration/Declarations.java
+++ b/troutpier-common/src/main/java/org/troutpier/common/declaration/Declarations.java
@@ -64,7 +64,7 @@
             Check.that("upstreams", seen.add(upstream.id()), "has twice: " + upstream.id());
             Check.that(
                     "upstreams",
-                    has(partners, upstream.owner()),
+                    isDeclared(partners, upstream.owner()),
                     upstream.id() + " has an unknown owner: " + upstream.owner());
         }
     }
@@ -73,12 +73,12 @@
             List<PartnerDeclaration> partners, List<ClassDeclaration> classes) {
         Set<String> seen = new HashSet<>();
         for (ClassDeclaration declared : classes) {
-            String whole = declared.partner() + "/" + declared.name();
-            Check.that("classes", seen.add(whole), "has twice: " + whole);
+            String qualifiedName = declared.partner() + "/" + declared.name();
+            Check.that("classes", seen.add(qualifiedName), "has twice: " + qualifiedName);
             Check.that(
                     "classes",
-                    has(partners, declared.partner()),
-                    whole + " has an unknown partner: " + declared.partner());
+                    isDeclared(partners, declared.partner()),
+                    qualifiedName + " has an unknown partner: " + declared.partner());
         }
     }
 
@@ -87,7 +87,7 @@
      *
      * @return whether it is there
      */
-    private static boolean has(List<PartnerDeclaration> partners, PartnerId id) {
+    private static boolean isDeclared(List<PartnerDeclaration> partners, PartnerId id) {
         return partners.stream().anyMatch(partner -> partner.id().equals(id));
     }
 
--- a/troutpier-common/src/main/java/org/troutpier/common/declaration/Tokens.java
+++ b/troutpier-common/src/main/java/org/troutpier/common/declaration/Tokens.java
@@ -42,10 +42,10 @@
      * @return the token, if it carries one
      */
     public static Optional<String> parseBearer(String authorization) {
-        boolean carries =
+        boolean hasBearer =
                 authorization != null
                         && authorization.regionMatches(true, 0, BEARER, 0, BEARER.length());
-        return carries
+        return hasBearer
                 ? Optional.of(authorization.substring(BEARER.length()).strip())
                 : Optional.empty();
     }
--- a/troutpier-common/src/main/java/org/troutpier/common/http/ExchangeHandler.java
+++ b/troutpier-common/src/main/java/org/troutpier/common/http/ExchangeHandler.java
@@ -24,7 +24,7 @@
     private static final Logger LOGGER = LogManager.getLogger(ExchangeHandler.class);
 
     /** Delay of a task that must not run before the event loop's next iteration, milliseconds. */
-    private static final long ROUND_MILLIS = 1;
+    private static final long NEXT_ITERATION_MILLIS = 1;
 
     private final HttpHandler mHandler;
 
@@ -32,7 +32,7 @@
 
     private final ServerRefusals mRefusals;
 
-    private final AtomicInteger mBusy;
+    private final AtomicInteger mActiveExchanges;
 
     /** Whether the server is draining: each connection is then closed after its response. */
     private final BooleanSupplier mDraining;
@@ -56,13 +56,13 @@
             HttpHandler handler,
             RequestTimeoutHandler timer,
             ServerRefusals refusals,
-            AtomicInteger busy,
+            AtomicInteger activeExchanges,
             BooleanSupplier draining,
             BooleanSupplier backlog) {
         mHandler = handler;
         mTimer = timer;
         mRefusals = refusals;
-        mBusy = busy;
+        mActiveExchanges = activeExchanges;
         mDraining = draining;
         mBacklog = backlog;
         timer.setServingCheck(this::isServing);
@@ -100,11 +100,11 @@
                         ByteBufUtil.getBytes(request.content()),
                         HttpUtil.isKeepAlive(request),
                         mDraining,
-                        mBusy::decrementAndGet);
-        mBusy.incrementAndGet();
+                        mActiveExchanges::decrementAndGet);
+        mActiveExchanges.incrementAndGet();
         HttpExchange exchange = mExchange;
         if (mBacklog.getAsBoolean()) {
-            afterNextRead(context, () -> afterNextRead(context, () -> handle(exchange)));
+            runAfterNextPoll(context, () -> runAfterNextPoll(context, () -> handle(exchange)));
         } else {
             handle(exchange);
         }
@@ -115,8 +115,8 @@
      * scheduled during a poll may run in the same iteration; one that is scheduled by such a task
      * runs in the next.
      */
-    private static void afterNextRead(ChannelHandlerContext context, Runnable task) {
-        context.executor().schedule(task, ROUND_MILLIS, TimeUnit.MILLISECONDS);
+    private static void runAfterNextPoll(ChannelHandlerContext context, Runnable task) {
+        context.executor().schedule(task, NEXT_ITERATION_MILLIS, TimeUnit.MILLISECONDS);
     }
 
     /** Passes a request to the handler unless its client has disconnected. */
--- a/troutpier-common/src/main/java/org/troutpier/common/http/HttpCall.java
+++ b/troutpier-common/src/main/java/org/troutpier/common/http/HttpCall.java
@@ -23,9 +23,9 @@
         boolean fresh) {
 
     /** Default time limit of an exchange, milliseconds. */
-    private static final int DEFAULT_TIMEOUT = 5000;
+    private static final int DEFAULT_TIMEOUT_MILLIS = 5000;
 
-    private static final byte[] NOTHING = new byte[0];
+    private static final byte[] EMPTY_BODY = new byte[0];
 
     /**
      * Creates a request without headers and body.
@@ -33,7 +33,7 @@
      * @param url the whole URL, encoded
      */
     public static HttpCall of(String method, String url) {
-        return new HttpCall(method, url, Map.of(), NOTHING, DEFAULT_TIMEOUT, false);
+        return new HttpCall(method, url, Map.of(), EMPTY_BODY, DEFAULT_TIMEOUT_MILLIS, false);
     }
 
     /** Returns the request with one more header. */
--- a/troutpier-common/src/main/java/org/troutpier/common/http/HttpClient.java
+++ b/troutpier-common/src/main/java/org/troutpier/common/http/HttpClient.java
@@ -34,10 +34,10 @@
 public final class HttpClient implements AutoCloseable {
 
     /** Time limit for opening a connection, milliseconds. */
-    private static final int CONNECT_MILLIS = 1000;
+    private static final int CONNECT_TIMEOUT_MILLIS = 1000;
 
     /** How long an idle connection is kept in the pool, milliseconds. */
-    private static final int IDLE_MILLIS = 20_000;
+    private static final int IDLE_TIMEOUT_MILLIS = 20_000;
 
     private final AsyncHttpClient mClient;
 
@@ -48,8 +48,9 @@
                         new DefaultAsyncHttpClientConfig.Builder()
                                 .setEventLoopGroup(loops)
                                 .setUseNativeTransport(false)
-                                .setConnectTimeout(Duration.ofMillis(CONNECT_MILLIS))
-                                .setPooledConnectionIdleTimeout(Duration.ofMillis(IDLE_MILLIS))
+                                .setConnectTimeout(Duration.ofMillis(CONNECT_TIMEOUT_MILLIS))
+                                .setPooledConnectionIdleTimeout(
+                                        Duration.ofMillis(IDLE_TIMEOUT_MILLIS))
                                 .setReadTimeout(Duration.ofMillis(-1))
                                 .setMaxRequestRetry(0)
                                 .setFollowRedirect(false)
@@ -58,7 +59,7 @@
                                 .setDisableUrlEncodingForBoundRequests(true)
                                 .setProxyServerSelector(ProxyServerSelector.NO_PROXY_SELECTOR)
                                 .setTcpNoDelay(true)
-                                .setSslEngineFactory(HttpClient::refuseSecured)
+                                .setSslEngineFactory(HttpClient::rejectTls)
                                 .build());
     }
 
@@ -66,7 +67,7 @@
      * Refuses TLS, which is not supported. The library's default factory would load and initialise
      * the JVM's cryptography at each start.
      */
-    private static SSLEngine refuseSecured(AsyncHttpClientConfig config, String host, int port) {
+    private static SSLEngine rejectTls(AsyncHttpClientConfig config, String host, int port) {
         throw new IllegalArgumentException("secured calls are not supported: " + host + ":" + port);
     }
 
@@ -76,15 +77,15 @@
      * @return the response, or a {@link CallFailedException}; cancelling it aborts the exchange
      */
     public CompletableFuture<HttpReply> call(HttpCall call) {
-        Gatherer gatherer = new Gatherer();
-        OngoingCall ongoing = send(call, gatherer);
-        gatherer.mReply.whenComplete(
+        ResponseCollector collector = new ResponseCollector();
+        OngoingCall ongoing = send(call, collector);
+        collector.mReply.whenComplete(
                 (reply, failure) -> {
                     if (failure instanceof CancellationException) {
                         ongoing.abort();
                     }
                 });
-        return gatherer.mReply;
+        return collector.mReply;
     }
 
     /** Sends a request and passes the response on as it arrives. */
@@ -97,7 +98,7 @@
         if (call.body().length > 0) {
             request.setBody(call.body());
         }
-        OngoingCall ongoing = new OngoingCall(listener, () -> silent(call));
+        OngoingCall ongoing = new OngoingCall(listener, () -> closePooledConnections(call));
         if (call.fresh()) {
             request.setHeader("Connection", "close");
             request.setChannelPoolPartitioning((uri, virtualHost, proxy) -> ongoing);
@@ -113,7 +114,7 @@
      * within a fixed time. A time-out on a connection of its own says nothing about those in the
      * pool.
      */
-    private void silent(HttpCall call) {
+    private void closePooledConnections(HttpCall call) {
         if (!call.fresh()) {
             String host = Uri.create(call.url()).getBaseUrl();
             mClient.flushChannelPoolPartitions(host::equals);
@@ -136,7 +137,7 @@
         try {
             mClient.close();
         } catch (java.io.IOException exception) {
-            throw new IllegalStateException("the client does not close", exception);
+            throw new IllegalStateException("cannot close the HTTP client", exception);
         }
     }
 
@@ -148,7 +149,7 @@
 
         private final ReplyListener mListener;
 
-        private final Runnable mOnSilent;
+        private final Runnable mOnTimeout;
 
         private volatile ListenableFuture<Void> mFuture;
 
@@ -161,22 +162,22 @@
         /** Whether any byte of the request may have been sent. */
         private volatile boolean mSent;
 
-        private volatile boolean mOver;
+        private volatile boolean mEnded;
 
         /** Creates an exchange. */
-        OngoingCall(ReplyListener listener, Runnable onSilent) {
+        OngoingCall(ReplyListener listener, Runnable onTimeout) {
             mListener = listener;
-            mOnSilent = onSilent;
+            mOnTimeout = onTimeout;
         }
 
         /** Stops reading, which applies back-pressure to the sender. */
         public void pause() {
-            read(false);
+            setAutoRead(false);
         }
 
         /** Resumes reading. */
         public void resume() {
-            read(true);
+            setAutoRead(true);
         }
 
         /**
@@ -184,10 +185,10 @@
          *
          * @param on whether to read
          */
-        private void read(boolean on) {
+        private void setAutoRead(boolean on) {
             onChannel(
                     channel -> {
-                        if (!mOver) {
+                        if (!mEnded) {
                             channel.config().setAutoRead(on);
                         }
                     });
@@ -201,14 +202,14 @@
             boolean connected =
                     onChannel(
                             channel -> {
-                                if (!mOver) {
-                                    mOver = true;
+                                if (!mEnded) {
+                                    mEnded = true;
                                     mFuture.cancel(true);
                                     channel.close();
                                 }
                             });
             if (!connected) {
-                mOver = true;
+                mEnded = true;
                 ListenableFuture<Void> future = mFuture;
                 if (future != null) {
                     future.cancel(true);
@@ -261,13 +262,13 @@
         @Override
         public State onStatusReceived(HttpResponseStatus status) {
             mStatus = status.getStatusCode();
-            return mOver ? State.ABORT : State.CONTINUE;
+            return mEnded ? State.ABORT : State.CONTINUE;
         }
 
         /** {@inheritDoc} */
         @Override
         public State onHeadersReceived(HttpHeaders headers) {
-            if (mOver) {
+            if (mEnded) {
                 return State.ABORT;
             }
             mListener.onHead(mStatus, headers);
@@ -277,7 +278,7 @@
         /** {@inheritDoc} */
         @Override
         public State onBodyPartReceived(HttpResponseBodyPart part) {
-            if (mOver) {
+            if (mEnded) {
                 return State.ABORT;
             }
             byte[] bytes = part.getBodyPartBytes();
@@ -290,10 +291,10 @@
         /** {@inheritDoc} */
         @Override
         public void onThrowable(Throwable cause) {
-            if (!mOver) {
-                mOver = true;
+            if (!mEnded) {
+                mEnded = true;
                 if (cause instanceof TimeoutException) {
-                    mOnSilent.run();
+                    mOnTimeout.run();
                 }
                 mListener.onFailure(new CallFailedException(mSent, cause));
             }
@@ -306,8 +307,8 @@
             if (channel != null) {
                 channel.config().setAutoRead(true);
             }
-            if (!mOver) {
-                mOver = true;
+            if (!mEnded) {
+                mEnded = true;
                 mListener.onEnd();
             }
             return null;
@@ -315,7 +316,7 @@
     }
 
     /** Collects a complete response. Confined to the exchange's event loop until it completes. */
-    private static final class Gatherer implements ReplyListener {
+    private static final class ResponseCollector implements ReplyListener {
 
         private final CompletableFuture<HttpReply> mReply = new CompletableFuture<>();
 
--- a/troutpier-common/src/main/java/org/troutpier/common/http/HttpExchange.java
+++ b/troutpier-common/src/main/java/org/troutpier/common/http/HttpExchange.java
@@ -49,11 +49,11 @@
 
     private boolean mLastOfConnection;
 
-    private boolean mBegun;
+    private boolean mStarted;
 
     private boolean mEnded;
 
-    private Runnable mOnGone = () -> {};
+    private Runnable mOnDisconnect = () -> {};
 
     private Runnable mOnWritable = () -> {};
 
@@ -173,7 +173,7 @@
      * @return whether the status has left
      */
     public boolean hasBegun() {
-        return mBegun;
+        return mStarted;
     }
 
     /**
@@ -207,7 +207,7 @@
 
     /** Sets the action that runs when the client disconnects before the response is complete. */
     public void onDisconnect(Runnable action) {
-        mOnGone = action;
+        mOnDisconnect = action;
     }
 
     /** Sets the action that runs when the connection becomes writable again. */
@@ -221,11 +221,11 @@
      * @param answer the response; this method takes ownership
      */
     public void answer(FullHttpResponse answer) {
-        if (mBegun || isOver()) {
+        if (mStarted || isOver()) {
             answer.release();
             return;
         }
-        mBegun = true;
+        mStarted = true;
         mEnded = true;
         setConnection(answer);
         finish(answer);
@@ -237,10 +237,10 @@
      * @param headers the headers; chunked unless they give a length
      */
     public void begin(int status, HttpHeaders headers) {
-        if (mBegun || isOver()) {
+        if (mStarted || isOver()) {
             return;
         }
-        mBegun = true;
+        mStarted = true;
         HttpResponse head =
                 new DefaultHttpResponse(
                         HttpVersion.HTTP_1_1, HttpResponseStatus.valueOf(status), headers);
@@ -253,7 +253,7 @@
 
     /** Writes a part of a streamed response. The bytes are copied once, into a buffer for I/O. */
     public void write(byte[] part) {
-        if (!mBegun || isOver()) {
+        if (!mStarted || isOver()) {
             return;
         }
         ByteBuf buffer = mChannel.alloc().ioBuffer(part.length).writeBytes(part);
@@ -262,7 +262,7 @@
 
     /** Completes a streamed response. */
     public void end() {
-        if (!mBegun || isOver()) {
+        if (!mStarted || isOver()) {
             return;
         }
         mEnded = true;
@@ -303,7 +303,7 @@
         if (!mEnded) {
             mEnded = true;
             mOnFlushed.run();
-            mOnGone.run();
+            mOnDisconnect.run();
         }
     }
 
--- a/troutpier-common/src/main/java/org/troutpier/common/http/HttpServer.java
+++ b/troutpier-common/src/main/java/org/troutpier/common/http/HttpServer.java
@@ -34,10 +34,10 @@
 public final class HttpServer implements AutoCloseable {
 
     /** The longest request line, bytes. */
-    private static final int MAX_REQUEST_LINE = 8192;
+    private static final int MAX_REQUEST_LINE_BYTES = 8192;
 
     /** The largest chunk the codec hands on, bytes. */
-    private static final int MAX_CHUNK = 8192;
+    private static final int MAX_CHUNK_BYTES = 8192;
 
     /**
      * How long after the start of accepting a request may still come from the socket's backlog,
@@ -54,9 +54,10 @@
 
     private final AtomicInteger mConnections = new AtomicInteger();
 
-    private final AtomicInteger mBusy = new AtomicInteger();
+    private final AtomicInteger mActiveExchanges = new AtomicInteger();
 
-    private final ChannelGroup mOpen = new DefaultChannelGroup(GlobalEventExecutor.INSTANCE);
+    private final ChannelGroup mOpenChannels =
+            new DefaultChannelGroup(GlobalEventExecutor.INSTANCE);
 
     /** Whether each connection is closed after its response. */
     private final AtomicBoolean mDraining = new AtomicBoolean();
@@ -117,7 +118,7 @@
                         .channelFactory(() -> new NioServerSocketChannel(socket.channel()))
                         .option(ChannelOption.AUTO_READ, false)
                         .childOption(ChannelOption.TCP_NODELAY, true)
-                        .childHandler(new Initializer())
+                        .childHandler(new ConnectionInitializer())
                         .register()
                         .syncUninterruptibly()
                         .channel();
@@ -175,7 +176,7 @@
 
     /** Returns the number of exchanges whose response is not yet completely written. */
     public int activeExchanges() {
-        return mBusy.get();
+        return mActiveExchanges.get();
     }
 
     /** Closes each connection after its response from now on. */
@@ -188,7 +189,7 @@
      * completely read is served; one that has not is closed unread.
      */
     public void closeIdle() {
-        mOpen.forEach(channel -> channel.pipeline().fireUserEventTriggered(Idle.CLOSE));
+        mOpenChannels.forEach(channel -> channel.pipeline().fireUserEventTriggered(Idle.CLOSE));
     }
 
     /** Events for the pipeline of a connection. */
@@ -204,14 +205,14 @@
     }
 
     /** Sets up one connection. */
-    private final class Initializer extends ChannelInitializer<SocketChannel> {
+    private final class ConnectionInitializer extends ChannelInitializer<SocketChannel> {
 
         /** {@inheritDoc} */
         @Override
         protected void initChannel(SocketChannel channel) {
             ServerLimits limits = mLimits.get();
-            boolean tooMany = mConnections.incrementAndGet() > limits.connections();
-            mOpen.add(channel);
+            boolean overLimit = mConnections.incrementAndGet() > limits.connections();
+            mOpenChannels.add(channel);
             channel.closeFuture().addListener(closed -> mConnections.decrementAndGet());
             RequestTimeoutHandler timer =
                     new RequestTimeoutHandler(limits.requestMillis(), mRefusals);
@@ -220,8 +221,9 @@
                     new IdleStateHandler(0, 0, limits.idleMillis(), TimeUnit.MILLISECONDS));
             pipeline.addLast(timer);
             pipeline.addLast(
-                    new HttpServerCodec(MAX_REQUEST_LINE, limits.headerBytes(), MAX_CHUNK));
-            if (tooMany) {
+                    new HttpServerCodec(
+                            MAX_REQUEST_LINE_BYTES, limits.headerBytes(), MAX_CHUNK_BYTES));
+            if (overLimit) {
                 pipeline.addLast(new RefuseAllHandler(ResultCode.TOO_MANY_CONNECTIONS, mRefusals));
                 return;
             }
@@ -230,7 +232,7 @@
                             mHandler,
                             timer,
                             mRefusals,
-                            mBusy,
+                            mActiveExchanges,
                             mDraining::get,
                             HttpServer.this::mayHaveBacklog);
             pipeline.addLast(
--- a/troutpier-common/src/main/java/org/troutpier/common/http/RequestHeadFilter.java
+++ b/troutpier-common/src/main/java/org/troutpier/common/http/RequestHeadFilter.java
@@ -26,7 +26,7 @@
      * Refusals after which the connection is kept: they concern the credentials, and the next
      * request may carry other ones.
      */
-    private static final Set<ResultCode> STAYING =
+    private static final Set<ResultCode> KEEP_CONNECTION_CODES =
             Set.of(ResultCode.UNKNOWN_TOKEN, ResultCode.KEYS_UNCONFIRMED);
 
     private final HttpHandler mHandler;
@@ -36,7 +36,7 @@
     private final RequestTimeoutHandler mTimer;
 
     /** The largest request body that is read and discarded after a refusal, bytes. */
-    private final int mBodyBytes;
+    private final int mMaxBodyBytes;
 
     /** Whether the server is draining: each connection is then closed after its response. */
     private final BooleanSupplier mDraining;
@@ -64,7 +64,7 @@
         mHandler = handler;
         mRefusals = refusals;
         mTimer = timer;
-        mBodyBytes = bodyBytes;
+        mMaxBodyBytes = bodyBytes;
         mDraining = draining;
         mServing = serving;
     }
@@ -80,7 +80,7 @@
             if (head.decoderResult().isFailure()) {
                 mClosing = true;
                 ReferenceCountUtil.release(message);
-                RefusalWriter.refuseAndClose(context.channel(), mRefusals, unreadable(head));
+                RefusalWriter.refuseAndClose(context.channel(), mRefusals, decodingErrorCode(head));
                 return;
             }
             Optional<TroutpierException> refusal =
@@ -102,9 +102,10 @@
         ReferenceCountUtil.release(message);
     }
 
-    private void refuse(ChannelHandlerContext context, HttpRequest head, TroutpierException why) {
-        FullHttpResponse answer = HttpResponses.refusal(why.code(), why.detail());
-        if (!stays(head, why.code())) {
+    private void refuse(
+            ChannelHandlerContext context, HttpRequest head, TroutpierException refusal) {
+        FullHttpResponse answer = HttpResponses.refusal(refusal.code(), refusal.detail());
+        if (!keepsConnection(head, refusal.code())) {
             mClosing = true;
             RefusalWriter.refuseAndClose(context.channel(), answer);
             return;
@@ -121,15 +122,15 @@
      *
      * @return whether the rest of the request is read and discarded
      */
-    private boolean stays(HttpRequest head, ResultCode code) {
-        return STAYING.contains(code)
+    private boolean keepsConnection(HttpRequest head, ResultCode code) {
+        return KEEP_CONNECTION_CODES.contains(code)
                 && HttpUtil.isKeepAlive(head)
                 && !HttpUtil.is100ContinueExpected(head)
-                && HttpUtil.getContentLength(head, 0L) <= mBodyBytes
+                && HttpUtil.getContentLength(head, 0L) <= mMaxBodyBytes
                 && !mDraining.getAsBoolean();
     }
 
-    private static ResultCode unreadable(HttpRequest head) {
+    private static ResultCode decodingErrorCode(HttpRequest head) {
         Throwable cause = head.decoderResult().cause();
         boolean tooLarge =
                 cause instanceof TooLongHttpHeaderException
--- a/troutpier-common/src/main/java/org/troutpier/common/http/RequestTimeoutHandler.java
+++ b/troutpier-common/src/main/java/org/troutpier/common/http/RequestTimeoutHandler.java
@@ -14,7 +14,7 @@
 final class RequestTimeoutHandler extends ChannelInboundHandlerAdapter {
 
     /** How long a request may take, milliseconds. */
-    private final int mMillis;
+    private final int mTimeoutMillis;
 
     private final ServerRefusals mRefusals;
 
@@ -30,8 +30,8 @@
      *
      * @param millis how long a request may take, milliseconds
      */
-    RequestTimeoutHandler(int millis, ServerRefusals refusals) {
-        mMillis = millis;
+    RequestTimeoutHandler(int timeoutMillis, ServerRefusals refusals) {
+        mTimeoutMillis = timeoutMillis;
         mRefusals = refusals;
     }
 
@@ -41,7 +41,7 @@
         if (mTimer == null && !mServing.getAsBoolean()) {
             mTimer =
                     context.executor()
-                            .schedule(() -> expire(context), mMillis, TimeUnit.MILLISECONDS);
+                            .schedule(() -> expire(context), mTimeoutMillis, TimeUnit.MILLISECONDS);
         }
         context.fireChannelRead(message);
     }
--- a/troutpier-common/src/main/java/org/troutpier/common/id/Identifiers.java
+++ b/troutpier-common/src/main/java/org/troutpier/common/id/Identifiers.java
@@ -6,7 +6,7 @@
     private static final String ALLOWED = "[A-Za-z0-9][A-Za-z0-9._:-]{0,79}";
 
     /** Maximum length of an identifier, characters: it occurs in each log line and report. */
-    private static final int MOST_LENGTH = 80;
+    private static final int MAX_LENGTH = 80;
 
     private Identifiers() {}
 
@@ -15,7 +15,7 @@
      * upstreams, and matching them took 2 % of the processor time of a recently started process.
      */
     static void check(String kind, String value) {
-        if (value == null || !allowed(value)) {
+        if (value == null || !isAllowed(value)) {
             throw new IllegalArgumentException(
                     kind + " id must match " + ALLOWED + " but is: " + value);
         }
@@ -26,14 +26,14 @@
      *
      * @return whether it may
      */
-    private static boolean allowed(String value) {
+    private static boolean isAllowed(String value) {
         int length = value.length();
-        if (length == 0 || length > MOST_LENGTH || !letterOrDigit(value.charAt(0))) {
+        if (length == 0 || length > MAX_LENGTH || !isLetterOrDigit(value.charAt(0))) {
             return false;
         }
         for (int index = 1; index < length; index++) {
-            char each = value.charAt(index);
-            if (!letterOrDigit(each) && "._:-".indexOf(each) < 0) {
+            char character = value.charAt(index);
+            if (!isLetterOrDigit(character) && "._:-".indexOf(character) < 0) {
                 return false;
             }
         }
@@ -45,9 +45,9 @@
      *
      * @return whether it is
      */
-    private static boolean letterOrDigit(char each) {
-        return each >= 'a' && each <= 'z'
-                || each >= 'A' && each <= 'Z'
-                || each >= '0' && each <= '9';
+    private static boolean isLetterOrDigit(char character) {
+        return character >= 'a' && character <= 'z'
+                || character >= 'A' && character <= 'Z'
+                || character >= '0' && character <= '9';
     }
 }
--- a/troutpier-common/src/main/java/org/troutpier/common/id/UpstreamIncarnation.java
+++ b/troutpier-common/src/main/java/org/troutpier/common/id/UpstreamIncarnation.java
@@ -24,7 +24,7 @@
      * Radix in which the start time is written: the largest, for a short text, since each load
      * report has it.
      */
-    private static final int BASE = Character.MAX_RADIX;
+    private static final int RADIX = Character.MAX_RADIX;
 
     /** Checks the start time. */
     public UpstreamIncarnation {
@@ -45,7 +45,7 @@
                 ? new UpstreamIncarnation(new UpstreamId(text), UNKNOWN)
                 : new UpstreamIncarnation(
                         new UpstreamId(text.substring(0, end)),
-                        Long.parseLong(text.substring(end + 1), BASE));
+                        Long.parseLong(text.substring(end + 1), RADIX));
     }
 
     /**
@@ -85,6 +85,6 @@
     public String toString() {
         return startMillis == UNKNOWN
                 ? id.value()
-                : id.value() + SEPARATOR + Long.toString(startMillis, BASE);
+                : id.value() + SEPARATOR + Long.toString(startMillis, RADIX);
     }
 }
--- a/troutpier-common/src/main/java/org/troutpier/common/logging/DaemonLogging.java
+++ b/troutpier-common/src/main/java/org/troutpier/common/logging/DaemonLogging.java
@@ -17,14 +17,14 @@
 public final class DaemonLogging extends AbstractConfiguration {
 
     /** Capacity of the queue, lines: a few seconds of output of a busy router. */
-    private static final int QUEUE_LINES = 1024;
+    private static final int QUEUE_CAPACITY = 1024;
 
     /** How long a stop waits for queued lines to be written, milliseconds. */
-    private static final int STOP_MILLIS = 500;
+    private static final int STOP_TIMEOUT_MILLIS = 500;
 
-    private static final String OUTPUT = "console";
+    private static final String OUTPUT_APPENDER = "console";
 
-    private static final String QUEUE = "queue";
+    private static final String QUEUE_APPENDER = "queue";
 
     private static final String HOST_NAME = "hostName";
 
@@ -65,24 +65,24 @@
     /** {@inheritDoc} */
     @Override
     protected void doConfigure() {
-        addAppender(new StandardOutputAppender(OUTPUT, new JsonLinesLayout()));
-        AppenderRef[] written = {AppenderRef.createAppenderRef(OUTPUT, Level.ALL, null)};
+        addAppender(new StandardOutputAppender(OUTPUT_APPENDER, new JsonLinesLayout()));
+        AppenderRef[] written = {AppenderRef.createAppenderRef(OUTPUT_APPENDER, Level.ALL, null)};
         AsyncAppender queue =
                 AsyncAppender.newBuilder()
-                        .setName(QUEUE)
+                        .setName(QUEUE_APPENDER)
                         .setConfiguration(this)
-                        .setBufferSize(QUEUE_LINES)
-                        .setShutdownTimeout(STOP_MILLIS)
+                        .setBufferSize(QUEUE_CAPACITY)
+                        .setShutdownTimeout(STOP_TIMEOUT_MILLIS)
                         .setAppenderRefs(written)
                         .build();
         addAppender(queue);
         getRootLogger().setLevel(Level.INFO);
         getRootLogger().addAppender(queue, null, null);
-        quiet("org.asynchttpclient");
-        quiet("io.netty");
+        limitToErrors("org.asynchttpclient");
+        limitToErrors("io.netty");
     }
 
-    private void quiet(String logger) {
+    private void limitToErrors(String logger) {
         addLogger(logger, new LoggerConfig(logger, Level.ERROR, true));
     }
 }
--- a/troutpier-common/src/main/java/org/troutpier/common/logging/JsonLinesLayout.java
+++ b/troutpier-common/src/main/java/org/troutpier/common/logging/JsonLinesLayout.java
@@ -44,7 +44,7 @@
             }
             json.writeEndObject();
         } catch (IOException exception) {
-            throw new UncheckedIOException("log line not written", exception);
+            throw new UncheckedIOException("cannot write log line", exception);
         }
         return line.append('\n').toString();
     }
--- a/troutpier-common/src/main/java/org/troutpier/common/logging/LogThrottle.java
+++ b/troutpier-common/src/main/java/org/troutpier/common/logging/LogThrottle.java
@@ -7,18 +7,18 @@
 public final class LogThrottle {
 
     /** Minimum interval between two lines, milliseconds. */
-    private final long mMillis;
+    private final long mIntervalMillis;
 
     /** When the last line was written, milliseconds. */
-    private long mLineAt = Long.MIN_VALUE / 2;
+    private long mLastLineAt = Long.MIN_VALUE / 2;
 
     /**
      * Creates a throttle that permits a first line.
      *
      * @param millis minimum interval between two lines, milliseconds
      */
-    public LogThrottle(long millis) {
-        mMillis = millis;
+    public LogThrottle(long intervalMillis) {
+        mIntervalMillis = intervalMillis;
     }
 
     /**
@@ -28,8 +28,8 @@
      * @return whether the interval since the last line has passed
      */
     public boolean tryAcquire(long now) {
-        boolean over = now - mLineAt >= mMillis;
-        mLineAt = over ? now : mLineAt;
-        return over;
+        boolean acquired = now - mLastLineAt >= mIntervalMillis;
+        mLastLineAt = acquired ? now : mLastLineAt;
+        return acquired;
     }
 }
--- a/troutpier-common/src/main/java/org/troutpier/common/settings/Address.java
+++ b/troutpier-common/src/main/java/org/troutpier/common/settings/Address.java
@@ -12,7 +12,7 @@
 public record Address(String host, int port) {
 
     /** Characters of an IP address; compiled once, since each upstream row has an address. */
-    private static final Pattern NUMBER = Pattern.compile("[0-9.]+|[0-9a-fA-F:]+");
+    private static final Pattern IP_ADDRESS = Pattern.compile("[0-9.]+|[0-9a-fA-F:]+");
 
     /** The largest port. */
     private static final int MAX_PORT = 65535;
@@ -24,7 +24,7 @@
      */
     public Address {
         Check.present("host", host);
-        Check.that("host", NUMBER.matcher(host).matches(), "must be an IP number: " + host);
+        Check.that("host", IP_ADDRESS.matcher(host).matches(), "must be an IP number: " + host);
         Check.range("port", port, 0, MAX_PORT);
     }
 
--- a/troutpier-common/src/main/java/org/troutpier/common/settings/Check.java
+++ b/troutpier-common/src/main/java/org/troutpier/common/settings/Check.java
@@ -10,10 +10,10 @@
      *
      * @param least the least allowed
      */
-    public static long range(String field, long value, long least, long most) {
-        if (value < least || value > most) {
+    public static long range(String field, long value, long min, long max) {
+        if (value < min || value > max) {
             throw new FieldException(
-                    field, "must be from " + least + " to " + most + " but is " + value);
+                    field, "must be from " + min + " to " + max + " but is " + value);
         }
         return value;
     }
--- a/troutpier-common/src/main/java/org/troutpier/common/settings/CheckedYaml.java
+++ b/troutpier-common/src/main/java/org/troutpier/common/settings/CheckedYaml.java
@@ -69,7 +69,7 @@
             }
             return value;
         } catch (JsonMappingException exception) {
-            throw translated(name, text, exception);
+            throw toTroutpierException(name, text, exception);
         } catch (JsonProcessingException exception) {
             throw fault(name, line(exception), "", exception.getOriginalMessage());
         }
@@ -127,17 +127,17 @@
     }
 
     /** Converts a mapping exception into one with file, line and field. */
-    private static TroutpierException translated(
+    private static TroutpierException toTroutpierException(
             String name, String text, JsonMappingException exception) {
         String path =
                 exception.getPath().stream()
                         .map(r -> r.getFieldName() == null ? "" + r.getIndex() : r.getFieldName())
                         .collect(Collectors.joining("/"));
         if (exception.getCause() instanceof FieldException field) {
-            String whole = path.isEmpty() ? field.field() : path + "/" + field.field();
-            int line = lineOf(text, "/" + whole);
+            String fullPath = path.isEmpty() ? field.field() : path + "/" + field.field();
+            int line = lineOf(text, "/" + fullPath);
             int shown = line > 0 ? line : Math.max(1, lineOf(text, "/" + path));
-            return fault(name, shown, whole, field.getMessage());
+            return fault(name, shown, fullPath, field.getMessage());
         }
         String message = message(exception);
         int line = lineOf(text, "/" + path);
--- a/troutpier-common/src/main/java/org/troutpier/common/settings/Secret.java
+++ b/troutpier-common/src/main/java/org/troutpier/common/settings/Secret.java
@@ -12,7 +12,7 @@
 public record Secret(@JsonValue String value) {
 
     /** Minimum length of a secret, characters. */
-    private static final int SHORTEST = 16;
+    private static final int MIN_LENGTH = 16;
 
     /** Checks the text. */
     @JsonCreator(mode = JsonCreator.Mode.DELEGATING)
@@ -24,8 +24,8 @@
     public void requireMinimumLength(String field) {
         Check.that(
                 field,
-                value.length() >= SHORTEST,
-                "must have at least " + SHORTEST + " characters");
+                value.length() >= MIN_LENGTH,
+                "must have at least " + MIN_LENGTH + " characters");
     }
 
     /** {@inheritDoc} */
--- a/troutpier-common/src/main/java/org/troutpier/common/time/ElapsedClock.java
+++ b/troutpier-common/src/main/java/org/troutpier/common/time/ElapsedClock.java
@@ -21,7 +21,7 @@
      * suspension, nanoseconds: half of the shortest safety margin between routers, and more than
      * ordinary corrections between two readings.
      */
-    static final long LEAST_SUSPENDED_NANOS = TimeUnit.MILLISECONDS.toNanos(500);
+    static final long MIN_SUSPENSION_NANOS = TimeUnit.MILLISECONDS.toNanos(500);
 
     private static final Logger LOGGER = LogManager.getLogger(ElapsedClock.class);
 
@@ -70,7 +70,7 @@
         long ahead = wall - mLastWall - (monotonic - mLastMonotonic);
         mLastMonotonic = monotonic;
         mLastWall = wall;
-        if (ahead >= LEAST_SUSPENDED_NANOS) {
+        if (ahead >= MIN_SUSPENSION_NANOS) {
             mSuspended += ahead;
             long millis = TimeUnit.NANOSECONDS.toMillis(ahead);
             LOGGER.warn("machine suspended, or time of day set ahead, millis={}", millis);
--- a/troutpier-common/src/test/java/org/troutpier/common/http/HttpClientTest.java
+++ b/troutpier-common/src/test/java/org/troutpier/common/http/HttpClientTest.java
@@ -58,7 +58,7 @@
         mLoops.shutdownGracefully(0, 1, TimeUnit.SECONDS);
     }
 
-    private static final class Ended implements ReplyListener {
+    private static final class RecordingListener implements ReplyListener {
         final CompletableFuture<String> mEnd = new CompletableFuture<>();
 
         @Override
@@ -84,10 +84,10 @@
 
     @Test
     public void endingAnExchangeThatIsOverLeavesItsConnectionToTheNext() throws Exception {
-        Ended first = new Ended();
+        RecordingListener first = new RecordingListener();
         HttpClient.OngoingCall over = mCalls.send(call("/"), first);
         assertEquals(first.mEnd.get(5, TimeUnit.SECONDS), "whole");
-        Ended second = new Ended();
+        RecordingListener second = new RecordingListener();
         mCalls.send(call("/slow"), second);
         over.abort();
         over.pause();
@@ -98,36 +98,36 @@
     public void tellsThatNothingWasSentWhenTheConnectionIsRefused() throws Exception {
         Address nobody = mServer.address();
         mServer.close();
-        Ended ended = new Ended();
+        RecordingListener ended = new RecordingListener();
         mCalls.send(HttpCall.of("GET", nobody.url("/")), ended);
         assertTrue(ended.mEnd.get(5, TimeUnit.SECONDS).startsWith("sent false"));
     }
 
     @Test
     public void tellsThatSomethingMayHaveBeenSentWhenNoAnswerComes() throws Exception {
-        Ended ended = new Ended();
+        RecordingListener ended = new RecordingListener();
         mCalls.send(call("/slow").withTimeout(50), ended);
         assertTrue(ended.mEnd.get(5, TimeUnit.SECONDS).startsWith("sent true"));
     }
 
     @Test
     public void anAbortedExchangeIsHeardNoMore() throws Exception {
-        Ended ended = new Ended();
+        RecordingListener ended = new RecordingListener();
         HttpClient.OngoingCall ongoing = mCalls.send(call("/slow"), ended);
         ongoing.abort();
-        Ended next = new Ended();
+        RecordingListener next = new RecordingListener();
         mCalls.send(call("/slow"), next);
         assertEquals(next.mEnd.get(5, TimeUnit.SECONDS), "whole");
         assertFalse(ended.mEnd.isDone());
     }
 
     /** A server that responds on each connection until its open connections are made silent. */
-    private static final class SilentLater implements AutoCloseable {
+    private static final class SilencedServer implements AutoCloseable {
         final ServerSocket mSocket = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
         final List<Socket> mOpen = new CopyOnWriteArrayList<>();
         final Set<Socket> mSilent = ConcurrentHashMap.newKeySet();
 
-        SilentLater() throws IOException {
+        SilencedServer() throws IOException {
             Thread accepting = new Thread(this::accept, "silent later");
             accepting.setDaemon(true);
             accepting.start();
@@ -173,7 +173,7 @@
 
     @Test
     public void whenOneKeptConnectionIsSilentTheOthersToItsHostAreNotUsedEither() throws Exception {
-        try (SilentLater server = new SilentLater()) {
+        try (SilencedServer server = new SilencedServer()) {
             String url = "http://127.0.0.1:" + server.mSocket.getLocalPort() + "/";
             List<CompletableFuture<HttpReply>> first = new ArrayList<>();
             for (int call = 0; call < 4; call++) {
--- a/troutpier-common/src/test/java/org/troutpier/common/id/UpstreamIncarnationTest.java
+++ b/troutpier-common/src/test/java/org/troutpier/common/id/UpstreamIncarnationTest.java
@@ -13,7 +13,7 @@
 /** Tests comparison of runs of an upstream. */
 public final class UpstreamIncarnationTest {
 
-    private static final UpstreamIncarnation UNTOLD = UpstreamIncarnation.of("i-1");
+    private static final UpstreamIncarnation UNKNOWN_START = UpstreamIncarnation.of("i-1");
     private static final UpstreamIncarnation FIRST =
             new UpstreamIncarnation(new UpstreamId("i-1"), 1_771_580_250_000L);
     private static final UpstreamIncarnation SECOND =
@@ -31,17 +31,17 @@
 
     @Test
     public void aStartThatIsNotToldFollowsNoneAndIsFollowedByNone() {
-        assertFalse(UNTOLD.startedAfter(FIRST));
-        assertFalse(FIRST.startedAfter(UNTOLD));
-        assertTrue(UNTOLD.mayEqual(FIRST));
-        assertTrue(FIRST.mayEqual(UNTOLD));
+        assertFalse(UNKNOWN_START.startedAfter(FIRST));
+        assertFalse(FIRST.startedAfter(UNKNOWN_START));
+        assertTrue(UNKNOWN_START.mayEqual(FIRST));
+        assertTrue(FIRST.mayEqual(UNKNOWN_START));
         assertFalse(SECOND.mayEqual(FIRST));
-        assertFalse(OTHER.mayEqual(UNTOLD));
+        assertFalse(OTHER.mayEqual(UNKNOWN_START));
     }
 
     @Test
     public void itTravelsAsAKeyAndAnUntoldStartTakesNoRoom() throws IOException {
-        Map<UpstreamIncarnation, Integer> sent = Map.of(UNTOLD, 1, FIRST, 2);
+        Map<UpstreamIncarnation, Integer> sent = Map.of(UNKNOWN_START, 1, FIRST, 2);
         byte[] bytes = Json.bytes(sent);
         Map<UpstreamIncarnation, Integer> read =
                 Json.mapper()
@@ -54,7 +54,7 @@
                                                 UpstreamIncarnation.class,
                                                 Integer.class));
         assertEquals(read, sent);
-        assertEquals(UNTOLD.toString(), "i-1");
+        assertEquals(UNKNOWN_START.toString(), "i-1");
         assertEquals(UpstreamIncarnation.of(FIRST.toString()), FIRST);
     }
 
--- a/troutpier-common/src/test/java/org/troutpier/common/logging/DropWhenFullTest.java
+++ b/troutpier-common/src/test/java/org/troutpier/common/logging/DropWhenFullTest.java
@@ -21,22 +21,22 @@
 /** Tests that logging never blocks. */
 public final class DropWhenFullTest {
 
-    private static final int ROOM = 4;
+    private static final int CAPACITY = 4;
     private static final int LINES = 50;
 
     /** An appender that blocks until it is released. */
-    private static final class StandingOutput extends AbstractAppender {
-        final CountDownLatch mGo = new CountDownLatch(1);
+    private static final class BlockingAppender extends AbstractAppender {
+        final CountDownLatch mRelease = new CountDownLatch(1);
         final List<String> mWritten = new CopyOnWriteArrayList<>();
 
-        StandingOutput() {
+        BlockingAppender() {
             super("output", null, null, false, Property.EMPTY_ARRAY);
         }
 
         @Override
         public void append(LogEvent event) {
             try {
-                assertTrue(mGo.await(10, TimeUnit.SECONDS));
+                assertTrue(mRelease.await(10, TimeUnit.SECONDS));
             } catch (InterruptedException exception) {
                 Thread.currentThread().interrupt();
             }
@@ -46,14 +46,14 @@
 
     @Test(timeOut = 20_000)
     public void linesWithoutRoomAreDroppedAndCountedAndNobodyWaits() {
-        StandingOutput output = new StandingOutput();
+        BlockingAppender output = new BlockingAppender();
         output.start();
         DefaultConfiguration configuration = new DefaultConfiguration();
         configuration.addAppender(output);
         AsyncAppender queue =
                 AsyncAppender.newBuilder()
                         .setName("queue")
-                        .setBufferSize(ROOM)
+                        .setBufferSize(CAPACITY)
                         .setConfiguration(configuration)
                         .setAppenderRefs(
                                 new AppenderRef[] {
@@ -70,8 +70,8 @@
                             .build());
         }
         long dropped = DropWhenFull.droppedCount() - before;
-        assertTrue(dropped >= LINES - ROOM - 1, "dropped " + dropped);
-        output.mGo.countDown();
+        assertTrue(dropped >= LINES - CAPACITY - 1, "dropped " + dropped);
+        output.mRelease.countDown();
         queue.stop(10, TimeUnit.SECONDS);
         assertEquals(output.mWritten.size() + dropped, LINES);
     }
--- a/troutpier-common/src/test/java/org/troutpier/common/time/ElapsedClockTest.java
+++ b/troutpier-common/src/test/java/org/troutpier/common/time/ElapsedClockTest.java
@@ -26,48 +26,48 @@
         mBegan = mClock.getAsLong();
     }
 
-    private void pass(long monotonic, long wall) {
+    private void advance(long monotonic, long wall) {
         mMonotonicMillis += monotonic;
         mWallMillis += wall;
     }
 
-    private long passed() {
+    private long elapsedMillis() {
         return TimeUnit.NANOSECONDS.toMillis(mClock.getAsLong() - mBegan);
     }
 
     @Test
     public void theTimeOfASuspensionCounts() {
-        pass(100, 100);
-        assertEquals(passed(), 100);
-        pass(1, 10_001);
-        assertEquals(passed(), 10_101);
-        pass(50, 50);
-        assertEquals(passed(), 10_151);
+        advance(100, 100);
+        assertEquals(elapsedMillis(), 100);
+        advance(1, 10_001);
+        assertEquals(elapsedMillis(), 10_101);
+        advance(50, 50);
+        assertEquals(elapsedMillis(), 10_151);
     }
 
     @Test
     public void aFreezeInWhichBothClocksGoOnCountsOnce() {
-        pass(10_000, 10_000);
-        assertEquals(passed(), 10_000);
+        advance(10_000, 10_000);
+        assertEquals(elapsedMillis(), 10_000);
     }
 
     @Test
     public void correctionsOfTheTimeOfDayDoNotCount() {
         for (int look = 0; look < 100; look++) {
-            pass(100, 120);
-            passed();
+            advance(100, 120);
+            elapsedMillis();
         }
-        assertEquals(passed(), 10_000);
-        pass(100, 599);
-        assertEquals(passed(), 10_100);
+        assertEquals(elapsedMillis(), 10_000);
+        advance(100, 599);
+        assertEquals(elapsedMillis(), 10_100);
     }
 
     @Test
     public void aTimeOfDayThatIsSetBackTakesNothingAway() {
-        pass(100, -20_000);
-        assertEquals(passed(), 100);
-        pass(100, 100);
-        assertEquals(passed(), 200);
+        advance(100, -20_000);
+        assertEquals(elapsedMillis(), 100);
+        advance(100, 100);
+        assertEquals(elapsedMillis(), 200);
     }
 
     @Test
@@ -77,7 +77,7 @@
         Random random = new Random(seed);
         long last = mClock.getAsLong();
         for (int look = 0; look < 10_000; look++) {
-            pass(random.nextInt(50), random.nextInt(10_000) - 5000);
+            advance(random.nextInt(50), random.nextInt(10_000) - 5000);
             long now = mClock.getAsLong();
             assertTrue(now >= last);
             last = now;
--- a/troutpier-testing/src/main/java/org/troutpier/testing/KnownFailureListener.java
+++ b/troutpier-testing/src/main/java/org/troutpier/testing/KnownFailureListener.java
@@ -36,19 +36,19 @@
             return;
         }
         String test =
-                KnownFailures.name(
+                KnownFailures.qualifiedName(
                         result.getTestClass().getName(), result.getMethod().getMethodName());
-        mKnown.symptom(test).ifPresent(seen -> judge(test, seen, result));
+        mKnown.symptom(test).ifPresent(symptom -> applyExpectation(test, symptom, result));
     }
 
-    private static void judge(String test, String seen, ITestResult result) {
+    private static void applyExpectation(String test, String symptom, ITestResult result) {
         if (result.getStatus() == ITestResult.FAILURE) {
-            System.out.println("known to fail: " + test + ": " + seen);
+            System.out.println("known to fail: " + test + ": " + symptom);
             result.setStatus(ITestResult.SKIP);
         } else if (result.getStatus() == ITestResult.SUCCESS) {
             result.setStatus(ITestResult.FAILURE);
             result.setThrowable(
-                    new AssertionError(test + " passes; take it off " + KnownFailures.FILE));
+                    new AssertionError(test + " passes; remove it from " + KnownFailures.FILE));
         }
     }
 }
--- a/troutpier-testing/src/main/java/org/troutpier/testing/KnownFailures.java
+++ b/troutpier-testing/src/main/java/org/troutpier/testing/KnownFailures.java
@@ -13,13 +13,14 @@
 
 /**
  * The tests that are known to fail because of an open fault, as listed in the file {@code
- * KNOWN-RED.txt}. Immutable and thread safe. Invariants: there are at most {@link #MOST}, and each
- * line has a test, the command and seed that reproduce the fault, the symptom, and an open issue.
+ * KNOWN-RED.txt}. Immutable and thread safe. Invariants: there are at most {@link #MAX_FAILURES},
+ * and each line has a test, the command and seed that reproduce the fault, the symptom, and an open
+ * issue.
  */
 public final class KnownFailures {
 
     /** Maximum number of known failures: more would hide a broken build. */
-    public static final int MOST = 3;
+    public static final int MAX_FAILURES = 3;
 
     /** The file's name, at the root of the repository. */
     public static final String FILE = "KNOWN-RED.txt";
@@ -37,7 +38,7 @@
 
     private static final String METHOD = "#";
 
-    private final Map<String, String> mSeen = new HashMap<>();
+    private final Map<String, String> mSymptoms = new HashMap<>();
 
     /**
      * Reads lines.
@@ -51,9 +52,14 @@
                 .map(String::strip)
                 .filter(line -> !line.isEmpty() && !line.startsWith(COMMENT))
                 .forEach(this::add);
-        if (mSeen.size() > MOST) {
+        if (mSymptoms.size() > MAX_FAILURES) {
             throw new IllegalArgumentException(
-                    FILE + " lists " + mSeen.size() + " tests, at most " + MOST + " may be");
+                    FILE
+                            + " lists "
+                            + mSymptoms.size()
+                            + " tests, but at most "
+                            + MAX_FAILURES
+                            + " are allowed");
         }
     }
 
@@ -89,9 +95,10 @@
         String[] parts = SEPARATOR.split(line);
         if (parts.length != PARTS || !parts[0].contains(METHOD)) {
             throw new IllegalArgumentException(
-                    "not CLASS#METHOD | command and seed | what was seen | open issue: " + line);
+                    "expected CLASS#METHOD | command and seed | symptom | open issue but got: "
+                            + line);
         }
-        if (mSeen.put(parts[0], parts[2]) != null) {
+        if (mSymptoms.put(parts[0], parts[2]) != null) {
             throw new IllegalArgumentException("listed twice: " + parts[0]);
         }
     }
@@ -102,11 +109,11 @@
      * @return the symptom, or empty if the test is not listed
      */
     public Optional<String> symptom(String test) {
-        return Optional.ofNullable(mSeen.get(test));
+        return Optional.ofNullable(mSymptoms.get(test));
     }
 
     /** Returns the name of a test in the file. */
-    public static String name(String className, String method) {
+    public static String qualifiedName(String className, String method) {
         return className + METHOD + method;
     }
 
@@ -118,7 +125,10 @@
     public List<String> missingTests(Path root) throws IOException {
         try (Stream<Path> modules = Files.list(root)) {
             List<Path> sources = modules.map(module -> module.resolve("src/test/java")).toList();
-            return mSeen.keySet().stream().filter(test -> !stands(test, sources)).sorted().toList();
+            return mSymptoms.keySet().stream()
+                    .filter(test -> !exists(test, sources))
+                    .sorted()
+                    .toList();
         }
     }
 
@@ -127,17 +137,17 @@
      *
      * @return whether it does
      */
-    private static boolean stands(String test, List<Path> sources) {
+    private static boolean exists(String test, List<Path> sources) {
         String[] name = test.split(METHOD, 2);
         String file = name[0].replace('.', '/') + ".java";
         String method = "public void " + name[1] + "(";
         return sources.stream()
                 .map(source -> source.resolve(file))
                 .filter(Files::exists)
-                .anyMatch(path -> text(path).contains(method));
+                .anyMatch(path -> readText(path).contains(method));
     }
 
-    private static String text(Path path) {
+    private static String readText(Path path) {
         try {
             return Files.readString(path);
         } catch (IOException exception) {
--- a/troutpier-testing/src/main/java/org/troutpier/testing/RawHttpClient.java
+++ b/troutpier-testing/src/main/java/org/troutpier/testing/RawHttpClient.java
@@ -14,7 +14,7 @@
 public final class RawHttpClient {
 
     /** Read time-out, milliseconds. */
-    private static final int QUIET_MILLIS = 10_000;
+    private static final int READ_TIMEOUT_MILLIS = 10_000;
 
     private RawHttpClient() {}
 
@@ -28,7 +28,7 @@
      */
     public static String exchange(String host, int port, String request) {
         try (Socket socket = new Socket(host, port)) {
-            socket.setSoTimeout(QUIET_MILLIS);
+            socket.setSoTimeout(READ_TIMEOUT_MILLIS);
             OutputStream out = socket.getOutputStream();
             out.write(request.replace("\n", "\r\n").getBytes(StandardCharsets.UTF_8));
             out.flush();
--- a/troutpier-testing/src/test/java/org/troutpier/testing/KnownFailuresTest.java
+++ b/troutpier-testing/src/test/java/org/troutpier/testing/KnownFailuresTest.java
@@ -58,7 +58,7 @@
         }
     }
 
-    private static List<Integer> play(KnownFailures known) {
+    private static List<Integer> run(KnownFailures known) {
         Tally tally = new Tally();
         TestNG framework = new TestNG(false);
         framework.setTestClasses(new Class<?>[] {Sample.class});
@@ -70,17 +70,17 @@
 
     @Test
     public void aTestThatIsNotListedFails() {
-        assertEquals(play(known()), List.of(1, 1, 0));
+        assertEquals(run(known()), List.of(1, 1, 0));
     }
 
     @Test
     public void aListedTestThatFailsIsPassedOver() {
-        assertEquals(play(known(SAMPLE + "fails")), List.of(1, 0, 1));
+        assertEquals(run(known(SAMPLE + "fails")), List.of(1, 0, 1));
     }
 
     @Test
     public void aListedTestThatPassesFails() {
-        assertEquals(play(known(SAMPLE + "passes")), List.of(0, 2, 0));
+        assertEquals(run(known(SAMPLE + "passes")), List.of(0, 2, 0));
     }
 
     @Test
