--- a/troutpier-standins/src/main/java/org/troutpier/standins/load/GatheredAnswer.java
+++ b/troutpier-standins/src/main/java/org/troutpier/standins/load/GatheredAnswer.java
@@ -10,27 +10,26 @@
 import org.troutpier.common.http.ReplyListener;
 
 /**
- * Gathers what came of an answer, also of one that was cut. Thread safe: written on an event loop,
- * read by whoever waits.
+ * Collects an answer, including one that is cut off. Thread safe: written by an event loop, read by
+ * waiting threads.
  */
 public final class GatheredAnswer implements ReplyListener {
 
-    /** Completes when no more comes. */
-    private final CompletableFuture<Void> mOver = new CompletableFuture<>();
+    /** Completes when no more data is expected. */
+    private final CompletableFuture<Void> mDone = new CompletableFuture<>();
 
-    /** The body so far. */
     private final StringBuffer mBody = new StringBuffer();
 
-    /** The status; 0 until a head has come. */
+    /** The status; 0 until the head has arrived. */
     private volatile int mStatus;
 
-    /** The headers; null until a head has come. */
+    /** The headers; null until the head has arrived. */
     private volatile HttpHeaders mHeaders;
 
-    /** Whether the answer ended as HTTP has it. */
+    /** Whether the HTTP response was complete. */
     private volatile boolean mEnded;
 
-    /** Why it did not, in one word. */
+    /** The class name of the failure, empty without one. */
     private volatile String mCause = "";
 
     /** {@inheritDoc} */
@@ -50,43 +49,44 @@
     @Override
     public void onEnd() {
         mEnded = true;
-        mOver.complete(null);
+        mDone.complete(null);
     }
 
     /** {@inheritDoc} */
     @Override
     public void onFailure(CallFailedException failure) {
         mCause = failure.getCause().getClass().getSimpleName();
-        mOver.complete(null);
+        mDone.complete(null);
     }
 
-    /** Notes that the caller has left: nobody waits for more. */
+    /** Stops waiting after the caller has aborted the call. */
     public void leave() {
-        mOver.complete(null);
+        mDone.complete(null);
     }
 
     /**
-     * Waits until no more comes.
+     * Waits until no more data is expected.
      *
-     * @param millis for how long at most
-     * @return whether no more comes
+     * @param millis the time-out
+     * @return whether the answer is over, false after the time-out
      * @throws InterruptedException if the thread is interrupted
      */
     public boolean await(int millis) throws InterruptedException {
         try {
-            mOver.get(millis, TimeUnit.MILLISECONDS);
+            mDone.get(millis, TimeUnit.MILLISECONDS);
             return true;
         } catch (TimeoutException exception) {
             return false;
         } catch (ExecutionException exception) {
-            throw new IllegalStateException("nothing completes this with a failure", exception);
+            throw new IllegalStateException(
+                    "the future completed exceptionally, which no code path does", exception);
         }
     }
 
     /**
      * Returns the status.
      *
-     * @return the status, or 0 where no head came
+     * @return the status, or 0 before the head has arrived
      */
     public int status() {
         return mStatus;
@@ -96,7 +96,7 @@
      * Returns a header.
      *
      * @param name its name
-     * @return its value, or nothing
+     * @return its value, or an empty string
      */
     public String header(String name) {
         HttpHeaders headers = mHeaders;
@@ -104,27 +104,27 @@
     }
 
     /**
-     * Returns the body.
+     * Returns the body received so far.
      *
-     * @return what has come of it
+     * @return the body
      */
     public String body() {
         return mBody.toString();
     }
 
     /**
-     * Returns whether the answer ended as HTTP has it.
+     * Returns whether the HTTP response was complete.
      *
-     * @return whether it did
+     * @return whether it was complete
      */
     public boolean ended() {
         return mEnded;
     }
 
     /**
-     * Returns why it did not end.
+     * Returns why the answer was not complete.
      *
-     * @return the name of the failure, or nothing
+     * @return the class name of the failure, or an empty string
      */
     public String cause() {
         return mCause;
--- a/troutpier-standins/src/main/java/org/troutpier/standins/load/LoadCommand.java
+++ b/troutpier-standins/src/main/java/org/troutpier/standins/load/LoadCommand.java
@@ -15,46 +15,45 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
-/** Runs load and prints one table. Confined to the command line's thread. */
+/** Runs load and prints the results. Confined to the thread of the command line. */
 @Command(
         name = "load",
         mixinStandardHelpOptions = true,
-        description = "Sends open-loop load and prints what came of it.")
+        description = "Sends open-loop load and prints the results.")
 public final class LoadCommand implements Callable<Integer> {
 
-    /** The mix. */
     @Option(names = "--mix", required = true, description = "YAML file with the streams")
     private Path mMix;
 
-    /** The routers, or the prefill and the decode engine. */
+    /** The addresses of the routers, or of a prefill and a decode engine. */
     @Option(names = "--to", required = true, split = ",", description = "IP:port, several")
     private List<String> mTo;
 
-    /** Whether to go round the routers. */
+    /** Whether to bypass the routers. */
     @Option(names = "--straight", description = "--to names a prefill and a decode engine")
     private boolean mStraight;
 
-    /** How long requests leave. */
-    @Option(names = "--seconds", defaultValue = "10", description = "how long requests leave")
+    /** How long counted requests are sent. */
+    @Option(
+            names = "--seconds",
+            defaultValue = "10",
+            description = "how long counted requests are sent")
     private double mSeconds;
 
-    /** How long requests leave before they are counted. */
+    /** How long requests are sent before they are counted. */
     @Option(names = "--warm-up", defaultValue = "0", description = "seconds not counted before")
     private double mWarmUp;
 
-    /** Fixes arrivals and lengths. */
-    @Option(names = "--seed", defaultValue = "1", description = "fixes arrivals and lengths")
+    @Option(names = "--seed", defaultValue = "1", description = "seed of arrivals and lengths")
     private long mSeed;
 
-    /** Multiplies every rate. */
     @Option(names = "--scale", defaultValue = "1", description = "multiplies every rate")
     private double mScale;
 
-    /** The form of the output. */
     @Option(names = "--output", defaultValue = "table", description = "table or json")
     private String mOutput;
 
-    /** Created by the command line. */
+    /** Instantiated by picocli. */
     private LoadCommand() {}
 
     /** {@inheritDoc} */
@@ -78,9 +77,9 @@
     }
 
     /**
-     * Makes the target.
+     * Creates the target.
      *
-     * @param calls sends the requests
+     * @param calls the HTTP client
      * @return the target
      */
     private LoadTarget target(HttpCalls calls) {
@@ -91,9 +90,9 @@
     }
 
     /**
-     * Prints the table for people.
+     * Prints the results as a table.
      *
-     * @param figures the figures by stream
+     * @param figures the results by stream
      */
     private void print(Map<String, Map<String, Object>> figures) {
         System.out.printf(
--- a/troutpier-standins/src/main/java/org/troutpier/standins/load/LoadMix.java
+++ b/troutpier-standins/src/main/java/org/troutpier/standins/load/LoadMix.java
@@ -4,13 +4,13 @@
 import org.troutpier.common.settings.Check;
 
 /**
- * A mix of streams. Immutable and thread safe.
+ * A mix of request streams. Immutable and thread safe.
  *
  * @param streams the streams
  */
 public record LoadMix(List<LoadStream> streams) {
 
-    /** Checks the fields. */
+    /** Validates the fields. */
     public LoadMix {
         streams = List.copyOf(Check.present("streams", streams));
         Check.that("streams", !streams.isEmpty(), "must not be empty");
--- a/troutpier-standins/src/main/java/org/troutpier/standins/load/LoadRun.java
+++ b/troutpier-standins/src/main/java/org/troutpier/standins/load/LoadRun.java
@@ -17,40 +17,39 @@
 import org.troutpier.standins.engine.PrefixBlocks;
 
 /**
- * One run of open-loop load: requests leave when their time has come, whatever became of those
- * before. The seed fixes all arrivals and lengths. Thread safe.
+ * A run of open-loop load: requests are sent on schedule, regardless of the outcome of earlier
+ * ones. All arrivals and lengths derive from the seed. Thread safe.
  */
 public final class LoadRun {
 
-    /** Nanoseconds in a second. */
-    private static final double NANOS = 1e9;
+    private static final double NANOS_PER_SECOND = 1e9;
 
-    /** The least and the spread of a length, as shares of its average. */
+    /**
+     * The minimum of a length as a fraction of its average; the range above it is one average wide.
+     */
     private static final double HALF = 0.5;
 
-    /** Carries the traffic. */
     private final EventLoopGroup mLoops;
 
-    /** Where the load goes. */
     private final LoadTarget mTarget;
 
-    /** What came of each stream. */
+    /** The results by stream. */
     private final Map<LoadStream, StreamTally> mTallies = new LinkedHashMap<>();
 
-    /** Counts the requests under way. */
-    private final Phaser mUnderWay = new Phaser(1);
+    /** Counts the requests in flight. */
+    private final Phaser mInFlight = new Phaser(1);
 
-    /** Tells this run's requests from another's. */
+    /** Distinguishes the request ids of this run from those of other runs. */
     private final String mRunId = Long.toHexString(System.nanoTime());
 
     /**
      * One planned request.
      *
-     * @param atNanos when it leaves, from the start
-     * @param stream what it is like
+     * @param atNanos when it is sent, relative to the start
+     * @param stream its stream
      * @param id its id
      * @param prompt its prompt
-     * @param outputTokens how many tokens it asks for
+     * @param outputTokens the number of tokens to request
      */
     private record Planned(
             long atNanos, LoadStream stream, String id, String prompt, int outputTokens) {}
@@ -58,8 +57,8 @@
     /**
      * Creates a run.
      *
-     * @param loops carries the traffic
-     * @param target where the load goes
+     * @param loops the event loops that send the requests
+     * @param target the target of the load
      * @param mix the streams
      */
     public LoadRun(EventLoopGroup loops, LoadTarget target, LoadMix mix) {
@@ -71,10 +70,10 @@
     /**
      * Runs the load and waits for every answer.
      *
-     * @param warmUp how long requests leave that are not counted, seconds
-     * @param seconds how long requests leave that are counted
-     * @param seed fixes arrivals and lengths
-     * @return the figures by stream
+     * @param warmUp how long requests are sent without being counted, seconds
+     * @param seconds how long counted requests are sent
+     * @param seed the seed of arrivals and lengths
+     * @return the results by stream
      */
     public Map<String, Map<String, Object>> run(double warmUp, double seconds, long seed) {
         UniformRandomProvider random = RandomSource.XO_RO_SHI_RO_128_PP.create(seed);
@@ -82,25 +81,25 @@
         mTallies.keySet().forEach(stream -> plan.addAll(planned(stream, warmUp + seconds, random)));
         plan.forEach(
                 planned -> {
-                    mUnderWay.register();
+                    mInFlight.register();
                     mLoops.next()
                             .schedule(
-                                    () -> leave(planned, (long) (warmUp * NANOS)),
+                                    () -> send(planned, (long) (warmUp * NANOS_PER_SECOND)),
                                     planned.atNanos(),
                                     TimeUnit.NANOSECONDS);
                 });
-        mUnderWay.arriveAndAwaitAdvance();
+        mInFlight.arriveAndAwaitAdvance();
         Map<String, Map<String, Object>> figures = new LinkedHashMap<>();
         mTallies.forEach((stream, tally) -> figures.put(stream.name(), tally.figures()));
         return figures;
     }
 
     /**
-     * Plans a stream's requests with exponential gaps.
+     * Plans the requests of a stream with exponentially distributed intervals.
      *
      * @param stream the stream
-     * @param seconds how long requests leave
-     * @param random the source of chance
+     * @param seconds how long requests are sent
+     * @param random the random generator
      * @return the requests
      */
     private List<Planned> planned(LoadStream stream, double seconds, UniformRandomProvider random) {
@@ -114,7 +113,7 @@
             String id = stream.name() + "." + mRunId + "." + planned.size();
             planned.add(
                     new Planned(
-                            (long) (at * NANOS),
+                            (long) (at * NANOS_PER_SECOND),
                             stream,
                             id,
                             prompt(stream, id, random),
@@ -126,19 +125,19 @@
      * Draws a length around an average.
      *
      * @param average the average
-     * @param random the source of chance
-     * @return from half to one and a half of it, at least one
+     * @param random the random generator
+     * @return between half and one and a half times the average, at least one
      */
     private static int length(int average, UniformRandomProvider random) {
         return Math.max(1, (int) (average * (HALF + random.nextDouble())));
     }
 
     /**
-     * Makes a prompt: a part that all share, then one of its own.
+     * Creates a prompt: a prefix that all requests of the stream share, then a unique part.
      *
      * @param stream the stream
      * @param id the request's id
-     * @param random the source of chance
+     * @param random the random generator
      * @return the prompt
      */
     private static String prompt(LoadStream stream, String id, UniformRandomProvider random) {
@@ -155,9 +154,10 @@
      * Sends one request.
      *
      * @param planned the request
-     * @param countedFrom from when on requests are counted
+     * @param countedFrom the scheduled time from which requests are counted, nanoseconds from the
+     *     start
      */
-    private void leave(Planned planned, long countedFrom) {
+    private void send(Planned planned, long countedFrom) {
         boolean counted = planned.atNanos() >= countedFrom;
         StreamTally tally = counted ? mTallies.get(planned.stream()) : new StreamTally();
         tally.sent();
@@ -169,51 +169,44 @@
                 new Watcher(planned, tally));
     }
 
-    /** Watches one answer. Confined to the answer's event loop. */
+    /** Records the outcome of one answer. Confined to the event loop of the answer. */
     private final class Watcher implements ReplyListener {
 
-        /** What was sent. */
+        /** The request. */
         private final Planned mPlanned;
 
-        /** Where the outcome is counted. */
+        /** Counts the outcome. */
         private final StreamTally mTally;
 
-        /** The prompt's mark, which every token of the answer must bear. */
+        /** The checksum of the prompt, with which every token of the answer must start. */
         private final String mMark;
 
-        /** When the request left. */
-        private final long mStart = System.nanoTime();
+        /** When the request was sent. */
+        private final long mStartNanos = System.nanoTime();
 
-        /** The status. */
         private int mStatus;
 
         /** The result code, or null. */
         private String mCode;
 
-        /** When the first part came, or 0. */
-        private long mFirst;
+        /** When the first part arrived, or 0. */
+        private long mFirstNanos;
 
-        /** When the last part came. */
-        private long mLast;
+        /** When the last part arrived. */
+        private long mLastNanos;
 
-        /** How many tokens came. */
+        /** The number of tokens received. */
         private int mTokens;
 
-        /** What came after the last whole event. */
-        private String mRest = "";
+        /** The data after the last complete event. */
+        private String mPartialEvent = "";
 
-        /** Whether the end mark came. */
+        /** Whether the end marker was received. */
         private boolean mDone;
 
-        /** Whether a token bore another request's mark. */
+        /** Whether a token did not start with the checksum of the prompt. */
         private boolean mWrong;
 
-        /**
-         * Creates a watcher.
-         *
-         * @param planned what was sent
-         * @param tally where the outcome is counted
-         */
         Watcher(Planned planned, StreamTally tally) {
             mPlanned = planned;
             mTally = tally;
@@ -230,35 +223,35 @@
         /** {@inheritDoc} */
         @Override
         public void onPart(byte[] part) {
-            mLast = System.nanoTime();
-            if (mFirst == 0) {
-                mFirst = mLast;
+            mLastNanos = System.nanoTime();
+            if (mFirstNanos == 0) {
+                mFirstNanos = mLastNanos;
             }
             if (mPlanned.stream().completion()) {
-                look(new String(part, StandardCharsets.ISO_8859_1));
+                parseEvents(new String(part, StandardCharsets.ISO_8859_1));
             }
         }
 
         /**
-         * Counts the tokens of whole events and looks for the end mark.
+         * Counts the tokens of complete events and detects the end marker.
          *
          * @param part the part
          */
-        private void look(String part) {
+        private void parseEvents(String part) {
             final String text = "\"text\":\"";
-            mRest += part;
-            int whole = mRest.lastIndexOf("\n\n") + 2;
+            mPartialEvent += part;
+            int whole = mPartialEvent.lastIndexOf("\n\n") + 2;
             if (whole < 2) {
                 return;
             }
-            int at = mRest.indexOf(text);
+            int at = mPartialEvent.indexOf(text);
             while (at >= 0 && at < whole) {
                 mTokens++;
-                mWrong |= !mRest.startsWith(mMark, at + text.length());
-                at = mRest.indexOf(text, at + 1);
+                mWrong |= !mPartialEvent.startsWith(mMark, at + text.length());
+                at = mPartialEvent.indexOf(text, at + 1);
             }
-            mDone |= mRest.lastIndexOf("[DONE]", whole) >= 0;
-            mRest = mRest.substring(whole);
+            mDone |= mPartialEvent.lastIndexOf("[DONE]", whole) >= 0;
+            mPartialEvent = mPartialEvent.substring(whole);
         }
 
         /** {@inheritDoc} */
@@ -266,21 +259,25 @@
         public void onEnd() {
             boolean whole = mStatus == 200 && (mDone || !mPlanned.stream().completion());
             if (whole) {
-                mTally.whole(mPlanned.stream(), mFirst - mStart, mLast - mStart, mTokens);
+                mTally.whole(
+                        mPlanned.stream(),
+                        mFirstNanos - mStartNanos,
+                        mLastNanos - mStartNanos,
+                        mTokens);
             } else {
                 mTally.ended(mCode == null ? "HTTP " + mStatus : mCode);
             }
             if (mWrong) {
                 mTally.wrong();
             }
-            mUnderWay.arriveAndDeregister();
+            mInFlight.arriveAndDeregister();
         }
 
         /** {@inheritDoc} */
         @Override
         public void onFailure(CallFailedException failure) {
             mTally.ended(mStatus == 200 ? "cut" : "connection");
-            mUnderWay.arriveAndDeregister();
+            mInFlight.arriveAndDeregister();
         }
     }
 }
--- a/troutpier-standins/src/main/java/org/troutpier/standins/load/LoadStream.java
+++ b/troutpier-standins/src/main/java/org/troutpier/standins/load/LoadStream.java
@@ -5,19 +5,19 @@
 /**
  * One kind of request in a mix. Immutable and thread safe.
  *
- * @param name what the table calls it
- * @param partner whose it is, for the table
- * @param token the caller's token
+ * @param name the name in the table of results
+ * @param partner the partner that sends the requests
+ * @param token the token of the caller
  * @param requestClass the request class
  * @param method the HTTP method, for a plain service
  * @param path the path, for a plain service; empty for a completion
- * @param perSecond how many arrive in a second, on average
- * @param promptTokens how long a prompt is, on average
- * @param sharedTokens how much of each prompt is the same in all
- * @param outputTokens how long an answer is, on average
- * @param keyed whether each request brings a key
- * @param firstTokenMillis the first token's target, 0 for none
- * @param perTokenMillis the target between tokens, 0 for none
+ * @param perSecond the mean arrival rate, requests per second
+ * @param promptTokens the mean length of a prompt
+ * @param sharedTokens the length of the prefix that all prompts share
+ * @param outputTokens the mean length of an answer
+ * @param keyed whether each request carries an idempotency key
+ * @param firstTokenMillis the target for the time to the first token, 0 for none
+ * @param perTokenMillis the target for the mean time between tokens, 0 for none
  */
 public record LoadStream(
         String name,
@@ -34,13 +34,13 @@
         int firstTokenMillis,
         int perTokenMillis) {
 
-    /** The fastest stream that may be set, requests a second. */
+    /** The highest rate that may be configured, requests per second. */
     private static final double MAX_RATE = 1e6;
 
-    /** The longest prompt or answer that may be set, tokens. */
+    /** The longest prompt or answer that may be configured. */
     private static final int MAX_TOKENS = 1_000_000;
 
-    /** Checks the fields and fills the defaults. */
+    /** Validates the fields and applies the defaults. */
     public LoadStream {
         Check.present("name", name);
         Check.present("partner", partner);
@@ -55,9 +55,9 @@
     }
 
     /**
-     * Returns whether this asks a model.
+     * Returns whether the requests are completions.
      *
-     * @return whether it is a completion
+     * @return whether they go to a model rather than to a plain service
      */
     public boolean completion() {
         return path.isEmpty();
--- a/troutpier-standins/src/main/java/org/troutpier/standins/load/LoadTarget.java
+++ b/troutpier-standins/src/main/java/org/troutpier/standins/load/LoadTarget.java
@@ -10,40 +10,37 @@
 import org.troutpier.common.http.ReplyListener;
 import org.troutpier.common.settings.Address;
 
-/** Where load goes. Implementations are thread safe. */
+/** The destination of load. Implementations are thread safe. */
 public interface LoadTarget {
 
-    /** How long the load tool waits for an answer, milliseconds. */
+    /** How long the load tool waits for an answer. */
     int TIMEOUT_MILLIS = 120_000;
 
     /**
      * Sends one request.
      *
-     * @param stream what it is like
-     * @param id its own id, used as its key where it is keyed
+     * @param stream the stream of the request
+     * @param id the id of the request, also its idempotency key if the stream is keyed
      * @param prompt its prompt
-     * @param outputTokens how many tokens it asks for
-     * @param listener hears the answer
+     * @param outputTokens the number of tokens to request
+     * @param listener receives the answer
      */
     void send(
             LoadStream stream, String id, String prompt, int outputTokens, ReplyListener listener);
 
-    /** Sends to routers in turn. */
+    /** Distributes requests over routers by round robin. */
     final class ThroughRouters implements LoadTarget {
 
-        /** Sends the requests. */
         private final HttpCalls mCalls;
 
-        /** The routers. */
         private final List<Address> mRouters;
 
-        /** Counts the requests. */
         private final AtomicInteger mNext = new AtomicInteger();
 
         /**
          * Creates a target.
          *
-         * @param calls sends the requests
+         * @param calls the HTTP client
          * @param routers the routers
          */
         public ThroughRouters(HttpCalls calls, List<Address> routers) {
@@ -59,8 +56,8 @@
                 String prompt,
                 int outputTokens,
                 ReplyListener listener) {
-            int turn = Math.floorMod(mNext.getAndIncrement(), mRouters.size());
-            Address router = mRouters.get(turn);
+            int index = Math.floorMod(mNext.getAndIncrement(), mRouters.size());
+            Address router = mRouters.get(index);
             String path = stream.completion() ? "/v1/completions" : stream.path();
             HttpCall call =
                     HttpCall.of(stream.completion() ? "POST" : stream.method(), router.url(path))
@@ -83,22 +80,19 @@
         }
     }
 
-    /** Sends straight to one prefill and one decode engine, as a caller without a router would. */
+    /** Sends directly to one prefill and one decode engine, as a caller without a router would. */
     final class StraightToEngines implements LoadTarget {
 
-        /** Sends the requests. */
         private final HttpCalls mCalls;
 
-        /** The prefill engine. */
         private final Address mPrefill;
 
-        /** The decode engine. */
         private final Address mDecode;
 
         /**
          * Creates a target.
          *
-         * @param calls sends the requests
+         * @param calls the HTTP client
          * @param prefill the prefill engine
          * @param decode the decode engine
          */
@@ -141,11 +135,11 @@
         }
 
         /**
-         * Makes the decode request.
+         * Creates the decode request.
          *
          * @param id the request's id
-         * @param handle the prefill's result
-         * @param outputTokens how many tokens are asked for
+         * @param handle the handle of the prefill result
+         * @param outputTokens the number of tokens to request
          * @return the request
          */
         private HttpCall decode(String id, String handle, int outputTokens) {
--- a/troutpier-standins/src/main/java/org/troutpier/standins/load/StreamTally.java
+++ b/troutpier-standins/src/main/java/org/troutpier/standins/load/StreamTally.java
@@ -4,51 +4,48 @@
 import java.util.TreeMap;
 import org.HdrHistogram.Histogram;
 
-/** What came of one stream's requests. Thread safe by its lock. */
+/** The results of one stream. Thread safe; guarded by its own lock. */
 final class StreamTally {
 
-    /** The longest time that is told apart, microseconds. */
-    private static final long LONGEST = 600_000_000L;
+    /** Longest recorded time; longer ones count as this. */
+    private static final long MAX_MICROS = 600_000_000L;
 
-    /** How many digits of a time are kept. */
+    /** Significant digits of recorded times. */
     private static final int DIGITS = 3;
 
-    /** Times to the first token, microseconds. */
-    private final Histogram mFirst = new Histogram(LONGEST, DIGITS);
+    /** Times to the first token. */
+    private final Histogram mFirstTokenMicros = new Histogram(MAX_MICROS, DIGITS);
 
-    /** Mean times between tokens of each request, microseconds. */
-    private final Histogram mBetween = new Histogram(LONGEST, DIGITS);
+    /** Mean times between tokens of each request. */
+    private final Histogram mPerTokenMicros = new Histogram(MAX_MICROS, DIGITS);
 
-    /** How many requests ended in which way. */
     private final Map<String, Long> mEnds = new TreeMap<>();
 
-    /** How many requests were sent. */
     private long mSent;
 
-    /** How many got a whole answer. */
+    /** Number of complete answers. */
     private long mWhole;
 
-    /** How many got a whole answer within both targets. */
+    /** Number of complete answers within both latency targets. */
     private long mGood;
 
-    /** How many tokens arrived. */
     private long mTokens;
 
-    /** How many answers were another request's. */
+    /** Number of answers that belonged to another request. */
     private long mWrong;
 
-    /** Counts a request as sent. */
+    /** Records a sent request. */
     synchronized void sent() {
         mSent++;
     }
 
     /**
-     * Counts a whole answer.
+     * Records a complete answer.
      *
-     * @param stream what the request was like
+     * @param stream the stream of the request
      * @param firstNanos the time to the first token or byte
-     * @param lastNanos the time to the last
-     * @param tokens how many tokens
+     * @param lastNanos the time to the last token or byte
+     * @param tokens the number of tokens received
      */
     synchronized void whole(LoadStream stream, long firstNanos, long lastNanos, int tokens) {
         mWhole++;
@@ -57,36 +54,36 @@
         final double microsPerMilli = 1000;
         long first = firstNanos / nanosPerMicro;
         long between = tokens < 2 ? 0 : (lastNanos - firstNanos) / nanosPerMicro / (tokens - 1);
-        mFirst.recordValue(Math.min(first, LONGEST));
-        mBetween.recordValue(Math.min(between, LONGEST));
+        mFirstTokenMicros.recordValue(Math.min(first, MAX_MICROS));
+        mPerTokenMicros.recordValue(Math.min(between, MAX_MICROS));
         boolean firstInTime =
                 stream.firstTokenMillis() == 0
                         || first <= stream.firstTokenMillis() * microsPerMilli;
-        boolean restInTime =
+        boolean perTokenInTime =
                 stream.perTokenMillis() == 0 || between <= stream.perTokenMillis() * microsPerMilli;
-        if (firstInTime && restInTime) {
+        if (firstInTime && perTokenInTime) {
             mGood++;
         }
     }
 
     /**
-     * Counts a request that ended without a whole answer.
+     * Records a request that ended without a complete answer.
      *
-     * @param how the result code or what else happened
+     * @param reason the result code or another reason
      */
-    synchronized void ended(String how) {
-        mEnds.merge(how, 1L, Long::sum);
+    synchronized void ended(String reason) {
+        mEnds.merge(reason, 1L, Long::sum);
     }
 
-    /** Counts an answer that was another request's. */
+    /** Records an answer that belonged to another request. */
     synchronized void wrong() {
         mWrong++;
     }
 
     /**
-     * Describes the tally for programs.
+     * Returns the results as they are written to JSON.
      *
-     * @return the figures by name
+     * @return the results by name
      */
     synchronized Map<String, Object> figures() {
         Map<String, Object> figures = new TreeMap<>();
@@ -96,13 +93,13 @@
         figures.put("wrong", mWrong);
         figures.put("tokens", mTokens);
         figures.put("ends", Map.copyOf(mEnds));
-        figures.put("first_ms", quantiles(mFirst));
-        figures.put("between_ms", quantiles(mBetween));
+        figures.put("first_ms", quantiles(mFirstTokenMicros));
+        figures.put("between_ms", quantiles(mPerTokenMicros));
         return figures;
     }
 
     /**
-     * Describes a histogram.
+     * Returns the quantiles of a histogram.
      *
      * @param histogram the histogram, in microseconds
      * @return quantiles in milliseconds
--- a/troutpier-standins/src/main/java/org/troutpier/standins/load/package-info.java
+++ b/troutpier-standins/src/main/java/org/troutpier/standins/load/package-info.java
@@ -1,2 +1,2 @@
-/** The load tool: open-loop load by class, and one table of what came of it. */
+/** The load tool: generates open-loop load by stream and reports the results in a table. */
 package org.troutpier.standins.load;
