--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/RestartAwarePort.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/RestartAwarePort.java
@@ -43,7 +43,10 @@
         for (TrackedCall call : List.copyOf(mActive)) {
             UpstreamIncarnation current = incarnations.get(call.mUpstream.id());
             if (current != null && current.startedAfter(call.mUpstream)) {
-                LOGGER.info("call lost because its upstream restarted upstream={} now={}", call.mUpstream, current);
+                LOGGER.info(
+                        "call lost because its upstream restarted upstream={} now={}",
+                        call.mUpstream,
+                        current);
                 call.failAsLost();
             }
         }
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/upstream/HttpEngineClient.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/upstream/HttpEngineClient.java
@@ -102,8 +102,7 @@
 
     /** Converts the failure of a call that got no reply. */
     private static AttemptEnd toAttemptEnd(Throwable failure) {
-        boolean sent =
-                !(failure instanceof CallFailedException failed) || failed.mayHaveBeenSent();
+        boolean sent = !(failure instanceof CallFailedException failed) || failed.mayHaveBeenSent();
         String detail = String.valueOf(failure.getMessage());
         return sent ? AttemptEnd.lost(detail) : AttemptEnd.unreached(detail);
     }
--- a/troutpier-daemon/src/test/java/org/troutpier/daemon/ChangeUnderFailureTest.java
+++ b/troutpier-daemon/src/test/java/org/troutpier/daemon/ChangeUnderFailureTest.java
@@ -165,7 +165,8 @@
         assertEquals(deadlineInForce(rig, 0), 20_000);
         assertEquals(deadlineInForce(rig, 1), 20_000);
         RouterTestRig.fault(rig.mInstances.server(), Fault.OUTAGE, 0, 0);
-        RouterTestRig.await(() -> propose(rig, 0, 36_666).join().isSuccessful(), "the member is left out");
+        RouterTestRig.await(
+                () -> propose(rig, 0, 36_666).join().isSuccessful(), "the member is left out");
         assertEquals(deadlineInForce(rig, 1), 36_666);
     }
 
