--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/admission/AdmissionController.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/admission/AdmissionController.java
@@ -24,8 +24,8 @@
 
 /**
  * Decides which request starts, when, and on which upstreams. Confined to the control thread.
- * Invariant: the listener of every submitted ticket is called exactly once, and whatever a grant
- * acquires is released exactly once.
+ * Invariant: the listener of every submitted ticket is called exactly once, unless the ticket is
+ * withdrawn while it waits, and whatever a grant acquires is released exactly once.
  */
 public final class AdmissionController {
 
@@ -109,7 +109,7 @@
     }
 
     /**
-     * Withdraws a ticket.
+     * Withdraws a ticket. If it was still waiting, its listener is not called.
      *
      * @return whether it was still waiting
      */
@@ -279,8 +279,8 @@
 
     /**
      * Decides on a ticket for which no upstream is usable. A request without a first-token target
-     * waits, since an upstream that failed a moment ago may recover; one with a target is refused
-     * at once.
+     * waits if not all upstreams that serve it are draining, since one that failed a moment ago may
+     * recover. Any other request is refused at once.
      */
     private Decision waitOrRefuse(Ticket ticket, String detail) {
         boolean mayRecover =
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/admission/CoordinatorPermits.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/admission/CoordinatorPermits.java
@@ -18,7 +18,7 @@
  * Permits for decode slots, granted in small batches by the coordinator of each engine and kept for
  * reuse by routers. Confined to the control thread. Implements both sides: the holder's for every
  * engine, and the coordinator's for the engines that this router coordinates. Invariant: a new
- * coordinator grants nothing until it has received the other routers' holdings.
+ * coordinator grants nothing during a delay in which the other routers report their holdings.
  */
 public final class CoordinatorPermits implements DecodePermits {
 
@@ -359,7 +359,8 @@
 
     /**
      * Returns permits that have been idle for too long, drops the allocations of engines that this
-     * router no longer coordinates, and those of routers that are gone.
+     * router no longer coordinates and the holdings of routers that no longer run, and grants free
+     * permits to open requests.
      */
     private void tick() {
         List<Member> members = mMembership.serving();
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/admission/Ticket.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/admission/Ticket.java
@@ -30,7 +30,8 @@
     private static final long NANOS_PER_MILLI = 1_000_000L;
 
     /**
-     * Receives the decision on a ticket. One of the methods is called, once, on the control thread.
+     * Receives the decision on a ticket. One of the methods is called, once, on the control thread;
+     * none if the ticket is withdrawn before the decision.
      */
     public interface Listener {
 
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/decision/FailureRate.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/decision/FailureRate.java
@@ -6,8 +6,8 @@
  *
  * <p>In a large fleet each router calls an upstream only once every few seconds, so failures are
  * not judged by each router alone. An engine that fails all runs at once appears least loaded: in a
- * fleet of 60 routers that each had to see four failures, such an engine drew a third of all
- * requests until they had.
+ * fleet of 60 routers that each have to see four failures, such an engine draws a third of all
+ * requests until they have.
  *
  * @param failed recent calls that failed
  * @param succeeded calls that succeeded in the same period
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/decision/GrowthMargin.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/decision/GrowthMargin.java
@@ -11,9 +11,8 @@
  * in the pauses of streams, so the margin grows with each pause beyond what the route allows and
  * shrinks with each refusal for lack of memory.
  *
- * <p>The margin matters at loads close to the memory capacity of the engines. A fixed margin that
- * suits one kind of engine reduced the {@code worth} score of a heavily loaded day on another from
- * 0.30 to 0.13 in one case, and by 0.05 in another.
+ * <p>The margin matters at loads close to the memory capacity of the engines. No fixed margin suits
+ * every kind of engine: one that suits one kind can halve the goodput of another.
  *
  * <p>Not thread safe; confined to the traffic loop. Invariant: the margin stays between its minimum
  * and maximum.
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/decision/PrefillSurplus.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/decision/PrefillSurplus.java
@@ -10,8 +10,8 @@
  * <p>In bursts of a load with a constant mix, demand rises on both sides at once. What matters is
  * therefore which side saturates first rather than the current loss. A prefill engine that would
  * never saturate helps in no burst, so changing its role costs nothing, and any number of such
- * engines may change at once. The opposite change is never made for this reason, since the runs of
- * a decode engine would have to end first.
+ * engines may change at once. A surplus of decode engines is not treated in this way, since their
+ * runs would have to end first.
  */
 final class PrefillSurplus {
 
@@ -21,8 +21,10 @@
     private PrefillSurplus() {}
 
     /**
-     * Returns how many prefill engines should become decode engines; 0 if none is surplus.
+     * Returns how many prefill engines should become decode engines; 0 if none is surplus or the
+     * gain is too small.
      *
+     * @param demand the demand, with enough completed runs and prefill samples to be measured
      * @param demandMillis how long there has been demand, milliseconds
      */
     static int count(RoleChangePolicy.EnginePool pool, Demand demand, double demandMillis) {
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/decision/RetryPacer.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/decision/RetryPacer.java
@@ -3,7 +3,7 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Assigns retry delays to refused callers so that they return one after another once capacity is
+ * Assigns retry delays to refused callers so that they retry one after another once capacity is
  * free, rather than during the burst in which they were refused. Not thread safe; confined to the
  * traffic loop. Invariant: delays are at least {@link #MIN_DELAY_MILLIS} and at most the given
  * limit.
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/decision/RoleChangePolicy.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/decision/RoleChangePolicy.java
@@ -10,21 +10,20 @@
  * reaches the cost of the change. A burst that ends earlier changes nothing, while a lasting shift
  * of the mix is followed.
  *
- * <p>Loads come in bursts of a few seconds. A rule that follows the busier side alone took an
- * engine from decoding in a burst of five seconds; the engine was unavailable for 18 seconds and
- * missed two more bursts ({@code worth} 0.59 on a quiet day, compared with 0.75 without any
- * change).
+ * <p>Loads come in bursts of a few seconds. A rule that follows the busier side alone can take an
+ * engine from decoding in a burst of five seconds; the engine is then unavailable for 18 seconds
+ * and misses two more bursts, which is worse than no change at all.
  *
  * <p>Prefill engines that would saturate in no burst change role without an accumulated loss, since
  * nothing is lost while they are unavailable; see {@link PrefillSurplus}.
  *
- * <p>Not thread safe; confined to the control thread. Invariants: each side keeps at least one
- * engine; a change increases the throughput of the measured mix; changes are free before the first
- * request.
+ * <p>Not thread safe; confined to the control thread. Invariants: a change never takes the last
+ * engine of a side, unless there is only one engine, which then decodes; a change under a measured
+ * demand increases the throughput of its mix; changes are free without recent requests.
  */
 public final class RoleChangePolicy {
 
-    /** Fraction of prefill engines before the first request. */
+    /** Fraction of prefill engines while there are no recent requests. */
     private static final double INITIAL_PREFILL_FRACTION = 1 / 3.0;
 
     /**
@@ -45,8 +44,8 @@
     /**
      * Time of continuous demand before the measured demand is trusted, milliseconds. Short runs
      * complete first, so soon after a start a run appears to occupy half of its actual memory and
-     * decode engines appear idle. After a power loss of all routers, one of two decode engines was
-     * taken away for this reason and returned after 14 s.
+     * decode engines appear idle. With a shorter time, one of two decode engines can be taken away
+     * after a power loss of all routers, and is then unavailable for 14 s.
      */
     private static final double MEASUREMENT_MILLIS = Demand.DECAY_MILLIS;
 
@@ -78,9 +77,9 @@
     public enum Step {
         /** Keep the roles. */
         STAY,
-        /** Turn decode engines into prefill engines. */
+        /** Turn one decode engine into a prefill engine. */
         MORE_PREFILL,
-        /** Turn prefill engines into decode engines. */
+        /** Turn {@link #engineCount()} prefill engines into decode engines. */
         MORE_DECODE
     }
 
@@ -165,8 +164,9 @@
     }
 
     /**
-     * Returns the step towards the initial split of a service. There are no requests yet, so the
-     * change costs nothing.
+     * Returns the step towards the initial split of a service. It is taken while there are no
+     * recent requests, so that the change costs nothing, and before the demand is measured if there
+     * is no prefill engine.
      */
     private static Step initialStep(EnginePool pool) {
         long wanted = Math.max(1, Math.round(pool.engines() * INITIAL_PREFILL_FRACTION));
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/decision/SplitCapacity.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/decision/SplitCapacity.java
@@ -5,7 +5,8 @@
 /**
  * Computes the throughput of a service for a given split of its engines into prefill and decode
  * engines. Prefill engines are limited by tokens processed per time, decode engines by memory
- * occupied over time; the slower side determines the throughput. Stateless and thread safe.
+ * occupied over time; the slower side determines the throughput. The demand passed in must be
+ * measured: with enough completed runs and prefill samples. Stateless and thread safe.
  */
 final class SplitCapacity {
 
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/limit/UsageSettings.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/limit/UsageSettings.java
@@ -17,9 +17,8 @@
 
     /**
      * Fraction of the window over which usage is paced: it allows the rate over that time and the
-     * burst, as the whole window does. Without pacing, a flood used up the limit of a window at
-     * once, and routers that started after a power loss assumed such usage to be evenly
-     * distributed.
+     * burst, as the whole window does. Without pacing, a flood uses up the limit of a window at
+     * once, and routers that start after a power loss assume such usage to be evenly distributed.
      */
     public static final double PACE_FRACTION = 0.25;
 
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/notice/AnnouncedBackOff.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/notice/AnnouncedBackOff.java
@@ -45,7 +45,8 @@
      *
      * @param values the values of the header as received: seconds or HTTP dates
      * @param now the time at which the response was sent, by the clock of the dates
-     * @return the longest valid back-off
+     * @return the longest valid back-off; {@link #UNREADABLE} if no value is valid, {@link #NONE}
+     *     if there is no value
      */
     public static AnnouncedBackOff parse(List<String> values, Instant now) {
         OptionalLong longest = OptionalLong.empty();
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/notice/AnnouncedRate.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/notice/AnnouncedRate.java
@@ -39,7 +39,8 @@
      * Parses the values of a rate header.
      *
      * @param values the values of the header as received
-     * @return the lowest valid rate
+     * @return the lowest valid rate; {@link #UNREADABLE} if no value is valid, {@link #NONE} if
+     *     there is no value
      */
     public static AnnouncedRate parse(List<String> values) {
         AnnouncedRate lowest = values.isEmpty() ? NONE : UNREADABLE;
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/organisation/KeyTrust.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/organisation/KeyTrust.java
@@ -34,7 +34,10 @@
         mConfirmedAt = mMillis.getAsLong();
     }
 
-    /** Returns whether keys are accepted, confirmed or not. */
+    /**
+     * Returns whether keys are accepted: always, unless the settings refuse unconfirmed keys and
+     * the last confirmation is no longer valid.
+     */
     public boolean acceptsKeys() {
         return !mSettings.refuseUnconfirmed()
                 || mMillis.getAsLong() - mConfirmedAt <= mSettings.confirmedMillis();
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/placement/PairSelector.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/placement/PairSelector.java
@@ -153,7 +153,7 @@
         }
     }
 
-    /** Returns the candidate with the lowest cost, the first one of equals. */
+    /** Returns the candidate with the lowest cost, the first one of equals; there must be one. */
     private static UpstreamState cheapest(
             List<UpstreamState> states, ToDoubleFunction<UpstreamState> cost) {
         Optional<UpstreamState> cheapest = states.stream().min(Comparator.comparingDouble(cost));
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/quarantine/Quarantine.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/quarantine/Quarantine.java
@@ -18,11 +18,11 @@
 
 /**
  * Records the requests during which upstreams crashed, as reported by all routers, and determines
- * which of them are no longer run. Without shared records, each retry of such a request would look
- * new to each router and crash another upstream with all its other runs: one request crashed 24
- * engines with up to twelve runs each, and the summaries of half a minute were lost. Confined to
- * the traffic loop. Invariants: the records are bounded in number and age; earlier crashes are not
- * held against a request that was completed.
+ * which of them are no longer run. Without shared records, each retry of such a request looks new
+ * to each router and crashes another upstream with all its other runs: one request can crash 24
+ * engines with up to twelve other runs each, and a service can lose the answers of half a minute.
+ * Confined to the traffic loop. Invariants: the records are bounded in number and age; earlier
+ * crashes are not held against a request that was completed.
  */
 public final class Quarantine {
 
@@ -157,6 +157,7 @@
      * Clears all requests with a fingerprint that starts with a name.
      *
      * @param name the fingerprint, or at least the digits of its short name
+     * @return the number of requests found; 0 if the name is too short
      */
     public int clear(String name) {
         if (name.length() < RequestFingerprint.SHORT_DIGITS) {
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/quarantine/QuarantineSettings.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/quarantine/QuarantineSettings.java
@@ -24,7 +24,7 @@
 
     /**
      * How long a request is remembered that is still run, milliseconds: ten minutes, within which
-     * its caller has either given up or returned.
+     * its caller has either given up or retried.
      */
     static final long SUSPECT_RETENTION_MILLIS = 600_000;
 
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/role/RoleController.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/role/RoleController.java
@@ -289,7 +289,8 @@
 
     /**
      * Requests the reports of all engines, so that no change is started while one is in progress
-     * that an earlier holder of the lease ordered.
+     * that an earlier holder of the lease ordered. An engine without a report does not count as
+     * changing.
      */
     private void verifyIdle(
             ServiceRoles roles,
@@ -361,7 +362,10 @@
         }
     }
 
-    /** Removes finished changes. After the last one, the load is observed for a while. */
+    /**
+     * Removes finished changes. If none is left, also after an attempt that started none, the
+     * losses are reset and the load is observed for a while.
+     */
     private void removeFinished(ServiceRoles roles) {
         roles.mChanges.removeIf(change -> change.mFinished);
         if (roles.mChanges.isEmpty()) {
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/role/RoleLease.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/role/RoleLease.java
@@ -20,8 +20,9 @@
  * it sent the last acknowledged renewal, on the monotonic clock; another router takes the lease
  * over only after the row has not changed for a term and a margin, and then gives no orders for one
  * more term, since engines do not verify who orders; the fencing token is the version of the row at
- * the acquisition, so it increases, even if the store is restored from a copy. A router that finds
- * its own row in a restored copy waits like any other.
+ * the acquisition, so it increases, even if the store is restored from a copy. A holder that finds
+ * its own row after a restart resumes at once; one that finds it in a restored copy waits like any
+ * other router.
  */
 final class RoleLease {
 
--- a/troutpier-daemon/src/test/java/org/troutpier/daemon/admission/ManualControl.java
+++ b/troutpier-daemon/src/test/java/org/troutpier/daemon/admission/ManualControl.java
@@ -6,7 +6,7 @@
 import java.util.Queue;
 import org.troutpier.daemon.node.ControlExecutor;
 
-/** ControlExecutor thread for tests that runs tasks only when asked to. */
+/** A control thread for tests, which runs its tasks only when the test calls for it. */
 final class ManualControl implements ControlExecutor {
 
     private final Queue<Runnable> mTasks = new ArrayDeque<>();
--- a/troutpier-daemon/src/test/java/org/troutpier/daemon/organisation/OrganisationLimiterTest.java
+++ b/troutpier-daemon/src/test/java/org/troutpier/daemon/organisation/OrganisationLimiterTest.java
@@ -62,7 +62,10 @@
         limit(1, 10);
     }
 
-    /** Sets a limit per window of ten seconds that consists almost entirely of burst. */
+    /**
+     * Sets a limit of ten seconds at a rate, nearly all of it as burst, so that it may be used at
+     * once.
+     */
     private void limit(long version, double perSecond) {
         limit(version, perSecond / 1000, perSecond * 9.99);
     }
--- a/troutpier-daemon/src/test/java/org/troutpier/daemon/role/RoleLeaseTest.java
+++ b/troutpier-daemon/src/test/java/org/troutpier/daemon/role/RoleLeaseTest.java
@@ -116,7 +116,7 @@
 
     /**
      * Guards against using only the monotonic clock of the system, with which a suspended holder
-     * believed in its lease for the rest of the term.
+     * continues to believe that it holds the lease for the rest of its term.
      */
     @Test
     public void aHolderWhoseMachineWasSuspendedKnowsThatItsLeaseExpired() {
