--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/admission/DecodePermits.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/admission/DecodePermits.java
@@ -120,7 +120,7 @@
 
     /**
      * Relies on the load that engines report, which lags behind, and treats an engine that refused
-     * a request as full until its next report.
+     * a request as full until its next report or until one of this router's requests there ends.
      */
     final class ForLaggingLoad implements DecodePermits {
 
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/decision/RetryPacer.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/decision/RetryPacer.java
@@ -5,8 +5,8 @@
 /**
  * Assigns retry delays to refused callers so that they retry one after another once capacity is
  * free, rather than during the burst in which they were refused. Not thread safe; confined to the
- * traffic loop. Invariant: delays are at least {@link #MIN_DELAY_MILLIS} and at most the given
- * limit.
+ * traffic loop. Invariant: delays are at least {@link #MIN_DELAY_MILLIS} and, if the given limit is
+ * not lower than that, at most the limit.
  *
  * <p>Bursts last a few seconds. A refused request misses its target whenever it is retried, so a
  * longer delay costs it little, while a second refusal is the worst outcome.
