--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/CallerChannel.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/CallerChannel.java
@@ -23,8 +23,8 @@
     /**
      * Sends a refusal.
      *
-     * @param retryAfterMillis when the caller should retry, milliseconds; 0 where a retry does not
-     *     help
+     * @param retryAfterMillis after which time the caller should retry, milliseconds; 0 where a
+     *     retry does not help
      */
     void refuse(ResultCode code, String detail, long retryAfterMillis);
 
@@ -41,7 +41,8 @@
     void abort();
 
     /**
-     * Returns whether the channel accepts more data without buffering it.
+     * Returns whether the channel's output buffer is below its limit. No more is written while it
+     * is not, so that the buffer does not grow for a caller that reads slowly.
      *
      * @return whether to continue to write
      */
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/CrashGuard.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/CrashGuard.java
@@ -27,9 +27,9 @@
 
     /**
      * Longest time for which a request whose call was lost waits for the result of the probe,
-     * milliseconds. A machine that closed a connection answers within a few; on one with three
-     * times the load that it can handle, requests that waited only 50 ms were retried before the
-     * answer and crashed a fourth upstream.
+     * milliseconds. A machine that closed a connection answers within a few; one with three times
+     * the load that it can handle can take longer than 50 ms, and a request that is retried before
+     * the answer can crash another upstream.
      */
     static final long ATTRIBUTION_TIMEOUT_MILLIS = 300;
 
@@ -100,8 +100,8 @@
     }
 
     /**
-     * Returns whether a request must not be run. Checked before each call, since another router may
-     * have reported the request while it waited.
+     * Returns whether a request must not be run, and counts it if so. Checked before each call,
+     * since another router may have reported the request while it waited.
      */
     boolean isQuarantined(LazyFingerprint fingerprint) {
         boolean quarantined =
@@ -128,11 +128,13 @@
     }
 
     /**
-     * Determines why a call to an upstream was lost.
+     * Determines why a call was lost on whose request the upstream was working, and records a crash
+     * of the upstream against that request, also if it is found after the listener was called.
      *
      * @param listener called once with whether the upstream is known to have crashed: as soon as it
      *     is known to be alive, {@link #SETTLE_MILLIS} after it is known to have crashed, or after
-     *     {@link #ATTRIBUTION_TIMEOUT_MILLIS} if nothing is known
+     *     {@link #ATTRIBUTION_TIMEOUT_MILLIS} if nothing is known; at once with false if the
+     *     upstream may no longer receive work and is not known to have crashed
      */
     void attributeLoss(
             UpstreamEntry upstream, RequestFingerprint request, Consumer<Boolean> listener) {
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/EngineUsageReconciler.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/EngineUsageReconciler.java
@@ -19,13 +19,13 @@
  * are partitioned off, and runs that continue for routers that lost power. Reports of engines are
  * delayed, so a report is compared with the largest usage that was recently attributed to routers,
  * and only the excess counts as unattributed. Engines are polled only while there may be
- * unattributed runs: after this router's own start, and after another router is no longer heard
- * from. In a small fleet each router polls all engines; in a large one the relay of each hall polls
- * the engines of its hall and shares the results with its own usage, so that the number of calls
- * grows with the engines and not with routers times engines. Confined to the traffic loop.
+ * unattributed runs: after this router's own start, and after another router no longer reports. In
+ * a small fleet each router polls all engines; in a large one the relay of each hall polls the
+ * engines of its hall and shares the results with its own usage, so that the number of calls grows
+ * with the engines and not with routers times engines. Confined to the traffic loop.
  *
  * <p>It covers the seconds after all routers lost power, and routers that are partitioned from each
- * other. Without it, engines were filled beyond their memory and preempted their runs.
+ * other. Without it, engines are filled beyond their memory and preempt their runs.
  */
 public final class EngineUsageReconciler {
 
@@ -38,7 +38,7 @@
     private static final int HISTORY_LENGTH = 4;
 
     /**
-     * How long engines are polled after a start and after another router is no longer heard from,
+     * How long engines are polled after a start and after another router no longer reports,
      * milliseconds. The longest runs end within it.
      */
     private static final long POLLING_PERIOD_MILLIS = 12_000;
@@ -62,7 +62,7 @@
     /** Usage attributed to routers at the last polling intervals, the most recent last. */
     private final Map<UpstreamIncarnation, Deque<Long>> mHistory = new HashMap<>();
 
-    /** Number of other routers heard from at the last interval. */
+    /** Number of other routers that reported recently, at the last interval. */
     private int mPeerCount;
 
     /** When polling ends, milliseconds. */
@@ -111,15 +111,19 @@
 
     /**
      * Stops the initial polling, because this instance never ran before and no engine can be
-     * working for an earlier incarnation of it. In a fleet whose 58 routers all started for the
-     * first time, each router polled 42 engines about ten times, 22,000 calls without any result.
+     * working for an earlier incarnation of it. In a fleet whose 58 routers all start for the first
+     * time, each router would poll 42 engines about ten times, 22,000 calls without any result.
      * Thread safe.
      */
     public void skipInitialPolling() {
         mLoop.execute(() -> mPollUntil = Math.min(mPollUntil, mLoop.millis()));
     }
 
-    /** Starts polling if a router is no longer heard from, and schedules the next interval. */
+    /**
+     * Records the usage attributed to routers, polls the engines while there may be unattributed
+     * runs, and schedules the next interval. A router that no longer reports starts a new polling
+     * period.
+     */
     private void tick() {
         long now = mLoop.millis();
         int peerCount = mPeers.peerCount();
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/ExtraCallBudget.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/ExtraCallBudget.java
@@ -28,7 +28,10 @@
     /** Lowest number of routers assumed, since a new router may not be known yet. */
     private static final int MIN_ROUTERS = 4;
 
-    /** Factor between the known and the assumed number of routers. */
+    /**
+     * Factor between the known and the assumed number of routers, so that the shares stay within
+     * the total while routers exist that are not known yet.
+     */
     private static final double ROUTER_MARGIN = 1.5;
 
     /** Extra calls per request. */
@@ -68,8 +71,8 @@
     /**
      * Returns the share of the total allowance that one router may use.
      *
-     * @param routers the number of routers known to have existed, which may include routers that
-     *     are gone
+     * @param routers the number of routers known to have existed, which may include routers that no
+     *     longer run
      */
     public static double routerShare(int routers) {
         return 1 / (ROUTER_MARGIN * Math.max(MIN_ROUTERS, routers));
@@ -101,6 +104,7 @@
      * window, requests over slightly less.
      *
      * @param nowMillis the monotonic clock, milliseconds
+     * @return whether the call may be made
      */
     public boolean tryAcquire(String service, long nowMillis) {
         Counts counts = advance(service, nowMillis);
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/RecentRefusals.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/RecentRefusals.java
@@ -5,8 +5,8 @@
 
 /**
  * Remembers which requests any router refused recently, by the part of the prompt that is specific
- * to the request, to recognise the retries that callers were asked for. Confined to the traffic
- * loop. Invariant: bounded in number and age.
+ * to the request, to recognise the retries of their callers. Confined to the traffic loop.
+ * Invariant: bounded in number and age.
  */
 public final class RecentRefusals {
 
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/RequestTrace.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/RequestTrace.java
@@ -28,7 +28,7 @@
     /** When the request arrived, milliseconds on the loop's clock. */
     private final long mStart;
 
-    /** Whether the request was answered late or with an upstream's own failure. */
+    /** Whether the request was not served as it should be, see {@link #markNotable()}. */
     private boolean mNotable;
 
     /** The inputs of the decisions about the request, such as versions and ages. */
@@ -79,8 +79,8 @@
     }
 
     /**
-     * Marks the request as answered but not as it should be: late, or with an upstream's own
-     * failure.
+     * Marks the request as not served as it should be, even if it is answered: late, with too long
+     * a pause between two events, with an upstream's own failure, or refused as quarantined.
      */
     public void markNotable() {
         mNotable = true;
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/ReservationAllocator.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/ReservationAllocator.java
@@ -34,7 +34,10 @@
      */
     private static final long FULL_RETRY_MILLIS = 30;
 
-    /** How long a reservation is requested for, milliseconds: it has to outlast the prefill. */
+    /**
+     * How long a reservation is requested for, so that its prompt can be prefilled, milliseconds.
+     * Engines may keep it for a shorter time.
+     */
     private static final int RESERVATION_MILLIS = 1000;
 
     private static final FairQueue.Weights EQUAL_WEIGHTS = partner -> 1;
@@ -153,7 +156,10 @@
         return tokens[0];
     }
 
-    /** Lets a search wait for the next round. */
+    /**
+     * Lets a search wait for the next round. The time until then is random, so that repeated
+     * requests to the engines are spread.
+     */
     private void enqueue(Search search) {
         Requirements requirements = search.mRequirements;
         queue(search)
@@ -305,8 +311,8 @@
 
         /**
          * Returns how much memory a late request leaves to one that can still be in time and may
-         * arrive at any router at any moment, in tokens. Leaving a quarter of the memory instead of
-         * one prompt did not bring more requests in time, and twice as many were refused again.
+         * arrive at any router at any moment, in tokens. A quarter of the memory instead of one
+         * prompt brings no more requests in time and has twice as many refused again.
          */
         private long headroomTokens() {
             return mRequirements.tier() == QueueTier.IN_TIME ? 0 : mRequirements.promptTokens();
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/ServingSettings.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/ServingSettings.java
@@ -17,8 +17,8 @@
     static final long ANSWER_MARGIN_MILLIS = 20;
 
     /**
-     * Silence after which a repeatable call is retried at another upstream, in multiples of the
-     * route's target.
+     * Silence after which a repeatable call is retried at another upstream, while attempts and time
+     * for one are left, in multiples of the route's target.
      */
     static final double PLAIN_SILENCE_FACTOR = 2.0;
 
@@ -37,15 +37,18 @@
     /** The time-out of a prefill in multiples of its predicted duration. */
     static final double PREFILL_TIMEOUT_FACTOR = 3;
 
-    /** How long a stream may be silent before it is resumed at another engine, milliseconds. */
+    /**
+     * How long a stream may be silent that can be resumed at another engine, milliseconds. Any
+     * other stream may be silent until its deadline.
+     */
     static final long STREAM_SILENCE_MILLIS = 1200;
 
     /** When a caller should retry if no better value is known, milliseconds. */
     static final long RETRY_AFTER_MILLIS = 400;
 
     /**
-     * The longest time after which a caller is asked to retry, as a part of the request's remaining
-     * time.
+     * The longest retry delay of a caller, as a part of the request's remaining time. A back-off of
+     * the upstreams may extend it.
      */
     static final double MAX_RETRY_AFTER_RATIO = 0.32;
 
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/StreamExecution.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/StreamExecution.java
@@ -57,7 +57,7 @@
 
     /**
      * When the current wait budget began, milliseconds since the request arrived: 0 before the
-     * stream was started, then the time at which its last run failed.
+     * stream was started, then the time at which the search for another run began.
      */
     private long mWaitStart;
 
@@ -152,7 +152,7 @@
 
     /**
      * Tries to reserve memory at the engine that lost the run's answer and may still have the
-     * prompt.
+     * prompt. The search does not wait, since the run has freed its memory there.
      */
     private void searchResumeTarget(AttemptEnd end) {
         mReservation.search(
@@ -228,9 +228,9 @@
     }
 
     /**
-     * Has the prompt processed by a prefill engine. Where there is none, or the budget allows no
-     * further extra call, the decode engine processes the prompt itself: the run is the request's
-     * first call to it, not an extra one.
+     * Has the prompt processed by a prefill engine. Where there is none, none admits the call, or
+     * the budget allows no further extra call, the decode engine processes the prompt itself, in
+     * the run that is sent to it anyway and needs no extra call.
      */
     private void prefill() {
         if (refuseIfQuarantined()) {
@@ -502,10 +502,12 @@
         /** The stored prefill result; empty where the decode engine processes the prompt. */
         private final Optional<UpstreamPort.StoredPrompt> mPrompt;
 
-        /** When the last event arrived, milliseconds on the loop's clock; 0 before the first. */
+        /**
+         * When the stream's last bytes arrived, milliseconds on the loop's clock; 0 before them.
+         */
         private long mLastEventAt;
 
-        /** A response that is no event stream, or null. */
+        /** A response that is not a success and therefore no event stream, or null. */
         private BufferedResponse mErrorResponse;
 
         /**
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/UpstreamAdmission.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/UpstreamAdmission.java
@@ -77,8 +77,8 @@
     }
 
     /**
-     * Returns whether a call that was admitted earlier may still be sent, because the upstream has
-     * not requested a back-off since.
+     * Returns whether the upstream is not in a back-off, so that a call that was admitted before
+     * may still be sent. Whether it is leaving is not checked here.
      */
     boolean stillAdmits(UpstreamEntry upstream) {
         return notices.backOffMillis(upstream) == 0;
@@ -95,7 +95,7 @@
     }
 
     /**
-     * Takes back a call that was admitted but never reached the upstream.
+     * Refunds a call that was admitted but never reached the upstream.
      *
      * @param at when the call was admitted, milliseconds
      */
@@ -116,6 +116,7 @@
      * Draws the delay after which a caller should retry that no upstream accepts. After a back-off,
      * retries are spread.
      *
+     * @param upstreams the upstreams, none of which may be sent a call now
      * @param maxMillis the longest delay that is useful to the caller, milliseconds; a back-off may
      *     last longer
      * @return the delay, milliseconds
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/UpstreamBackOff.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/UpstreamBackOff.java
@@ -14,8 +14,8 @@
     static final long RAMP_UP_MILLIS = 2000;
 
     /**
-     * Largest fraction by which a back-off is extended, so that routers that were asked at the same
-     * time do not return together.
+     * Largest fraction by which a back-off is extended, so that routers of which it was requested
+     * at the same time do not return together.
      */
     private static final double JITTER = 0.1;
 
@@ -51,6 +51,7 @@
     /**
      * Returns whether a call is admitted, and counts it as withheld if not.
      *
+     * @param activeCalls the calls that this router has in flight at the upstream
      * @param now the current time, milliseconds
      */
     boolean admits(int activeCalls, long now) {
@@ -70,7 +71,7 @@
     }
 
     /**
-     * Records a success. Calls that were sent before the end of the back-off don't count.
+     * Records a success. Calls that were sent before the end of the back-off do not count.
      *
      * @param sentAt when the call was sent, milliseconds
      */
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/UpstreamLoads.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/UpstreamLoads.java
@@ -34,7 +34,10 @@
      */
     private static final int CONSECUTIVE_FAILURES = 4;
 
-    /** Duration of the first ejection, milliseconds. */
+    /**
+     * Duration of the first ejection for consecutive failures or because the upstream is
+     * unreachable, milliseconds.
+     */
     private static final long MIN_EJECTION_MILLIS = 500;
 
     private static final long MAX_EJECTION_MILLIS = 4000;
@@ -144,7 +147,7 @@
         /** The role that the upstream was listed with when another one answered. */
         private UpstreamEntry.Role mReplacedRole;
 
-        /** Recent failed calls that reached the upstream. */
+        /** Recent failed calls, without those that found the upstream unreachable. */
         private final SlidingWindowSum mRecentFailures =
                 new SlidingWindowSum(OUTCOME_WINDOW_MILLIS, OUTCOME_WINDOW_BUCKETS);
 
@@ -391,7 +394,8 @@
     /**
      * Records a failed call.
      *
-     * @param unreachable whether no connection could be made
+     * @param unreachable whether the upstream is taken for unreachable: it is then ejected at once,
+     *     and the call does not count in its failure rate
      */
     public void failed(UpstreamEntry upstream, boolean unreachable, String detail) {
         Load load = load(upstream.incarnation());
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/UpstreamNotices.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/UpstreamNotices.java
@@ -128,6 +128,7 @@
     /**
      * Returns whether an upstream may be sent a call that makes it work.
      *
+     * @param activeCalls the calls that this router has in flight at the upstream
      * @return whether it may; false while it is leaving or in a back-off
      */
     boolean admits(UpstreamEntry upstream, int activeCalls) {
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/UpstreamPort.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/UpstreamPort.java
@@ -187,7 +187,7 @@
          */
         void onPart(byte[] part);
 
-        /** Called after the last part. */
+        /** Called when the answer is complete, after its last part. */
         void onEnd();
 
         /** Called if the answer cannot be completed. */
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/UpstreamRate.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/UpstreamRate.java
@@ -36,7 +36,7 @@
     static final long EXPIRY_MILLIS = 30_000;
 
     /**
-     * Lowest rate at which requests are sent, per second. Without any request, no answer could tell
+     * Lowest rate at which requests are sent, per second. Without any request, no answer could show
      * that the limit has ended.
      */
     static final double MIN_PER_SECOND = 0.1;
@@ -96,7 +96,10 @@
     /** Whether the announcement arrived at this router, which then reports it to the others. */
     private boolean mAnnouncedLocally;
 
-    /** When the rate was last announced, milliseconds on the elapsed clock. */
+    /**
+     * When the rate was last announced, milliseconds on the elapsed clock, which includes the time
+     * that the machine is suspended.
+     */
     private long mAnnouncedAt;
 
     private final LogThrottle mChangeLogLimiter = new LogThrottle(CHANGE_LOG_INTERVAL_MILLIS);
@@ -241,7 +244,7 @@
     }
 
     /**
-     * Takes back a request that was recorded as sent.
+     * Refunds a request that was recorded as sent.
      *
      * @param at when it was recorded, milliseconds
      * @param now the time of the traffic loop, milliseconds
@@ -254,7 +257,12 @@
         return mUsage.recent(now);
     }
 
-    /** Returns the report for the other routers. */
+    /**
+     * Returns the report for the other routers.
+     *
+     * @param elapsed the elapsed clock, milliseconds
+     * @param now the time of the traffic loop, milliseconds
+     */
     RateReport report(long elapsed, long now) {
         LastAnnouncedRate announced =
                 isAnnouncedLocally() ? lastAnnounced(elapsed) : LastAnnouncedRate.NEVER;
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/UpstreamRates.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/UpstreamRates.java
@@ -36,10 +36,7 @@
     /** Path at which operators list the upstreams that announce rates. */
     public static final String PATH = "/rates";
 
-    /**
-     * Shortest delay that a caller is told to wait when no upstream accepts its request,
-     * milliseconds.
-     */
+    /** Shortest retry delay of a caller whose request no upstream accepts, milliseconds. */
     private static final long MIN_RETRY_MILLIS = 100;
 
     private static final double MILLIS_PER_SECOND = 1000;
@@ -177,7 +174,7 @@
     }
 
     /**
-     * Takes back a request that was admitted but never reached the upstream.
+     * Refunds a request that was admitted but never reached the upstream.
      *
      * @param at when the request was admitted, milliseconds
      */
@@ -190,6 +187,7 @@
      * longest delay, the upstreams serve as many requests as currently arrive beyond their rates;
      * the caller may be any of those.
      *
+     * @param upstreams the upstreams, all at their rates
      * @return the delay, milliseconds
      */
     long retryAfterMillis(List<UpstreamEntry> upstreams) {
--- a/troutpier-daemon/src/test/java/org/troutpier/daemon/serving/UpstreamRateSimulation.java
+++ b/troutpier-daemon/src/test/java/org/troutpier/daemon/serving/UpstreamRateSimulation.java
@@ -59,7 +59,9 @@
     /** Fraction of the requests that are urgent. */
     double mUrgentFraction;
 
-    /** Requests that were sent and served: the urgent ones, then the others. */
+    /**
+     * Requests that callers made, and those of them that were sent on: urgent ones, then others.
+     */
     final long[] mAsked = new long[2];
 
     final long[] mServed = new long[2];
@@ -102,8 +104,8 @@
         double mMaxFillOnceKnown;
 
         /**
-         * The same, including requests that routers sent soon after a restart, when they did not
-         * know the rate.
+         * The same, including the requests of excused routers, such as those that were sent soon
+         * after a restart, when the router did not know the rate.
          */
         double mMaxFillWithRestarts;
 
