--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/CrashGuard.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/CrashGuard.java
@@ -20,8 +20,8 @@
  * Determines which lost calls were lost because their upstream crashed, records these crashes
  * against the requests that the upstream was working on, and keeps requests from upstreams after
  * several crashes. Confined to the traffic loop. Invariant: a crash counts only if the upstream no
- * longer accepts connections and was not leaving; a lost answer, a silent upstream, a broken
- * network path and a planned shutdown are not attributed to any request.
+ * longer accepts connections or is known to have restarted, and was not leaving; a lost answer, a
+ * silent upstream, a broken network path and a planned shutdown are not attributed to any request.
  */
 public final class CrashGuard {
 
@@ -65,7 +65,10 @@
     /** Counts crashed upstreams. */
     private final Counter mCrashCount;
 
-    /** Counts lost calls whose upstream had not crashed. */
+    /**
+     * Counts lost calls whose upstream was not found to have crashed: it accepts connections, or
+     * the probe got no answer.
+     */
     private final Counter mAliveCount;
 
     /** Counts requests that were not run because they are quarantined. */
@@ -131,9 +134,9 @@
      * Determines why a call was lost on whose request the upstream was working, and records a crash
      * of the upstream against that request, also if it is found after the listener was called.
      *
-     * @param listener called once with whether the upstream is known to have crashed: as soon as it
-     *     is known to be alive, {@link #SETTLE_MILLIS} after it is known to have crashed, or after
-     *     {@link #ATTRIBUTION_TIMEOUT_MILLIS} if nothing is known; at once with false if the
+     * @param listener called once with whether the upstream is known to have crashed: as soon as
+     *     the probe finds no crash, {@link #SETTLE_MILLIS} after it is known to have crashed, or
+     *     after {@link #ATTRIBUTION_TIMEOUT_MILLIS} if nothing is known; at once with false if the
      *     upstream may no longer receive work and is not known to have crashed
      */
     void attributeLoss(
@@ -226,7 +229,11 @@
             }
         }
 
-        /** Ends the probe, or sends another one for calls that were lost since. */
+        /**
+         * Handles a result that proves no crash, which may also be {@link
+         * UpstreamPort.ProbeResult#UNKNOWN}: ends the probe, or sends another one for calls that
+         * were lost since.
+         */
         private void onAlive() {
             mAliveCount.inc(mLost.size());
             List<LostCall> attributed = mLost;
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/RecentRefusals.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/RecentRefusals.java
@@ -10,7 +10,10 @@
  */
 public final class RecentRefusals {
 
-    /** How long a refusal is remembered, milliseconds: longer than the longest Retry-After. */
+    /**
+     * How long a refusal is remembered, milliseconds: longer than callers are asked to wait before
+     * they retry, except in a long back-off or with more than 20 seconds left for the request.
+     */
     private static final long RETENTION_MILLIS = 7000;
 
     private static final int MAX_ENTRIES = 20_000;
