--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/RecentRefusals.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/serving/RecentRefusals.java
@@ -5,12 +5,15 @@
 
 /**
  * Remembers which requests any router refused recently, by the part of the prompt that is specific
- * to the request, to recognise the retries that callers were asked for. Confined to the traffic
- * loop. Invariant: bounded in number and age.
+ * to the request, to recognise the retries of their callers. Confined to the traffic loop.
+ * Invariant: bounded in number and age.
  */
 public final class RecentRefusals {
 
-    /** How long a refusal is remembered, milliseconds: longer than the longest Retry-After. */
+    /**
+     * How long a refusal is remembered, milliseconds: longer than callers are asked to wait before
+     * they retry, except in a long back-off or with more than 20 seconds left for the request.
+     */
     private static final long RETENTION_MILLIS = 7000;
 
     private static final int MAX_ENTRIES = 20_000;
