--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/cluster/DemandMeter.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/cluster/DemandMeter.java
@@ -52,7 +52,7 @@
      * Records a prefill that did not wait behind other prompts.
      *
      * @param tokens the length of the prompt
-     * @param millis its duration
+     * @param millis the duration of its prefill
      * @param now the monotonic clock, milliseconds
      */
     public void recordPrefill(String service, long tokens, long millis, long now) {
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/cluster/LoadReport.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/cluster/LoadReport.java
@@ -105,7 +105,8 @@
     /**
      * Returns whether another report has the same load. Demand is not compared, since it drifts all
      * the time and affects only decisions on a scale of seconds; neither is usage against limits,
-     * which rises with the calls in progress and falls by itself.
+     * which rises with the calls in progress and falls by itself. The waiting tokens are not
+     * compared either.
      */
     boolean hasSameLoad(LoadReport other) {
         return configuration == other.configuration
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/cluster/MemberRegistry.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/cluster/MemberRegistry.java
@@ -37,9 +37,9 @@
     /**
      * Timing of the table's polling. The table changes only when a router starts, so the return of
      * the store may be noticed late. Each start answers all waiting calls, so with a call by each
-     * router the number of calls grew with the square of the number of routers. Therefore only the
-     * hall's table reader polls, and a page that it shares, at most one wait and one pause after
-     * the last, saves the others their calls.
+     * router the number of calls would grow with the square of the number of routers. Therefore
+     * only the hall's table reader polls, and a page that it shares, at most one wait and one pause
+     * after the last, saves the others their calls.
      */
     private static final TableFollower.PollTiming POLL_TIMING =
             new TableFollower.PollTiming(3000, 500, 4000, 2000);
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/cluster/PeerLoads.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/cluster/PeerLoads.java
@@ -220,8 +220,8 @@
     }
 
     /**
-     * Returns the current reports with one of some scopes, and a report of the usage at routers
-     * that stopped reporting.
+     * Returns the current reports of the given scopes, and a report of the usage at routers that
+     * stopped reporting.
      *
      * @param excluded a router whose report is left out, or null
      * @param now the monotonic clock, milliseconds
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/cluster/PrefillLatencyModel.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/cluster/PrefillLatencyModel.java
@@ -6,8 +6,8 @@
  * A linear model of prefill time, as decaying sums over prefills that did not wait behind others.
  * Immutable and thread safe. It separates the time for each token from the fixed time of a call.
  * Without that, engines that prefill 33 tokens a millisecond appeared to do 16; half of the prompts
- * that would have been in time were refused, and one prefill engine too many was assigned (in a day
- * with three bursts).
+ * that would have been in time were refused, and one prefill engine too many was assigned (in a
+ * benchmark run with three bursts).
  *
  * @param count prefills
  * @param tokens their tokens
@@ -41,7 +41,7 @@
      * Returns the model of one sample.
      *
      * @param tokens the length of the prompt
-     * @param millis its duration
+     * @param millis the duration of its prefill
      */
     static PrefillLatencyModel of(double tokens, double millis) {
         return new PrefillLatencyModel(1, tokens, millis, tokens * tokens, tokens * millis);
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/cluster/TablePollTimings.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/cluster/TablePollTimings.java
@@ -40,9 +40,9 @@
 
     /**
      * The same time for the configuration, milliseconds. Routers also send it to each other, so
-     * fewer calls suffice: with 400 here and in the member table's timing, a day with two losses of
-     * the store at over half of the routers took 1055 calls, against 864 without such additional
-     * calls.
+     * fewer calls suffice: with 400 here and in the member table's timing, a benchmark run with two
+     * losses of the store at over half of the routers took 1055 calls, against 864 without such
+     * additional calls.
      */
     private static final long CONFIGURATION_RETRY_MILLIS = 700;
 
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/directory/UpstreamDirectory.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/directory/UpstreamDirectory.java
@@ -24,10 +24,10 @@
  * Holds the upstreams that the platform lists. Changes are confined to the control thread; {@link
  * #usable}, {@link #hasRestarted}, {@link #isLoaded()}, {@link #ageMillis()} and {@link
  * #missingCount()} are thread safe. Invariant: an upstream is usable only if its entry is listed,
- * readable and not draining, and the upstream has not announced that it is leaving. Exception: an
- * entry that disappeared while no router read the store stays usable until {@link
- * #MISSING_GRACE_MILLIS} after reading resumed, since entries of live upstreams lapse while the
- * store is unavailable.
+ * readable and not draining, and the upstream has not announced that it is leaving; after such an
+ * announcement it is unusable, whatever its entry says, until it restarts. Exception: an entry that
+ * disappeared while no router read the store stays usable until {@link #MISSING_GRACE_MILLIS} after
+ * reading resumed, since entries of live upstreams lapse while the store is unavailable.
  */
 public final class UpstreamDirectory {
 
@@ -39,15 +39,16 @@
 
     /**
      * Time without news of the store after which the end of the grace period waits for the store's
-     * next return, since missing entries cannot come back in the meantime.
+     * next return, since missing entries cannot be listed again in the meantime.
      */
     private static final long STALE_MILLIS = 1000;
 
+    /** Number of upstreams that are remembered as leaving, and number remembered as removed. */
     private static final int MAX_REMEMBERED = 4096;
 
     /**
      * Time for which leaving and removed upstreams are remembered. An upstream ends long before
-     * that, and until it does, its entry may come back.
+     * that, and until it does, its entry may be listed again.
      */
     private static final long REMEMBERED_MILLIS = 600_000;
 
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/peer/CoordinatorSelector.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/peer/CoordinatorSelector.java
@@ -8,7 +8,7 @@
 
 /**
  * Selects the router that coordinates a subject, by rendezvous hashing over the live members.
- * Routers that see the same members select the same coordinator, and when a member is gone, only
+ * Routers that see the same members select the same coordinator, and when a member is missing, only
  * its own subjects move to other routers. Stateless and thread safe. Members may differ for a
  * while, so callers must tolerate a wrong or a second coordinator: either may only cost goodput.
  */
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/peer/Membership.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/peer/Membership.java
@@ -25,6 +25,7 @@
     /** Time after which a heartbeat no longer counts. */
     public static final long HEARTBEAT_VALIDITY_NANOS = 1_500_000_000L;
 
+    /** Number of remembered missing incarnations above which all of them are forgotten. */
     private static final int MAX_MISSING = 10_000;
 
     private final Member mSelf;
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/peer/PeerController.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/peer/PeerController.java
@@ -29,6 +29,7 @@
 
     private static final long LIST_INTERVAL_MILLIS = 500;
 
+    /** Interval at which the latest version is requested from the platform's table. */
     private static final long PULL_INTERVAL_MILLIS = 5000;
 
     /** Interval at which a router that is fenced or not ready requests the latest version. */
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/peer/PeerMesh.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/peer/PeerMesh.java
@@ -55,8 +55,9 @@
 
     /**
      * Time after which a silent connection that this router opened and sends on is closed. A
-     * connection may go silent without a reset, and peers use the load that was last reported to
-     * them for this time: beyond it, they would take engines to be less loaded than they are.
+     * connection may go silent for good without a reset, and peers use the load that was last
+     * reported to them for this time: beyond it, they would take engines to be less loaded than
+     * they are.
      */
     static final long SILENCE_TIMEOUT_MILLIS = PeerLoads.REPORT_TTL_MILLIS;
 
@@ -183,7 +184,7 @@
 
     /**
      * {@inheritDoc} A connection to an earlier incarnation at the same address is closed first,
-     * since messages are addressed by incarnation; the next call opens the new one.
+     * since messages are addressed by incarnation; a call after it has closed opens the new one.
      */
     @Override
     public void connect(Member member) {
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/peer/SilenceTimeoutHandler.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/peer/SilenceTimeoutHandler.java
@@ -8,11 +8,11 @@
 import java.util.function.LongSupplier;
 
 /**
- * Closes a connection to another router that no longer answers: a connection may go silent without
- * a reset. Confined to the event loop of the connection. Invariants: a connection with continuous
- * traffic is closed {@link PeerMesh#SILENCE_TIMEOUT_MILLIS} after the last answer, and one whose
- * handshake is not answered the same time after it was opened. An idle connection is kept as long
- * as it answers probes, which are sent after {@link #PROBE_IDLE_MILLIS}.
+ * Closes a connection to another router that no longer answers: a connection may go silent for good
+ * without a reset. Confined to the event loop of the connection. Invariants: a connection with
+ * continuous traffic is closed {@link PeerMesh#SILENCE_TIMEOUT_MILLIS} after the last answer, and
+ * one whose handshake is not answered the same time after it was opened. An idle connection is kept
+ * as long as it answers probes, which are sent after {@link #PROBE_IDLE_MILLIS}.
  *
  * <p>In a large fleet, many idle connections stand by in case a relay is lost. If they were closed
  * whenever they are silent and then opened again, each would cost four proofs of the secret every
@@ -20,7 +20,7 @@
  */
 final class SilenceTimeoutHandler extends ChannelDuplexHandler {
 
-    /** Time without messages in either direction after which the peer is probed. */
+    /** Time since the last message received after which the peer is probed, if no answer is due. */
     static final long PROBE_IDLE_MILLIS = 5000;
 
     /** Time to wait for the answer to a message that must be answered. */
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/route/Route.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/route/Route.java
@@ -9,7 +9,7 @@
  * @param name the route's name
  * @param host the host name, in lower case
  * @param pathPrefix the prefix of matching paths; starts and ends with a slash
- * @param kind which requests may be repeated
+ * @param kind how its requests may be repeated
  * @param timeoutMillis time limit of a request
  * @param targetMillis target latency of an answer, or of the first event of a stream
  * @param eventGapMillis maximum gap between events that still counts as on time; 0 if not set
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/rows/TableFollower.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/rows/TableFollower.java
@@ -171,7 +171,7 @@
          */
         void onChanges(List<Row> rows);
 
-        /** Called after each failed read. */
+        /** Called after each failed read, except {@link RowStoreException.Reason#HISTORY_GONE}. */
         void onStoreUnavailable();
     }
 
--- a/troutpier-daemon/src/test/java/org/troutpier/daemon/cluster/LimitSimulation.java
+++ b/troutpier-daemon/src/test/java/org/troutpier/daemon/cluster/LimitSimulation.java
@@ -378,9 +378,9 @@
     }
 
     /**
-     * Requests a share from the granting router. It grants what fits into the limit beside the
-     * grants in the window, and after a restart no more than the limit spread evenly over the
-     * window.
+     * Requests a share from the granting router of the partition. The grants in the window must fit
+     * into the part of the limit that corresponds to the partition's share of the routers. In the
+     * first window after the partition formed, that part grows evenly from 0.
      */
     private boolean admitByGrant(Router router, Workload workload, double cost) {
         Partition partition = mPartitions.get(router.mPartition);
--- a/troutpier-daemon/src/test/java/org/troutpier/daemon/directory/UpstreamDirectoryTest.java
+++ b/troutpier-daemon/src/test/java/org/troutpier/daemon/directory/UpstreamDirectoryTest.java
@@ -145,7 +145,10 @@
         assertEquals(mDirectory.missingCount(), 0);
     }
 
-    /** The grace period used to end with the next page that had changes, up to 1.2 s late. */
+    /**
+     * Guards against a grace period that ends only with the next page that has changes, which was
+     * up to 1.2 s late.
+     */
     @Test
     public void theGracePeriodEndsByTheClockEvenIfNothingIsRead() {
         confirmFromNowOn();
--- a/troutpier-daemon/src/test/java/org/troutpier/daemon/peer/PeerMeshTest.java
+++ b/troutpier-daemon/src/test/java/org/troutpier/daemon/peer/PeerMeshTest.java
@@ -158,7 +158,7 @@
         await("heard", () -> mOther.mHeard.contains(new PeerMessage.Refused(List.of("late"))));
     }
 
-    /** Idle connections used to be closed and opened again every two seconds. */
+    /** Guards against idle connections that are closed and opened again every two seconds. */
     @Test
     public void aConnectionOnWhichNothingIsSentIsKept() {
         await("connected", () -> connected(mOther.mSelf));
--- a/troutpier-daemon/src/test/java/org/troutpier/daemon/peer/SilenceTimeoutHandlerTest.java
+++ b/troutpier-daemon/src/test/java/org/troutpier/daemon/peer/SilenceTimeoutHandlerTest.java
@@ -29,8 +29,8 @@
     }
 
     /**
-     * An unanswered handshake used to be noticed only by the probe after five seconds, and the
-     * router was unreachable until then.
+     * Guards against an unanswered handshake that is noticed only by the probe after five seconds,
+     * until which the router cannot be reached.
      */
     @Test
     public void aConnectionWhoseOpeningIsNotAnsweredIsClosed() {
