--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/RouterDaemon.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/RouterDaemon.java
@@ -197,7 +197,7 @@
     }
 
     /**
-     * Creates the permits that coordinators grant, if the settings ask for them.
+     * Creates the permits that coordinators grant, if the settings select them.
      *
      * @param holder holds the controller, which is created later
      * @return the permits, or empty
@@ -308,7 +308,8 @@
 
     /**
      * Stops the router and waits for it: becomes unready, stops listening for callers after {@link
-     * #NOTICE_MILLIS}, waits for the requests in progress and closes everything else.
+     * #NOTICE_MILLIS}, waits until no request is in progress or the drain time since the start of
+     * the stop has passed, and closes everything else.
      */
     public void stop() {
         mReadiness.setStopping();
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/claim/ClaimSettler.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/claim/ClaimSettler.java
@@ -15,8 +15,8 @@
 
 /**
  * Settles claims: writes the outcome to the table and retries in the background if the result of a
- * write is unknown. Thread safe. Invariants: only a row of the claim's own epoch is replaced; a
- * claim of unknown state is retried until its row is confirmed or has expired.
+ * write is unknown. Thread safe. Invariants: only a row of the claim's own epoch is replaced; the
+ * release of a claim of unknown state is retried until its row confirms it or has expired.
  */
 final class ClaimSettler {
 
@@ -37,7 +37,7 @@
 
     private final LongSupplier mWallMillis;
 
-    /** Called with claims that need no further action. */
+    /** Called with claims whose attempt is over at this router; a release may still be retried. */
     private final Consumer<Claim> mOnDone;
 
     /**
@@ -47,7 +47,7 @@
      * @param table the table of claims
      * @param objects store of large answers
      * @param wallMillis wall clock
-     * @param onDone called with claims that need no further action; thread safe
+     * @param onDone called with claims whose attempt is over at this router; thread safe
      */
     ClaimSettler(
             Node node,
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/configuration/ChangeProposer.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/configuration/ChangeProposer.java
@@ -28,7 +28,7 @@
 /**
  * Runs configuration changes in three steps: prepare at every member, conditional commit, activate
  * at every member. Confined to the control thread. Invariants: nothing is committed unless every
- * live member has prepared; the operator is told "accepted" only after every live member has
+ * live member has prepared; the operator receives "accepted" only after every live member has
  * activated; a committed change is never rolled back.
  */
 public final class ChangeProposer {
@@ -46,7 +46,7 @@
     /** How long the outcome of a commit is looked for. */
     private static final long READ_BACK_TIMEOUT_MILLIS = 4000;
 
-    /** How long activation of a committed change is retried after the operator was told. */
+    /** How long activation of a committed change is retried after the report to the operator. */
     private static final long BACKGROUND_MILLIS = 60_000;
 
     private static final long NANOS_PER_MILLI = 1_000_000L;
@@ -71,9 +71,9 @@
         PREPARING,
         /** The row is being written or read back. */
         COMMITTING,
-        /** Members are told to activate the change. */
+        /** Members are asked to activate the change. */
         ACTIVATING,
-        /** The operator was told the result. */
+        /** The result was reported to the operator. */
         REPORTED
     }
 
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/configuration/ConfigurationRegistry.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/configuration/ConfigurationRegistry.java
@@ -39,7 +39,7 @@
      *
      * @param node the router's identity, threads, clock and metrics
      * @param table the table that holds the declarations
-     * @param readiness is told when the declarations are known to be the latest
+     * @param readiness updated when the declarations are known to be the latest
      */
     public ConfigurationRegistry(Node node, Table table, Readiness readiness) {
         mNode = node;
@@ -92,7 +92,7 @@
      * Reads the row and puts it in force on the control thread.
      *
      * @return whether the table answered; if so, the row is put in force before any task that is
-     *     submitted to the control thread afterwards
+     *     submitted to the control thread afterwards; fails if the row is invalid
      */
     public CompletableFuture<Boolean> refresh() {
         return mTable.read(ROW)
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/node/Readiness.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/node/Readiness.java
@@ -43,13 +43,13 @@
         mConfigured = true;
     }
 
-    /** Records that the router was told to stop. */
+    /** Records that a stop was requested. */
     public void setStopping() {
         mStopping = true;
         mEvents.record("stopping", "", "");
     }
 
-    /** Returns whether the router was told to stop. */
+    /** Returns whether a stop was requested. */
     public boolean isStopping() {
         return mStopping;
     }
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/request/RetryBudget.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/request/RetryBudget.java
@@ -34,6 +34,7 @@
      * @return whether the retry is allowed
      */
     public synchronized boolean tryAcquire(PartnerId partner) {
+        // ten times 0.1 may add up to slightly less than 1
         final double oneRetry = 1 - 1e-9;
         double balance = mBalances.getOrDefault(partner, 0.0);
         if (balance < oneRetry) {
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/request/ServiceExchange.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/request/ServiceExchange.java
@@ -38,7 +38,7 @@
      */
     public static final String STARTED_HEADER = "X-Request-Started";
 
-    /** Carries the id of the attempt to the service and back. */
+    /** Header with the id of the attempt, sent to the service and echoed in its answer. */
     public static final String ID_HEADER = "X-Request-Id";
 
     /** Largest answer that is stored for an idempotency key. */
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/upstream/AttemptEnd.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/upstream/AttemptEnd.java
@@ -7,7 +7,8 @@
  *
  * @param notStarted whether it is certain that the upstream did not start the request, because
  *     nothing was sent or because the upstream said so
- * @param leaving whether the upstream announced that it is leaving
+ * @param leaving whether the upstream announced that it is leaving, or another incarnation answered
+ *     in its place
  * @param unreachable whether the upstream could not be reached or stopped responding
  * @param code the result code to report if no other attempt has a better result
  * @param detail a description of the failure
@@ -23,7 +24,8 @@
     /**
      * Creates the end of an attempt that the upstream refused without starting it.
      *
-     * @param leaving whether the upstream announced that it is leaving
+     * @param leaving whether the upstream announced that it is leaving, or another incarnation
+     *     answered in its place
      * @param detail the upstream's reason
      * @return the end
      */
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/upstream/CancellationRetrier.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/upstream/CancellationRetrier.java
@@ -8,8 +8,8 @@
 import org.troutpier.daemon.node.Node;
 
 /**
- * Retries the cancellation of attempts at engines until the engine confirms it, is considered gone,
- * or {@link #MAX_TRIES} is reached. Confined to the control thread.
+ * Retries the cancellation of attempts at engines until the engine confirms it, its process counts
+ * as terminated, or {@link #MAX_TRIES} is reached. Confined to the control thread.
  */
 public final class CancellationRetrier {
 
@@ -17,7 +17,10 @@
 
     private static final long MAX_DELAY_MILLIS = 2000;
 
-    /** Consecutive refused connections after which the engine's process counts as gone. */
+    /**
+     * Consecutive calls that certainly were not sent, as on a refused connection, after which the
+     * engine's process counts as terminated.
+     */
     private static final int MAX_CONSECUTIVE_REFUSALS = 5;
 
     private static final int MAX_TRIES = 400;
@@ -37,7 +40,7 @@
 
         private int mTries;
 
-        /** Consecutive refused connections. */
+        /** Consecutive calls that certainly were not sent. */
         private int mRefusals;
 
         /** The delay before the next try, milliseconds. */
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/upstream/HttpEngineClient.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/upstream/HttpEngineClient.java
@@ -206,7 +206,7 @@
         /** Whether the end mark was received. */
         private boolean mEndMarkReceived;
 
-        /** Whether the listener was told the end. */
+        /** Whether the end was reported to the listener. */
         private boolean mEnded;
 
         DecodeStreamReader(String attempt, DecodeListener listener) {
