--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/operator/OperatorHandler.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/operator/OperatorHandler.java
@@ -165,7 +165,10 @@
         return rights.isPresent() && rights.get().covers(new PartnerId(partner));
     }
 
-    /** Returns the events that an operator may see: all but those of other partners' requests. */
+    /**
+     * Returns the events except those of requests whose acceptance for another partner is still in
+     * the event ring.
+     */
     private List<Event> events(HttpExchange exchange) {
         Rights rights = rights(exchange);
         Set<String> hiddenSubjects = new HashSet<>();
--- a/troutpier-daemon/src/main/java/org/troutpier/daemon/request/ServiceExchange.java
+++ b/troutpier-daemon/src/main/java/org/troutpier/daemon/request/ServiceExchange.java
@@ -38,7 +38,7 @@
      */
     public static final String STARTED_HEADER = "X-Request-Started";
 
-    /** Header with the id of the attempt, sent to the service and echoed in its answer. */
+    /** Header with the id of the attempt, sent to the service, which may echo it. */
     public static final String ID_HEADER = "X-Request-Id";
 
     /** Largest answer that is stored for an idempotency key. */
