--- a/troutpier-cli/src/main/java/org/troutpier/cli/ExitCode.java
+++ b/troutpier-cli/src/main/java/org/troutpier/cli/ExitCode.java
@@ -29,7 +29,7 @@
         return mNumber;
     }
 
-    /** Returns the exit code for a router's result code. */
+    /** Returns the exit code for the family of a router's result code, as it is on the wire. */
     static ExitCode of(String family) {
         return ResultCode.Family.NOT_RUN.label().equals(family) ? REFUSED : UNKNOWN;
     }
--- a/troutpier-cli/src/main/java/org/troutpier/cli/QuarantineCommand.java
+++ b/troutpier-cli/src/main/java/org/troutpier/cli/QuarantineCommand.java
@@ -30,6 +30,7 @@
      */
     private static final String LINE = "%-10s %-6s %7s  %s%n";
 
+    /** A request's short name, or more digits of its fingerprint. */
     private static final Pattern NAME = Pattern.compile("[0-9a-f]{8,32}");
 
     @Mixin private CliMain.Connection mConnection;
--- a/troutpier-cli/src/main/java/org/troutpier/cli/RouterClient.java
+++ b/troutpier-cli/src/main/java/org/troutpier/cli/RouterClient.java
@@ -16,7 +16,7 @@
 /** Client of the routers' operator ports. Confined to the command line's thread. */
 final class RouterClient implements AutoCloseable {
 
-    /** Time limit of a change, milliseconds. */
+    /** Time limit of a change, and of a query to the first reachable router, milliseconds. */
     private static final int CHANGE_TIMEOUT_MILLIS = 15_000;
 
     private final EventLoopGroup mLoops = new NioEventLoopGroup(1);
@@ -62,7 +62,8 @@
     }
 
     /**
-     * Sends to the first router that can be reached.
+     * Sends to the first router that can be reached. A request with a body goes to no other router
+     * once it may have been sent.
      *
      * @param path the path and query
      * @param body what to send as JSON, or null
@@ -87,7 +88,7 @@
         throw new CliException(ExitCode.UNREACHED, "no router was reached: " + last.getMessage());
     }
 
-    /** Reads a response, and fails if it has a result code. */
+    /** Reads the JSON of a response; fails if it is not JSON or its status is not 2xx. */
     private static JsonNode readBody(HttpReply reply) {
         JsonNode body;
         try {
--- a/troutpier-common/src/main/java/org/troutpier/common/collection/ExpiringMap.java
+++ b/troutpier-common/src/main/java/org/troutpier/common/collection/ExpiringMap.java
@@ -35,7 +35,8 @@
     /**
      * Creates an empty map.
      *
-     * @param millis how long an entry is kept, milliseconds
+     * @param maxSize how many entries are kept
+     * @param retentionMillis how long an entry is kept, milliseconds
      */
     public ExpiringMap(int maxSize, long retentionMillis) {
         mMaxSize = maxSize;
--- a/troutpier-common/src/main/java/org/troutpier/common/declaration/KeyHash.java
+++ b/troutpier-common/src/main/java/org/troutpier/common/declaration/KeyHash.java
@@ -19,7 +19,7 @@
         }
     }
 
-    /** Hashes a key. */
+    /** Hashes a key as its caller sends it. */
     public static KeyHash of(String key) {
         return new KeyHash(Tokens.hash(key));
     }
--- a/troutpier-common/src/main/java/org/troutpier/common/declaration/PartnerDeclaration.java
+++ b/troutpier-common/src/main/java/org/troutpier/common/declaration/PartnerDeclaration.java
@@ -26,10 +26,13 @@
     /** Upper bound of the sum of all shares, percent. */
     public static final int TOTAL_SHARE = 100;
 
+    /** Upper bound of the queue limit and of the in-flight limit, requests. */
     private static final int MAX_LIMIT = 100_000;
 
+    /** Default queue limit, requests. */
     private static final int DEFAULT_QUEUE = 256;
 
+    /** Default in-flight limit, requests. */
     private static final int DEFAULT_IN_FLIGHT = 2000;
 
     /** Validates the fields and fills in defaults. */
--- a/troutpier-common/src/main/java/org/troutpier/common/event/EventRing.java
+++ b/troutpier-common/src/main/java/org/troutpier/common/event/EventRing.java
@@ -6,12 +6,15 @@
 import java.util.concurrent.atomic.AtomicReferenceArray;
 
 /**
- * A ring buffer of events: the newest overwrite the oldest. Thread safe; recording is lock-free.
+ * A ring buffer of events: the newest overwrite the oldest, so its memory is bounded. Thread safe;
+ * recording is lock-free.
  */
 public final class EventRing {
 
+    /** The events, each at its number modulo the size. */
     private final AtomicReferenceArray<Event> mEvents;
 
+    /** The number of the next event. */
     private final AtomicLong mNext = new AtomicLong();
 
     private final HybridClock mClock;
@@ -25,7 +28,13 @@
         mClock = clock;
     }
 
-    /** Records an event. */
+    /**
+     * Records an event.
+     *
+     * @param kind what happened
+     * @param subject the request, change or upstream it is about
+     * @param detail further details; empty for none
+     */
     public void record(String kind, String subject, String detail) {
         Event event = new Event(mClock.next(), mProcess, kind, subject, detail);
         int slot = (int) (mNext.getAndIncrement() % mEvents.length());
--- a/troutpier-common/src/main/java/org/troutpier/common/event/HybridClock.java
+++ b/troutpier-common/src/main/java/org/troutpier/common/event/HybridClock.java
@@ -13,6 +13,7 @@
     /** How many bits the counter takes. */
     public static final int COUNTER_BITS = 16;
 
+    /** The last stamp that was returned or observed. */
     private final AtomicLong mLast = new AtomicLong();
 
     /** The wall clock, in milliseconds. */
@@ -32,7 +33,7 @@
         mWallMillis = wallMillis;
     }
 
-    /** Returns the next stamp. */
+    /** Returns a stamp later than all that were returned or observed before. */
     public long next() {
         long wall = mWallMillis.getAsLong() << COUNTER_BITS;
         return mLast.updateAndGet(last -> Math.max(last + 1, wall));
--- a/troutpier-common/src/main/java/org/troutpier/common/http/ExchangeHandler.java
+++ b/troutpier-common/src/main/java/org/troutpier/common/http/ExchangeHandler.java
@@ -32,6 +32,7 @@
 
     private final ServerRefusals mRefusals;
 
+    /** Counts the exchanges whose response is not yet completely written. */
     private final AtomicInteger mActiveExchanges;
 
     /** Whether the server is draining: each connection is then closed after its response. */
--- a/troutpier-common/src/main/java/org/troutpier/common/http/HttpClient.java
+++ b/troutpier-common/src/main/java/org/troutpier/common/http/HttpClient.java
@@ -88,7 +88,11 @@
         return collector.mReply;
     }
 
-    /** Sends a request and passes the response on as it arrives. */
+    /**
+     * Sends a request and passes the response on as it arrives.
+     *
+     * @return the exchange, to pause or abort it
+     */
     public OngoingCall send(HttpCall call, ReplyListener listener) {
         RequestBuilder request =
                 new RequestBuilder(call.method(), true)
@@ -142,26 +146,29 @@
     }
 
     /**
-     * An exchange in progress; thread safe. Invariant: the listener is told at most once that it
-     * ended.
+     * An exchange in progress; thread safe. Invariant: the listener is notified of its end at most
+     * once.
      */
     public static final class OngoingCall implements AsyncHandler<Void> {
 
         private final ReplyListener mListener;
 
+        /** Runs when the exchange times out. */
         private final Runnable mOnTimeout;
 
+        /** The library's handle; null until the request was passed to the library. */
         private volatile ListenableFuture<Void> mFuture;
 
         /** The connection, once there is one. */
         private volatile Channel mChannel;
 
-        /** The status, until the headers come. */
+        /** The status, until the headers arrive. */
         private int mStatus;
 
         /** Whether any byte of the request may have been sent. */
         private volatile boolean mSent;
 
+        /** Whether the exchange has ended or was aborted. */
         private volatile boolean mEnded;
 
         /** Creates an exchange. */
--- a/troutpier-common/src/main/java/org/troutpier/common/http/HttpExchange.java
+++ b/troutpier-common/src/main/java/org/troutpier/common/http/HttpExchange.java
@@ -47,10 +47,12 @@
     /** Whether the server is draining: each connection is then closed after its response. */
     private final BooleanSupplier mDraining;
 
+    /** Whether the connection is closed after the response that was started. */
     private boolean mLastOfConnection;
 
     private boolean mStarted;
 
+    /** Whether the response was completed or aborted, or the connection was closed. */
     private boolean mEnded;
 
     private Runnable mOnDisconnect = () -> {};
@@ -170,7 +172,7 @@
     /**
      * Returns whether a response was started.
      *
-     * @return whether the status has left
+     * @return whether the head was written
      */
     public boolean hasBegun() {
         return mStarted;
@@ -179,7 +181,7 @@
     /**
      * Returns whether the response was completed or aborted, or the client has disconnected.
      *
-     * @return whether nothing more can be said
+     * @return whether nothing more can be sent
      */
     public boolean isOver() {
         return mEnded || !mChannel.isActive();
@@ -293,6 +295,7 @@
         }
     }
 
+    /** Sets the response's Connection header, which tells the client whether it stays open. */
     private void setConnection(HttpMessage answer) {
         mLastOfConnection = !mKeepAlive || mDraining.getAsBoolean();
         HttpUtil.setKeepAlive(answer, !mLastOfConnection);
--- a/troutpier-common/src/main/java/org/troutpier/common/http/HttpServer.java
+++ b/troutpier-common/src/main/java/org/troutpier/common/http/HttpServer.java
@@ -36,7 +36,7 @@
     /** The longest request line, bytes. */
     private static final int MAX_REQUEST_LINE_BYTES = 8192;
 
-    /** The largest chunk the codec hands on, bytes. */
+    /** The largest chunk that the codec passes on, bytes. */
     private static final int MAX_CHUNK_BYTES = 8192;
 
     /**
@@ -147,7 +147,7 @@
     /**
      * Returns whether connections are accepted.
      *
-     * @return whether new callers come in
+     * @return whether new connections are accepted
      */
     public boolean isAccepting() {
         return mListener.isActive() && mListener.config().isAutoRead();
@@ -164,7 +164,7 @@
         return accepted != 0 && System.nanoTime() - accepted < BACKLOG_NANOS;
     }
 
-    /** Returns where the server listens. */
+    /** Returns where the server listens, with the port that the system chose if 0 was given. */
     public Address address() {
         return Address.of((InetSocketAddress) mListener.localAddress());
     }
@@ -186,7 +186,8 @@
 
     /**
      * Closes each connection on which no request is being served. A request that has been
-     * completely read is served; one that has not is closed unread.
+     * completely read is served. If a request is still being received, its connection is closed and
+     * the request is not handled.
      */
     public void closeIdle() {
         mOpenChannels.forEach(channel -> channel.pipeline().fireUserEventTriggered(Idle.CLOSE));
--- a/troutpier-common/src/main/java/org/troutpier/common/http/ListeningSocket.java
+++ b/troutpier-common/src/main/java/org/troutpier/common/http/ListeningSocket.java
@@ -41,7 +41,7 @@
     }
 
     /**
-     * Returns where the socket listens.
+     * Returns where the socket listens, with the port that the system chose if 0 was given.
      *
      * @throws IOException if the socket is closed
      */
@@ -49,7 +49,7 @@
         return Address.of((InetSocketAddress) mChannel.getLocalAddress());
     }
 
-    /** Returns the channel for a server to take over. */
+    /** Returns the channel, in blocking mode, for a server to take over. */
     ServerSocketChannel channel() {
         return mChannel;
     }
--- a/troutpier-common/src/main/java/org/troutpier/common/http/RequestHeadFilter.java
+++ b/troutpier-common/src/main/java/org/troutpier/common/http/RequestHeadFilter.java
@@ -43,8 +43,10 @@
 
     private final BooleanSupplier mServing;
 
+    /** Whether the connection is being closed; whatever still arrives is discarded. */
     private boolean mClosing;
 
+    /** Whether the rest of a refused request is being discarded. */
     private boolean mDiscarding;
 
     /**
@@ -102,6 +104,7 @@
         ReferenceCountUtil.release(message);
     }
 
+    /** Refuses a request before its body is read. */
     private void refuse(
             ChannelHandlerContext context, HttpRequest head, TroutpierException refusal) {
         FullHttpResponse answer = HttpResponses.refusal(refusal.code(), refusal.detail());
--- a/troutpier-common/src/main/java/org/troutpier/common/http/RequestTimeoutHandler.java
+++ b/troutpier-common/src/main/java/org/troutpier/common/http/RequestTimeoutHandler.java
@@ -21,14 +21,16 @@
     /** The running timer, or null between requests. */
     private Future<?> mTimer;
 
+    /** Whether the request that is being received was answered before it was complete. */
     private boolean mAnswered;
 
+    /** Whether an exchange is being served; bytes that arrive meanwhile start no timer. */
     private BooleanSupplier mServing = () -> false;
 
     /**
      * Creates a handler.
      *
-     * @param millis how long a request may take, milliseconds
+     * @param timeoutMillis how long a request may take, milliseconds
      */
     RequestTimeoutHandler(int timeoutMillis, ServerRefusals refusals) {
         mTimeoutMillis = timeoutMillis;
--- a/troutpier-common/src/main/java/org/troutpier/common/http/ServerLimits.java
+++ b/troutpier-common/src/main/java/org/troutpier/common/http/ServerLimits.java
@@ -9,7 +9,8 @@
  * @param bodyBytes the largest body of a request
  * @param headerBytes the largest request line and headers
  * @param requestMillis time limit between the first and the last byte of a request, milliseconds
- * @param idleMillis idle time after which a connection is closed, milliseconds
+ * @param idleMillis time without a request in service after which an idle connection is closed,
+ *     milliseconds
  */
 public record ServerLimits(
         int connections, int bodyBytes, int headerBytes, int requestMillis, int idleMillis) {
--- a/troutpier-common/src/main/java/org/troutpier/common/id/Identifiers.java
+++ b/troutpier-common/src/main/java/org/troutpier/common/id/Identifiers.java
@@ -3,6 +3,7 @@
 /** Checks the text of identifiers. Stateless and thread safe. */
 final class Identifiers {
 
+    /** Form of an identifier, for the error message only; {@link #isAllowed} checks it. */
     private static final String ALLOWED = "[A-Za-z0-9][A-Za-z0-9._:-]{0,79}";
 
     /** Maximum length of an identifier, characters: it occurs in each log line and report. */
--- a/troutpier-common/src/main/java/org/troutpier/common/id/Incarnation.java
+++ b/troutpier-common/src/main/java/org/troutpier/common/id/Incarnation.java
@@ -13,6 +13,7 @@
  */
 public record Incarnation(@JsonValue String value) {
 
+    /** Separates the instance from the random part; no identifier contains it. */
     private static final char SEPARATOR = '~';
 
     /** Number of random bytes that distinguish two runs. */
--- a/troutpier-common/src/main/java/org/troutpier/common/id/UpstreamIncarnation.java
+++ b/troutpier-common/src/main/java/org/troutpier/common/id/UpstreamIncarnation.java
@@ -18,6 +18,7 @@
     /** The start time of an upstream that did not report one. */
     public static final long UNKNOWN = 0;
 
+    /** Separates the id from the start time; no identifier contains it. */
     private static final char SEPARATOR = '~';
 
     /**
--- a/troutpier-common/src/main/java/org/troutpier/common/logging/DaemonLogging.java
+++ b/troutpier-common/src/main/java/org/troutpier/common/logging/DaemonLogging.java
@@ -26,6 +26,7 @@
 
     private static final String QUEUE_APPENDER = "queue";
 
+    /** Property that is set empty, since the library would query the host name resolver for it. */
     private static final String HOST_NAME = "hostName";
 
     /**
--- a/troutpier-common/src/main/java/org/troutpier/common/logging/LogThrottle.java
+++ b/troutpier-common/src/main/java/org/troutpier/common/logging/LogThrottle.java
@@ -15,7 +15,7 @@
     /**
      * Creates a throttle that permits a first line.
      *
-     * @param millis minimum interval between two lines, milliseconds
+     * @param intervalMillis minimum interval between two lines, milliseconds
      */
     public LogThrottle(long intervalMillis) {
         mIntervalMillis = intervalMillis;
--- a/troutpier-common/src/main/java/org/troutpier/common/logging/StandardOutputAppender.java
+++ b/troutpier-common/src/main/java/org/troutpier/common/logging/StandardOutputAppender.java
@@ -8,9 +8,8 @@
 
 /**
  * Writes lines to the stream that is standard output when the appender is created. Thread safe: a
- * line is written by one call. The library's own appender checks its settings by reflection.
- * Without it, without the library's plug-ins and with strings concatenated by plain code a start
- * took 272 ms of processor time instead of 289 ms (median of eight alternating runs).
+ * line is written by one call. The library's own appender checks its settings by reflection, which
+ * would cost processor time at each start.
  */
 final class StandardOutputAppender extends AbstractAppender {
 
--- a/troutpier-common/src/main/java/org/troutpier/common/result/ResultCode.java
+++ b/troutpier-common/src/main/java/org/troutpier/common/result/ResultCode.java
@@ -47,7 +47,7 @@
     TABLE_UNAVAILABLE(124, 503, Family.NOT_RUN, 5, "The table service is not available."),
     /** The deadline passed before anything was sent upstream. */
     DEADLINE_BEFORE_START(125, 504, Family.NOT_RUN, 1, "The deadline passed before the start."),
-    /** Every upstream that was tried refused the request before starting it. */
+    /** Every upstream that was tried was unreachable or proved that it had not started. */
     UPSTREAMS_REFUSED(126, 503, Family.NOT_RUN, 1, "The upstreams refused before starting."),
     /** The partner's limit of requests in flight is reached. */
     PARTNER_LIMIT(
@@ -71,7 +71,7 @@
     OUTCOME_UNKNOWN(201, 502, Family.OUTCOME_UNKNOWN, 0, "The upstream may have run the request."),
     /** The deadline passed while an upstream was processing the request. */
     DEADLINE_WHILE_RUNNING(202, 504, Family.OUTCOME_UNKNOWN, 1, "The deadline passed on the way."),
-    /** The router that held a non-repeatable request is gone. */
+    /** The router that held a non-repeatable request has ended or lost its lease. */
     HOLDER_GONE(203, 409, Family.OUTCOME_UNKNOWN, 0, "The router that held the request is gone."),
     /** Another router took over the request. */
     SUPERSEDED(204, 409, Family.OUTCOME_UNKNOWN, 2, "Another router took the request over."),
@@ -81,7 +81,7 @@
     UPSTREAM_FAILED(300, 502, Family.RAN_AND_FAILED, 1, "An upstream failed while running."),
     /** An upstream responded with the id of another request. */
     UPSTREAM_MISMATCH(301, 502, Family.RAN_AND_FAILED, 1, "An upstream answered another request."),
-    /** The response was delivered before and is no longer stored. */
+    /** The request was answered before, and the response is not stored. */
     ANSWER_NOT_KEPT(302, 410, Family.RAN_AND_FAILED, 0, "The answer was given and is not kept."),
     /** The retry budget is exhausted. */
     RETRIES_SPENT(303, 502, Family.RAN_AND_FAILED, 2, "The attempt failed; no retry is left."),
--- a/troutpier-common/src/main/java/org/troutpier/common/settings/Check.java
+++ b/troutpier-common/src/main/java/org/troutpier/common/settings/Check.java
@@ -8,7 +8,9 @@
     /**
      * Checks that a number lies in a range.
      *
-     * @param least the least allowed
+     * @param min the least allowed
+     * @param max the greatest allowed
+     * @return the number
      */
     public static long range(String field, long value, long min, long max) {
         if (value < min || value > max) {
--- a/troutpier-common/src/main/java/org/troutpier/common/settings/CheckedYaml.java
+++ b/troutpier-common/src/main/java/org/troutpier/common/settings/CheckedYaml.java
@@ -58,6 +58,7 @@
     /**
      * Reads a text.
      *
+     * @param name what the text is called in error messages
      * @param <T> the record's type
      */
     public static <T> T parse(String name, String text, Class<T> type) {
@@ -93,6 +94,7 @@
     /**
      * Finds the first field that the type does not have.
      *
+     * @param path the path of the node; empty, or with a slash at its end
      * @return the path of the first unknown field
      */
     private static Optional<String> unknownField(JsonNode node, Type type, String path) {
@@ -144,6 +146,7 @@
         return fault(name, line > 0 ? line : line(exception), path, message);
     }
 
+    /** Returns the error in terms of a settings file instead of Java types. */
     private static String message(JsonMappingException exception) {
         if (exception instanceof UnrecognizedPropertyException) {
             return "is not a known field";
@@ -179,6 +182,7 @@
     /**
      * Finds the line of a field.
      *
+     * @param pointer the field as a JSON pointer
      * @return the line from 1, or 0 if the field is absent
      */
     private static int lineOf(String text, String pointer) {
--- a/troutpier-common/src/main/java/org/troutpier/common/time/ElapsedClock.java
+++ b/troutpier-common/src/main/java/org/troutpier/common/time/ElapsedClock.java
@@ -7,12 +7,12 @@
 
 /**
  * A monotonic clock that includes the time for which the machine was suspended. The system's
- * monotonic clock stops during a suspension: after one of ten seconds, a router believed that it
- * still held a lease that another had taken. The wall clock continues, so if it advanced much
- * further than the monotonic clock between two readings, the difference is counted as a suspension.
- * If it was set ahead instead, cached state looks older than it is and is read again. A suspension
- * is not detected if the wall clock is set back by as much meanwhile. Thread safe. Invariant: it
- * never goes back.
+ * monotonic clock stops during a suspension: after one of ten seconds, by that clock a router still
+ * held a lease that another had taken. The wall clock continues, so if it advanced much further
+ * than the monotonic clock between two readings, the difference is counted as a suspension. If it
+ * was set ahead instead, cached state looks older than it is and is read again. A suspension is not
+ * detected if the wall clock is set back by as much meanwhile. Thread safe. Invariant: it never
+ * goes back.
  */
 public final class ElapsedClock implements LongSupplier {
 
--- a/troutpier-testing/src/main/java/org/troutpier/testing/KnownFailures.java
+++ b/troutpier-testing/src/main/java/org/troutpier/testing/KnownFailures.java
@@ -25,6 +25,7 @@
     /** The file's name, at the root of the repository. */
     public static final String FILE = "KNOWN-RED.txt";
 
+    /** System property with the root of the repository, set by the build. */
     private static final String ROOT_PROPERTY = "troutpier.root";
 
     /** Separates the parts of a line. */
@@ -36,8 +37,10 @@
     /** Prefix of a comment line. */
     private static final String COMMENT = "#";
 
+    /** Separates the class from the method. */
     private static final String METHOD = "#";
 
+    /** The symptom of each test, by {@code CLASS#METHOD}. */
     private final Map<String, String> mSymptoms = new HashMap<>();
 
     /**
@@ -87,7 +90,7 @@
     }
 
     /**
-     * Takes a line.
+     * Parses and adds a line.
      *
      * @param line the line
      */
@@ -106,6 +109,7 @@
     /**
      * Returns the recorded symptom of a test that is known to fail.
      *
+     * @param test its {@code CLASS#METHOD}
      * @return the symptom, or empty if the test is not listed
      */
     public Optional<String> symptom(String test) {
@@ -120,6 +124,7 @@
     /**
      * Returns the listed tests that do not exist in any module.
      *
+     * @param root the root of the repository, whose direct subdirectories are the modules
      * @throws IOException if a file cannot be read
      */
     public List<String> missingTests(Path root) throws IOException {
